--- a/batch/follow.go
+++ b/batch/follow.go
@@ -289,14 +289,14 @@
 	return f.clock.Now().Sub(f.contact)
 }
 
-// seenAt is as of when the stream is known: when the last answered read was sent.
+// readAt is as of when the stream is known: when the last answered read was sent.
 func (f *follower) seenAt() time.Time {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return f.contact
 }
 
-// heardAt is when the newest read was answered.
+// lastAnswerAt is when the newest read was answered.
 func (f *follower) heardAt() time.Time {
 	f.lock.Lock()
 	defer f.lock.Unlock()
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// takeBack ends an evacuation.
+// releaseReservation ends an evacuation.
 func (f *fleet) takeBack(zone string) {
 	if f.ledger != nil {
 		f.ledger.Return(zone)
--- a/placing/bench_test.go
+++ b/placing/bench_test.go
@@ -8,33 +8,32 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// loadedEngine is an engine whose workers are full of low-priority tasks, with
-// a backlog of gangs and tasks.
+// loadedEngine returns an engine whose workers are full of low-priority tasks, with a backlog
+// of gangs and tasks.
 func loadedEngine(workers int) (*Engine, time.Time) {
 	e := testEngine(1)
 	e.Load(nil, FormerHandedOver, testStart)
 	var entries []WorkerEntry
-	for index := range workers {
-		entries = append(entries, testWorker(fmt.Sprintf("w%04d", index), fmt.Sprintf("r1-%03d", index/20)))
+	for i := range workers {
+		entries = append(entries, testWorker(fmt.Sprintf("w%04d", i), fmt.Sprintf("r1-%03d", i/20)))
 	}
 	e.List(entries, testStart)
 	for _, entry := range entries {
 		e.Report(entry.ID, testStart, nil, nil, time.Time{}, testStart)
 	}
-	for index := range workers {
-		e.Learn(&jobs.Job{Submission: testJob(fmt.Sprintf("%016x", index), 2, testStep(8, 1))}, testStart)
+	for i := range workers {
+		e.Learn(&jobs.Job{Submission: testJob(fmt.Sprintf("%016x", i), 2, testStep(8, 1))}, testStart)
 	}
 	startAll(e, testStart)
-	for index := range workers {
-		gang := testStep(4+index%5, 4)
-		gang.Gang, gang.OneRack = true, index%2 == 0
-		e.Learn(&jobs.Job{Submission: testJob(fmt.Sprintf("%016x", workers+index), 1, gang)}, testStart)
+	for i := range workers {
+		gang := testStep(4+i%5, 4)
+		gang.Gang, gang.OneRack = true, i%2 == 0
+		e.Learn(&jobs.Job{Submission: testJob(fmt.Sprintf("%016x", workers+i), 1, gang)}, testStart)
 	}
 	return e, testStart
 }
 
-// BenchmarkPass is one decision with every worker full and as many gangs
-// waiting as there are workers.
+// BenchmarkPass measures one pass with full workers and as many waiting gangs as workers.
 func BenchmarkPass(b *testing.B) {
 	for _, workers := range []int{48, 350, 6800} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
@@ -43,13 +42,13 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				e.pass(now)
+				e.runPass(now)
 			}
 		})
 	}
 }
 
-// BenchmarkUrgentGang is the search for room for an urgent gang of 8 on full
+// BenchmarkUrgentGang measures the search for capacity for an urgent gang of 8 on full
 // workers.
 func BenchmarkUrgentGang(b *testing.B) {
 	for _, workers := range []int{48, 350, 6800} {
@@ -59,14 +58,14 @@
 			gang.Gang, gang.OneRack = true, true
 			urgent := testJob("ffffffffffffffff", 0, gang)
 			e.Learn(&jobs.Job{Submission: urgent}, now)
-			unit := e.waiting(now)[0]
+			unit := e.waitingUnits(now)[0]
 			if unit.job.submission != urgent {
 				b.Fatal("the urgent gang is not first")
 			}
 			open := e.openView(now)
 			b.ReportAllocs()
 			for b.Loop() {
-				if chosen, _ := e.choose(unit, open, now); chosen == nil {
+				if chosen, _ := e.selectVictims(unit, open, now); chosen == nil {
 					b.Fatal("no room found")
 				}
 			}
@@ -74,18 +73,19 @@
 	}
 }
 
-// Large gangs are what the aim of 1 ms at the 99th percentile is for.
+// BenchmarkGangOf128 measures the placement of a large gang, for which the target is 1 ms at
+// the 99th percentile.
 func BenchmarkGangOf128(b *testing.B) {
 	e := testEngine(1)
 	var nodes []*node
-	for index := range 6800 {
-		node := &node{entry: testWorker(fmt.Sprintf("w%04d", index), fmt.Sprintf("r1-%03d", index/20))}
+	for i := range 6800 {
+		node := &node{entry: testWorker(fmt.Sprintf("w%04d", i), fmt.Sprintf("r1-%03d", i/20))}
 		nodes = append(nodes, node)
 	}
 	gang := testStep(128, 2)
 	gang.Gang = true
 	e.Learn(&jobs.Job{Submission: testJob("ffffffffffffffff", 1, gang)}, testStart)
-	unit := e.waiting(testStart)[0]
+	unit := e.waitingUnits(testStart)[0]
 	open := newView(nodes)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/placing/cancel_test.go
+++ b/placing/cancel_test.go
@@ -39,11 +39,11 @@
 	c.now = c.now.Add(4 * time.Second) // the stop was not answered
 	c.engine.Report(worker, c.now, []RunningTask{{Task: key, Run: 1}}, nil, time.Time{}, c.now)
 	is.True(stopsOf(c.engine.Decide(c.now), key) > 0)
-	c.now = c.now.Add(stopAgain + time.Millisecond)
+	c.now = c.now.Add(stopRetryInterval + time.Millisecond)
 	c.engine.Report(worker, c.now, []RunningTask{{Task: key, Run: 1}}, nil, time.Time{}, c.now)
 	is.True(stopsOf(c.engine.Decide(c.now), key) > 0)
 	c.engine.StopAnswered(worker, key, 1, c.now)
-	c.now = c.now.Add(stopAgain + time.Millisecond)
+	c.now = c.now.Add(stopRetryInterval + time.Millisecond)
 	is.Equal(stopsOf(c.engine.Decide(c.now), key), 0)
 }
 
@@ -61,7 +61,7 @@
 		c.engine.Decide(c.now)
 		key := jobs.TaskKey{Job: submission.ID}
 		c.now = c.now.Add(time.Second)
-		c.engine.Report(c.ids[0], c.now, []RunningTask{{Task: key, Run: 1}}, nil, time.Time{}, c.now)
+		c.engine.Report(c.workerIDs[0], c.now, []RunningTask{{Task: key, Run: 1}}, nil, time.Time{}, c.now)
 		is.Equal(stopsOf(c.engine.Decide(c.now), key), 1)
 	}
 }
--- /dev/null
+++ b/placing/capacity.go
@@ -0,0 +1,39 @@
+package placing
+
+import (
+	"fmt"
+	"time"
+)
+
+// maxListAge is how long the list of workers is relied on for the capacity of workers that do
+// not check it themselves. The operators allow a heartbeat and three seconds at least, 4.5 s,
+// until a worker that has shrunk gets nothing beyond its capacity.
+const maxListAge = 3 * time.Second
+
+// ListSeen records as of when the list of workers is known.
+func (e *Engine) ListSeen(at time.Time) { e.listReadAt = at }
+
+// noteResize logs that a worker offers more or less than before.
+func (e *Engine) noteResize(n *node, entry WorkerEntry) {
+	if n.entry.Capacity == entry.Capacity {
+		return
+	}
+	n.shares.valid = false
+	if n.entry.Pool == "" {
+		return // its first entry
+	}
+	e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_resized", Worker: entry.ID,
+		Detail: fmt.Sprintf("from %+v to %+v used %+v", n.entry.Capacity, entry.Capacity, n.used)})
+}
+
+// capacityTrusted reports whether the capacity of a node can be relied on: a worker that does
+// not check it may have shrunk since the list was read.
+func (e *Engine) capacityTrusted(n *node, now time.Time) bool {
+	return !e.uncheckedPools[n.entry.Pool] || now.Sub(e.listReadAt) <= maxListAge
+}
+
+// stillFits reports whether the work placed on a node fits its present capacity. The worker may
+// have shrunk since, and one that does not check its capacity starts the work all the same.
+func (e *Engine) stillFits(n *node, now time.Time) bool {
+	return n.entry.Capacity.Fits(n.used) && e.capacityTrusted(n, now)
+}
--- a/placing/held_room_test.go
+++ b/placing/capacity_search_test.go
@@ -9,7 +9,8 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// Room is looked for by stopping others: a step kept apart by PerWorker gains nothing by that.
+// The search for capacity to preempt must end for a step that is limited by PerWorker and
+// gains nothing from a preemption.
 func TestSearchOfRoomEndsForStepsWithMoreTasksThanWorkers(t *testing.T) {
 	for name, gang := range map[string]bool{"tasks": false, "gang": true} {
 		t.Run(name, func(t *testing.T) {
@@ -31,22 +32,23 @@
 	}
 }
 
-// A lasting step of an urgent queue is kept apart too, and one of its workers goes away.
-func TestSearchOfRoomEndsForLastingStepThatHasLostAWorker(t *testing.T) {
+// The same for a long-running step of an urgent queue that is limited by PerWorker and loses a
+// worker.
+func TestSearchOfCapacityEndsForLongRunningStepThatLostWorker(t *testing.T) {
 	is := is.New(t)
-	s := newHeldSite(t, 1, 3)
+	s := newDelaySim(t, 1, 3)
 	lasting := testStep(3, 1)
 	lasting.Lasting, lasting.PerWorker = true, 1
 	job := s.submit(testJob(hexID(1), 0, lasting))
-	s.play(3 * time.Second)
-	is.Equal(s.runs(job, 0), 3)
+	s.run(3 * time.Second)
+	is.Equal(s.countRunning(job, 0), 3)
 	decided := make(chan struct{})
 	go func() {
-		lost := s.lives[0]
+		lost := s.workers[0]
 		lost.up = false
-		lost.running = map[jobs.TaskKey]crashRun{}
+		lost.running = map[jobs.TaskKey]simRun{}
 		s.engine.Unreachable(lost.entry.ID, s.now, s.now)
-		s.play(time.Second)
+		s.run(time.Second)
 		close(decided)
 	}()
 	select {
--- a/placing/care.go
+++ b/placing/care.go
@@ -7,111 +7,111 @@
 
 const (
 	// A run stands still if reports show no progress for stallAfter, or for
-	// stallParts times as long as one of its hundred parts has taken so far: slow
+	// stallPercentFactor times as long as one of its hundred parts has taken so far: slow
 	// workers are four to eight times slower for some seconds.
-	stallAfter = 1500 * time.Millisecond
-	stallParts = 12
-	// A run that was never seen to make progress stands still after startStall, or
-	// startShare of its expected run time. That leaves room for estimates that are
+	stallAfter         = 1500 * time.Millisecond
+	stallPercentFactor = 12
+	// A run that was never seen to make progress stands still after minStartStall, or
+	// startStallShare of its expected run time. That leaves room for estimates that are
 	// off by a factor of three on workers that are eight times slower: those show
 	// a hundredth after that.
-	startStall = time.Second
-	startShare = 0.25
-	// overdueFactor times the expected run time is when a run that reports all of
+	minStartStall   = time.Second
+	startStallShare = 0.25
+	// overdueRuntimeFactor times the expected run time is when a run that reports all of
 	// its work as done is given up: reports count work at the speed of a sound
 	// worker, and slow ones are four to eight times slower for some seconds.
-	overdueFactor = 8
-	// patienceDoublings bound how often the patience with a task doubles.
-	patienceDoublings = 10
-	// endTogether is how far apart the ends of a gang's members may be listed.
-	endTogether = time.Second
-	// leaveSlack is how long before a worker's leaving its tasks are stopped so
+	overdueRuntimeFactor = 8
+	// maxStallDoublings bound how often the patience with a task doubles.
+	maxStallDoublings = 10
+	// gangEndWindow is how far apart the ends of a gang's members may be listed.
+	gangEndWindow = time.Second
+	// leaveMargin is how long before a worker's leaving its tasks are stopped so
 	// that their saved states arrive.
-	leaveSlack = 500 * time.Millisecond
+	leaveMargin = 500 * time.Millisecond
 )
 
-// care moves what runs on leaving workers and what stands still.
-func (e *Engine) care(now time.Time) {
-	for _, known := range e.nodeOrder {
-		for _, run := range append([]*run(nil), known.runs...) {
+// stopLeavingAndStalled moves what runs on leaving workers and what stands still.
+func (e *Engine) stopLeavingAndStalled(now time.Time) {
+	for _, n := range e.nodeOrder {
+		for _, run := range append([]*run(nil), n.runs...) {
 			if run.phase != phaseRunning || run.task.run != run {
 				continue
 			}
-			if e.outlives(run, now) {
+			if e.outlivesJob(run, now) {
 				e.stopRun(run, "job ended", now)
 				continue
 			}
-			if known.entry.Leaving && e.mustLeave(run, now) {
-				e.stopUnit(run, "worker leaving", now)
+			if n.entry.Leaving && e.mustStopBeforeLeave(run, now) {
+				e.stopRunOrGang(run, "worker leaving", now)
 				continue
 			}
-			if !known.answering || !e.stalled(run, now) {
+			if !n.answering || !e.stalled(run, now) {
 				continue
 			}
-			e.avoidStalled(run, now)
-			if e.outwaited(run, now) {
+			e.avoidStalledWorkers(run, now)
+			if e.stopIsCheaper(run, now) {
 				e.stopStalled(run, now)
 			}
 		}
 	}
 }
 
-// outlives reports whether a run goes on although its job has ended: a gang's
+// outlivesJob reports whether a run goes on although its job has ended: a gang's
 // members end together, so the others need no order unless they are late.
-func (e *Engine) outlives(run *run, now time.Time) bool {
+func (e *Engine) outlivesJob(run *run, now time.Time) bool {
 	job := run.task.step.job
-	return job.state.Final() && now.Sub(job.endedAt) > endTogether
+	return job.state.Final() && now.Sub(job.endedAt) > gangEndWindow
 }
 
-// stopUnit stops a run and, if it is a gang's, all members.
-func (e *Engine) stopUnit(run *run, why string, now time.Time) {
+// stopRunOrGang stops a run and, if it is a gang's, all members.
+func (e *Engine) stopRunOrGang(run *run, reason string, now time.Time) {
 	if run.task.step.spec.Gang {
-		e.dissolve(run.task.step, why, now)
+		e.stopGang(run.task.step, reason, now)
 		return
 	}
-	e.stopRun(run, why, now)
+	e.stopRun(run, reason, now)
 }
 
 // stopStalled stops a run that stands still, and what stands still with it.
 func (e *Engine) stopStalled(run *run, now time.Time) {
 	idle := now.Sub(run.percentAt).Milliseconds()
-	counted := run.task.standsFor()
-	why := "no progress for_ms " + strconv.FormatInt(idle, 10) + " percent " + strconv.Itoa(run.percent) + " before " + strconv.Itoa(counted.stalls)
-	counted.stalls++
-	e.stopUnit(run, why, now)
+	counter := run.task.stallCounter()
+	reason := "no progress for_ms " + strconv.FormatInt(idle, 10) + " percent " + strconv.Itoa(run.percent) + " before " + strconv.Itoa(counter.stalls)
+	counter.stalls++
+	e.stopRunOrGang(run, reason, now)
 }
 
-// mustLeave reports whether a run on a leaving worker is to be stopped now: at
+// mustStopBeforeLeave reports whether a run on a leaving worker is to be stopped now: at
 // once if it cannot be finished and saves nothing, else just in time.
-func (e *Engine) mustLeave(run *run, now time.Time) bool {
+func (e *Engine) mustStopBeforeLeave(run *run, now time.Time) bool {
 	left := run.node.leaveAt.Sub(now)
 	if run.task.step.spec.Lasting {
-		return run.task.step.mayMiss(run) || left < e.limits.StopWithin+leaveSlack
+		return run.task.step.disruptionAllowed(run) || left < e.limits.StopWithin+leaveMargin
 	}
-	if e.remaining(run, now) <= left {
+	if e.remainingTime(run, now) <= left {
 		return false
 	}
 	if run.task.step.spec.Checkpoints {
-		return left < e.limits.StopWithin+leaveSlack
+		return left < e.limits.StopWithin+leaveMargin
 	}
 	return true
 }
 
-// mayMiss reports whether one more task of a lasting step may be away, if run's
+// disruptionAllowed reports whether one more task of a lasting step may be away, if run's
 // is one.
-func (s *step) mayMiss(run *run) bool {
-	away := 0
+func (s *step) disruptionAllowed(run *run) bool {
+	unavailable := 0
 	for _, other := range s.tasks {
 		if other.run != run && (other.run == nil || other.run.percent < 100) {
-			away++
+			unavailable++
 		}
 	}
-	return away < max(1, s.spec.MayMiss)
+	return unavailable < max(1, s.spec.MayMiss)
 }
 
-// remaining is how long a run still takes, by its own progress so far.
-func (e *Engine) remaining(run *run, now time.Time) time.Duration {
-	expected := e.runtime(run.task.step.job, run.task.key.Step)
+// remainingTime is how long a run still takes, by its own progress so far.
+func (e *Engine) remainingTime(run *run, now time.Time) time.Duration {
+	expected := e.expectedRuntime(run.task.step.job, run.task.key.Step)
 	worked := now.Sub(run.startedAt)
 	if run.percent <= 0 {
 		return max(0, expected-worked)
@@ -125,67 +125,67 @@
 	if run.task.step.spec.Lasting || run.task.step.spec.Fills || !run.seen {
 		return false
 	}
-	expected := e.runtime(run.task.step.job, run.task.key.Step)
+	expected := e.expectedRuntime(run.task.step.job, run.task.key.Step)
 	if run.percent >= 100 {
-		return now.Sub(run.percentAt) > run.task.patience(max(stallAfter, overdueFactor*expected))
+		return now.Sub(run.percentAt) > run.task.stallTimeout(max(stallAfter, overdueRuntimeFactor*expected))
 	}
-	begin, whole := run.task.step.workingSince(run)
-	if !whole {
+	begin, complete := run.task.step.workingSince(run)
+	if !complete {
 		return false
 	}
 	if run.baseAt.After(begin) {
 		begin = run.baseAt
 	}
 	if run.percent == run.basePercent {
-		return run.reportedAt.Sub(begin) > run.task.patience(max(startStall, time.Duration(startShare*float64(expected))))
+		return run.reportedAt.Sub(begin) > run.task.stallTimeout(max(minStartStall, time.Duration(startStallShare*float64(expected))))
 	}
 	part := run.percentAt.Sub(begin) / time.Duration(run.percent-run.basePercent)
-	return run.reportedAt.Sub(run.percentAt) > run.task.patience(max(stallAfter, stallParts*part))
+	return run.reportedAt.Sub(run.percentAt) > run.task.stallTimeout(max(stallAfter, stallPercentFactor*part))
 }
 
-// patience is how long a task's run may stand still, where the first may for some time. A
+// stallTimeout is how long a task's run may stand still, where the first may for some time. A
 // program may tell its progress in jumps or not at all: without more patience each time it
 // would be stopped for ever.
-func (t *task) patience(first time.Duration) time.Duration {
-	return first << min(t.standsFor().stalls, patienceDoublings)
+func (t *task) stallTimeout(base time.Duration) time.Duration {
+	return base << min(t.stallCounter().stalls, maxStallDoublings)
 }
 
-// standsFor is the task whose stalls count: a gang stands still as one.
-func (t *task) standsFor() *task {
+// stallCounter is the task whose stalls count: a gang stands still as one.
+func (t *task) stallCounter() *task {
 	if t.step.spec.Gang {
 		return t.step.tasks[0]
 	}
 	return t
 }
 
-// outwaited reports whether a run has stood still for as long as it had worked:
+// stopIsCheaper reports whether a run has stood still for as long as it had worked:
 // until then, waiting for it costs less than what its stop would throw away. Most
 // workers that stand still go on after five to seven seconds.
-func (e *Engine) outwaited(run *run, now time.Time) bool {
-	worked := run.task.patience(run.percentAt.Sub(run.startedAt))
+func (e *Engine) stopIsCheaper(run *run, now time.Time) bool {
+	worked := run.task.stallTimeout(run.percentAt.Sub(run.startedAt))
 	if run.task.step.spec.Checkpoints {
 		worked = min(worked, checkpointLoss)
 	}
 	return now.Sub(run.percentAt) > worked
 }
 
-// avoidStalled keeps new work off the workers on which a run may stand still. The
+// avoidStalledWorkers keeps new work off the workers on which a run may stand still. The
 // members of a gang stand still together, wherever the cause is: workers on which
 // other work goes on are not to blame.
-func (e *Engine) avoidStalled(run *run, now time.Time) {
+func (e *Engine) avoidStalledWorkers(run *run, now time.Time) {
 	for _, member := range run.task.step.tasks {
 		if member.run == nil || member.run != run && !run.task.step.spec.Gang {
 			continue
 		}
-		if node := member.run.node; !node.proved(run.task.step) {
-			node.health.stalled(now)
+		if node := member.run.node; !node.otherWorkProgressed(run.task.step) {
+			node.health.markStalled(now)
 		}
 	}
 }
 
-// proved reports whether the newest report of a node showed progress of work
+// otherWorkProgressed reports whether the newest report of a node showed progress of work
 // other than a step's.
-func (n *node) proved(step *step) bool {
+func (n *node) otherWorkProgressed(step *step) bool {
 	for _, run := range n.runs {
 		if run.task.step != step && run.seen && run.percent > run.basePercent && run.percentAt.Equal(run.reportedAt) {
 			return true
@@ -196,7 +196,7 @@
 
 // workingSince is when a run began to work: the members of a gang wait for each
 // other. whole is false while members are missing.
-func (s *step) workingSince(run *run) (begin time.Time, whole bool) {
+func (s *step) workingSince(run *run) (begin time.Time, complete bool) {
 	if !s.spec.Gang {
 		return run.startedAt, true
 	}
--- a/placing/care_test.go
+++ b/placing/care_test.go
@@ -9,7 +9,7 @@
 
 // reportPercent has a worker say how far its runs are.
 func (c *cluster) reportPercent(percent int) {
-	for _, id := range c.ids {
+	for _, id := range c.workerIDs {
 		var rows []RunningTask
 		for _, run := range c.engine.nodes[id].runs {
 			rows = append(rows, RunningTask{Task: run.task.key, Run: run.number, Percent: percent})
@@ -30,7 +30,7 @@
 		cluster := newCluster(1)
 		cluster.submit(testJob(hexID(1), 1, testStep(1, 1)))
 		cluster.steps(2)
-		is.True(cluster.begun(hexID(1)))
+		is.True(cluster.allRunning(hexID(1)))
 		cluster.reportPercent(c.percent)
 		stops := 0
 		for range 8 {
--- a/placing/held_behind_test.go
+++ b/placing/delay_similar_step_test.go
@@ -16,57 +16,59 @@
 	return job
 }
 
-// A step in front that no worker may run is of the same kind as one behind it that all may.
-func TestStepThatMayRunNowhereDoesNotHideAnAlikeOneBehind(t *testing.T) {
+// The first step may run on no worker. The one behind it has the same shape and may run on
+// all.
+func TestUnschedulableStepDoesNotBlockSimilarStep(t *testing.T) {
 	for name, gang := range map[string]bool{"tasks": false, "gang": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := newHeldSite(t, 2, 6)
+			s := newDelaySim(t, 2, 6)
 			step := testStep(2, 4)
-			step.Gang, step.EstimateMS = gang, heldWork.Milliseconds()
+			step.Gang, step.EstimateMS = gang, defaultRunTime.Milliseconds()
 			barred := advisedJob(1, 1, step)
 			s.allowed = func(job, _ string) bool { return job != barred.ID }
 			s.submit(barred)
-			s.play(time.Second)
+			s.run(time.Second)
 			behind := s.submit(advisedJob(2, 1, step))
-			is.True(s.wait(behind, 0) <= heldBound)
+			is.True(s.waitForStart(behind, 0) <= maxIdleDelay)
 		})
 	}
 }
 
-// A step in front still waits for tickets while an alike one behind it has them.
-func TestStepWithoutTicketsDoesNotHideAnAlikeOneWithThem(t *testing.T) {
+// The first step still waits for tickets. The one behind it has the same shape and has
+// tickets.
+func TestStepWithoutTicketsDoesNotBlockSimilarStepWithTickets(t *testing.T) {
 	is := is.New(t)
-	s := newHeldSite(t, 2, 6)
-	s.valid = 30 * time.Second
+	s := newDelaySim(t, 2, 6)
+	s.ticketLifetime = 30 * time.Second
 	for worker := range 12 {
 		s.occupy(worker, 8)
 	}
-	s.play(time.Second)
+	s.run(time.Second)
 	long, short := testStep(1, 1), testStep(1, 1)
-	long.EstimateMS, short.EstimateMS = 2*heldWork.Milliseconds(), heldWork.Milliseconds()
+	long.EstimateMS, short.EstimateMS = 2*defaultRunTime.Milliseconds(), defaultRunTime.Milliseconds()
 	behind := s.submit(advisedJob(2, 1, long))
-	s.play(time.Second) // all workers are asked about
-	is.Equal(s.runs(behind, 0), 0)
-	s.askTime = 10 * time.Second
+	s.run(time.Second) // advice on all workers is requested
+	is.Equal(s.countRunning(behind, 0), 0)
+	s.adviceLatency = 10 * time.Second
 	s.submit(advisedJob(1, 1, short))
-	s.play(time.Second)
-	for _, life := range s.lives {
-		for _, key := range life.keys() {
-			s.work[key.Job] = time.Second
+	s.run(time.Second)
+	for _, life := range s.workers {
+		for _, key := range life.runningTasks() {
+			s.runTimes[key.Job] = time.Second
 		}
 	}
-	s.play(2 * heldTick)
-	is.True(s.wait(behind, 0) <= heldBound)
+	s.run(2 * delaySimTick)
+	is.True(s.waitForStart(behind, 0) <= maxIdleDelay)
 }
 
-// Work with time to spare leaves idle workers alone; late work of its kind takes them,
-// whether or not it comes after such work.
-func TestWorkThatCanWaitDoesNotHideLateWorkOfItsKind(t *testing.T) {
+// Deferrable work leaves idle workers free; late work of the same shape takes them, whether or
+// not deferrable work is queued too.
+func TestDeferrableWorkDoesNotBlockSimilarLateWork(t *testing.T) {
 	for _, example := range []struct {
 		name  string
 		step  jobs.Step
-		racks int // of four workers, all but one rack in use
+		racks int // racks of four workers each, all but one of them in use
 	}{{"task", testStep(1, 4), 3}, {"gang", wideGang(2, 4), 10}} {
 		for _, alone := range []bool{true, false} {
 			t.Run(example.name+" alone "+strconv.FormatBool(alone), func(t *testing.T) {
@@ -81,9 +83,9 @@
 				if !alone {
 					c.submit(testJob(hexID(2), 1, example.step))
 				}
-				c.engine.demandsOf("pool").urgent.see(40, c.now)
-				units := c.engine.waiting(c.now)
-				is.Equal(units[0].patient, !alone)
+				c.engine.demandsOf("pool").urgent.update(40, c.now)
+				units := c.engine.waitingUnits(c.now)
+				is.Equal(units[0].deferrable, !alone)
 				is.Equal(units[len(units)-1].tier, tierLate)
 				starts := startAll(c.engine, c.now)
 				is.Equal(len(starts), example.step.Tasks)
--- a/placing/engine.go
+++ b/placing/engine.go
@@ -11,75 +11,75 @@
 // Engine is the state of the placing instance. Its methods are called by one
 // goroutine; now never runs backwards.
 type Engine struct {
-	limits      Limits
-	epoch       int64
-	wallMS      func(now time.Time) int64 // time of day at a moment of the steady clock
-	jobs        map[string]*job
-	active      []*job // jobs without a final state, in the order of acceptance
-	nodes       map[string]*node
-	lives       map[string][]*node // nodes by the name of their worker
-	answered    map[string]answer  // newest word of workers, by their names
-	nodeOrder   []*node            // by ID, for decisions that repeat
-	queues      map[string]jobs.Queue
-	guarantees  map[string]int64
-	unguarded   map[string]bool      // pools whose workers start what they are told, room or not
-	listSeen    time.Time            // as of when the list of workers is known
-	overdrawn   map[string]bool      // see drawGuarantees
-	learned     map[string]*estimate // by queue
-	sizes       map[string]*sizes    // by queue
-	unsteady    map[string]time.Time // by address: until when lives there count as unsteady
-	evacuations evacuations
-	differences differences
-	unexplained []time.Time // when workers fell silent lately without a run that had just begun, in order
+	limits              Limits
+	epoch               int64
+	wallMS              func(now time.Time) int64 // time of day at a moment of the steady clock
+	jobs                map[string]*job
+	active              []*job // jobs without a final state, in the order of acceptance
+	nodes               map[string]*node
+	incarnations        map[string][]*node // nodes by the name of their worker
+	newestAnswers       map[string]answer  // newest word of workers, by their names
+	nodeOrder           []*node            // by ID, for decisions that repeat
+	queues              map[string]jobs.Queue
+	guarantees          map[string]int64
+	uncheckedPools      map[string]bool       // pools whose workers start what they are told, room or not
+	listReadAt          time.Time             // as of when the list of workers is known
+	overGuarantee       map[string]bool       // see updateOverGuarantee
+	estimates           map[string]*estimate  // by queue
+	sizes               map[string]*queueWork // by queue
+	recentlyRestarted   map[string]time.Time  // by address: until when lives there count as unsteady
+	evacuations         evacuations
+	differences         speedVariance
+	unexplainedSilences []time.Time // when workers fell silent lately without a run that had just begun, in order
 
 	demands map[string]*demands // by pool
 
-	plan        Plan
-	pending     []*run    // placed, their record not yet sent
-	recording   []*run    // placed, their record on its way
-	changed     []*job    // dirty, in order
-	groupLimit  int       // bytes of records that end a group
-	inFlight    bool      // a batch of records is on its way
-	flightAt    time.Time // since when
-	ackPending  map[*node]int64
-	ackFlight   map[*node]int64
-	passedAt    time.Time
-	summedAt    time.Time // see summarize
-	heldAt      time.Time // see relieve
-	idlePools   map[string]idlePool
-	asking      *step   // for which a question is under way
-	askLongest  bool    // the next question is for the step that was not asked for the longest
-	unadvised   []*unit // of the present pass, see wantsAdvice
-	askAfter    time.Time
-	formerLapse time.Time       // when all leases that former holders granted have lapsed
-	complete    bool            // see Complete
-	scans       int64           // counts decisions, for those that need not be taken each time
-	reach       []time.Duration // scratch of chain
-	slab        []unit          // scratch of waiting, as is units
-	units       []*unit
+	plan                 Plan
+	pendingRuns          []*run    // placed, their record not yet sent
+	recordingRuns        []*run    // placed, their record on its way
+	changedJobs          []*job    // dirty, in order
+	groupLimit           int       // bytes of records that end a group
+	recordsInFlight      bool      // a batch of records is on its way
+	recordsSentAt        time.Time // since when
+	pendingAcks          map[*node]int64
+	acksInFlight         map[*node]int64
+	lastPassAt           time.Time
+	summarizedAt         time.Time // see summarize
+	delaysCheckedAt      time.Time // see relieve
+	idlePools            map[string]idlePool
+	adviceStep           *step   // for which a question is under way
+	oldestAdviceFirst    bool    // the next question is for the step that was not asked for the longest
+	adviceQueue          []*unit // of the present pass, see queueForAdvice
+	nextAdviceAt         time.Time
+	formerLeasesExpireAt time.Time       // when all leases that former holders granted have lapsed
+	jobsComplete         bool            // see Complete
+	decisions            int64           // counts decisions, for those that need not be taken each time
+	pathScratch          []time.Duration // scratch of chain
+	unitScratch          []unit          // scratch of waiting, as is units
+	units                []*unit
 }
 
 // New returns an engine for one term. wallMS gives the time of day, in
 // milliseconds since 1970, at a moment of the clock that the other calls use.
 func New(limits Limits, epoch int64, wallMS func(time.Time) int64) *Engine {
 	return &Engine{
-		limits:     limits,
-		epoch:      epoch,
-		wallMS:     wallMS,
-		groupLimit: groupBytes,
-		jobs:       map[string]*job{},
-		nodes:      map[string]*node{},
-		lives:      map[string][]*node{},
-		answered:   map[string]answer{},
-		queues:     map[string]jobs.Queue{},
-		guarantees: map[string]int64{},
-		learned:    map[string]*estimate{},
-		sizes:      map[string]*sizes{},
-		unsteady:   map[string]time.Time{},
-		demands:    map[string]*demands{},
-		idlePools:  map[string]idlePool{},
-		ackPending: map[*node]int64{},
-		ackFlight:  map[*node]int64{},
+		limits:            limits,
+		epoch:             epoch,
+		wallMS:            wallMS,
+		groupLimit:        maxGroupBytes,
+		jobs:              map[string]*job{},
+		nodes:             map[string]*node{},
+		incarnations:      map[string][]*node{},
+		newestAnswers:     map[string]answer{},
+		queues:            map[string]jobs.Queue{},
+		guarantees:        map[string]int64{},
+		estimates:         map[string]*estimate{},
+		sizes:             map[string]*queueWork{},
+		recentlyRestarted: map[string]time.Time{},
+		demands:           map[string]*demands{},
+		idlePools:         map[string]idlePool{},
+		pendingAcks:       map[*node]int64{},
+		acksInFlight:      map[*node]int64{},
 	}
 }
 
@@ -132,22 +132,22 @@
 
 // Configure takes the operators' queues and guarantees, and the pools whose workers do
 // not guard their room.
-func (e *Engine) Configure(queues []jobs.Queue, guarantees map[string]int64, unguarded map[string]bool) {
+func (e *Engine) Configure(queues []jobs.Queue, guarantees map[string]int64, uncheckedPools map[string]bool) {
 	for _, queue := range queues {
 		e.queues[queue.Name] = queue
 	}
 	e.guarantees = guarantees
-	e.unguarded = unguarded
+	e.uncheckedPools = uncheckedPools
 	for _, job := range e.active {
 		job.queue = e.queueOf(job.submission)
 	}
-	for _, known := range e.nodeOrder {
-		known.shares.known = false // priorities may have changed
+	for _, n := range e.nodeOrder {
+		n.shares.valid = false // priorities may have changed
 	}
 }
 
 func (e *Engine) queueOf(submission *jobs.Submission) jobs.Queue {
-	if queue, known := e.queues[submission.Queue.Name]; known {
+	if queue, ok := e.queues[submission.Queue.Name]; ok {
 		return queue
 	}
 	return submission.Queue
@@ -156,22 +156,22 @@
 // Load takes over the fold at the beginning of the term. Runs on record are
 // looked for at their workers; those at workers that nobody knows any more are waited
 // for until the leases of the former holder have lapsed.
-func (e *Engine) Load(list []*jobs.Job, former Former, now time.Time) {
-	e.formerLapse = now.Add(LeaseLapse(e.limits.Lease) + e.limits.gone(former))
-	for _, known := range list {
-		e.Learn(known, now)
+func (e *Engine) Load(loaded []*jobs.Job, former Former, now time.Time) {
+	e.formerLeasesExpireAt = now.Add(LeaseLapse(e.limits.Lease) + e.limits.formerLeaderTimeout(former))
+	for _, job := range loaded {
+		e.Learn(job, now)
 	}
 }
 
 // Learn takes a job from the log. Of one that is known already, only a
 // cancellation is news, as this engine alone writes its progress.
-func (e *Engine) Learn(known *jobs.Job, now time.Time) {
-	id := known.Submission.ID
+func (e *Engine) Learn(stored *jobs.Job, now time.Time) {
+	id := stored.Submission.ID
 	if e.jobs[id] == nil {
-		job := e.addJob(known.Submission, now)
-		e.restoreKnown(job, known, now)
+		job := e.addJob(stored.Submission, now)
+		e.restoreJob(job, stored, now)
 	}
-	if known.Cancelled {
+	if stored.Cancelled {
 		e.Cancel(id, now)
 	}
 }
@@ -179,19 +179,19 @@
 // Complete says that every job that a former holder of the term may have
 // started was learned. Until then runs and ends of jobs that are not known are
 // left alone at their workers.
-func (e *Engine) Complete() { e.complete = true }
+func (e *Engine) Complete() { e.jobsComplete = true }
 
 func (e *Engine) addJob(submission *jobs.Submission, now time.Time) *job {
 	job := newJob(submission, e.queueOf(submission), now, e.wallMS(now))
 	e.jobs[submission.ID] = job
 	e.active = append(e.active, job)
-	e.measure(job)
-	e.note("job_taken", job, "", e.describe(job))
+	e.recordQueueWork(job)
+	e.logEvent("job_taken", job, "", e.describeJob(job))
 	return job
 }
 
-// describe is what of a job decides when and where it is placed, for the log.
-func (e *Engine) describe(job *job) string {
+// describeJob is what of a job decides when and where it is placed, for the log.
+func (e *Engine) describeJob(job *job) string {
 	text := "queue " + job.queue.Name + " priority " + strconv.Itoa(job.queue.Priority) + " workspace " + job.submission.Workspace
 	for index := range job.submission.Steps {
 		step := &job.submission.Steps[index]
@@ -216,10 +216,10 @@
 	job.reason = reason
 	job.endedAt = now
 	job.endedMS = e.wallMS(now)
-	job.claim = nil
-	e.touch(job)
-	e.note("job_ended", job, "", string(state)+" "+reason+" age_ms "+strconv.FormatInt(now.Sub(job.acceptedAt).Milliseconds(), 10)+
-		" objective_ms "+strconv.FormatInt(e.objective(job, job.runs[0]).Milliseconds(), 10))
+	job.reservation = nil
+	e.markDirty(job)
+	e.logEvent("job_ended", job, "", string(state)+" "+reason+" age_ms "+strconv.FormatInt(now.Sub(job.acceptedAt).Milliseconds(), 10)+
+		" objective_ms "+strconv.FormatInt(e.objective(job, job.occurrences[0]).Milliseconds(), 10))
 	if state == jobs.StateDone {
 		return // what still runs are members of gangs that are ending
 	}
@@ -230,132 +230,132 @@
 	}
 }
 
-func (e *Engine) touch(job *job) {
+func (e *Engine) markDirty(job *job) {
 	if !job.dirty {
 		job.dirty = true
-		e.changed = append(e.changed, job)
+		e.changedJobs = append(e.changedJobs, job)
 	}
 }
 
-func (e *Engine) note(event string, job *job, worker, detail string) {
+func (e *Engine) logEvent(event string, job *job, worker, detail string) {
 	e.plan.Notes = append(e.plan.Notes, Note{Event: event, Job: job.submission.ID, Worker: worker, Detail: detail})
 }
 
 // Decide returns what is to be done at now. Orders and records of the plan are
 // each to be carried out once.
 func (e *Engine) Decide(now time.Time) Plan {
-	e.scans++
-	e.expire(now)
-	e.chaseRuns(now)
-	e.recallStarts(now)
-	e.care(now)
-	e.dropFinished(now)
-	e.place(now)
-	e.flush(now)
+	e.decisions++
+	e.expireLeases(now)
+	e.retryStops(now)
+	e.stopUnansweredStarts(now)
+	e.stopLeavingAndStalled(now)
+	e.removeFinishedJobs(now)
+	e.maybeRunPass(now)
+	e.flushRecords(now)
 	plan := e.plan
 	e.plan = Plan{}
 	return plan
 }
 
-// flush sends one batch of records, if none is on its way.
-func (e *Engine) flush(now time.Time) {
-	if e.inFlight && now.Sub(e.flightAt) >= earlyAfter {
-		e.statesEarly()
+// flushRecords sends one batch of records, if none is on its way.
+func (e *Engine) flushRecords(now time.Time) {
+	if e.recordsInFlight && now.Sub(e.recordsSentAt) >= earlyStateDelay {
+		e.emitEarlyStates()
 	}
-	if e.inFlight || (len(e.changed) == 0 && len(e.ackPending) == 0) {
+	if e.recordsInFlight || (len(e.changedJobs) == 0 && len(e.pendingAcks) == 0) {
 		return
 	}
-	if len(e.changed) == 0 {
-		e.ackFlight, e.ackPending = e.ackPending, map[*node]int64{}
+	if len(e.changedJobs) == 0 {
+		e.acksInFlight, e.pendingAcks = e.pendingAcks, map[*node]int64{}
 		e.releaseAcks()
 		return
 	}
-	e.recordChanged()
-	var later []*run
-	for _, run := range e.pending {
+	e.recordChangedJobs()
+	var remaining []*run
+	for _, run := range e.pendingRuns {
 		if run.task.step.job.dirty {
-			later = append(later, run)
+			remaining = append(remaining, run)
 		} else {
-			e.recording = append(e.recording, run)
+			e.recordingRuns = append(e.recordingRuns, run)
 		}
 	}
-	e.pending = later
-	if len(e.changed) == 0 {
-		e.ackFlight, e.ackPending = e.ackPending, map[*node]int64{}
+	e.pendingRuns = remaining
+	if len(e.changedJobs) == 0 {
+		e.acksInFlight, e.pendingAcks = e.pendingAcks, map[*node]int64{}
 	}
-	e.inFlight = true
-	e.flightAt = now
+	e.recordsInFlight = true
+	e.recordsSentAt = now
 }
 
-// statesEarly writes down which jobs have ended while a group is on its way for
+// emitEarlyStates writes down which jobs have ended while a group is on its way for
 // long: their callers wait.
-func (e *Engine) statesEarly() {
-	for _, job := range e.changed {
-		if job.state.Final() && job.state != job.shown {
+func (e *Engine) emitEarlyStates() {
+	for _, job := range e.changedJobs {
+		if job.state.Final() && job.state != job.recordedState {
 			e.plan.EarlyStates = append(e.plan.EarlyStates, jobs.StateRecord(job.submission.ID, job.state))
-			job.shown = job.state
+			job.recordedState = job.state
 		}
 	}
 }
 
-// recordChanged writes the changed jobs down, as many as one group may hold.
-func (e *Engine) recordChanged() {
+// recordChangedJobs writes the changed jobs down, as many as one group may hold.
+func (e *Engine) recordChangedJobs() {
 	bytes, count := 0, 0
-	for _, job := range e.changed {
+	for _, job := range e.changedJobs {
 		if bytes > e.groupLimit {
 			break
 		}
-		record := job.record()
+		record := job.progressRecord()
 		bytes += len(record.Value)
 		count++
 		job.dirty = false
 		e.plan.Records = append(e.plan.Records, record)
-		if job.state != job.shown {
+		if job.state != job.recordedState {
 			e.plan.States = append(e.plan.States, jobs.StateRecord(job.submission.ID, job.state))
-			job.shown = job.state
+			job.recordedState = job.state
 		}
 	}
-	e.changed = append([]*job(nil), e.changed[count:]...)
+	e.changedJobs = append([]*job(nil), e.changedJobs[count:]...)
 }
 
 // Recorded says that the records of the last plan that had some are durable.
 // The starts and acknowledgements that depend on them come with the next plan.
 func (e *Engine) Recorded(now time.Time) {
-	e.inFlight = false
-	for _, run := range e.recording {
-		e.order(run, now)
+	e.recordsInFlight = false
+	for _, run := range e.recordingRuns {
+		e.dispatch(run, now)
 	}
-	e.recording = nil
+	e.recordingRuns = nil
 	e.releaseAcks()
 }
 
 func (e *Engine) releaseAcks() {
-	for node, number := range e.ackFlight {
+	for node, number := range e.acksInFlight {
 		if e.plan.Acks == nil {
 			e.plan.Acks = map[string]int64{}
 		}
 		e.plan.Acks[node.entry.ID] = number
 	}
-	e.ackFlight = map[*node]int64{}
+	e.acksInFlight = map[*node]int64{}
 }
 
-// dropFinished takes jobs with a final state out of the active ones, and drops
+// removeFinishedJobs takes jobs with a final state out of the active ones, and drops
 // those whose time of being known is over.
-func (e *Engine) dropFinished(now time.Time) {
-	kept := e.active[:0]
+func (e *Engine) removeFinishedJobs(now time.Time) {
+	unfinished := e.active[:0]
 	for _, job := range e.active {
 		if !job.state.Final() {
-			kept = append(kept, job)
+			unfinished = append(unfinished, job)
 		}
 	}
-	clear(e.active[len(kept):])
-	e.active = kept
-	if e.scans%forgetEvery != 0 {
+	clear(e.active[len(unfinished):])
+	e.active = unfinished
+	if e.decisions%decisionsPerExpiry != 0 {
 		return
 	}
 	for _, id := range e.sortedJobs() {
 		job := e.jobs[id]
-		if job.state.Final() && now.Sub(job.endedAt) > e.limits.KeepEnded+forgetSlack && !job.dirty && !e.inFlight {
+		if job.state.Final() && now.Sub(job.endedAt) > e.limits.KeepEnded+retentionMargin && !job.dirty && !e.recordsInFlight {
 			e.plan.Expired = append(e.plan.Expired, id)
 			delete(e.jobs, id)
 		}
@@ -372,15 +372,15 @@
 }
 
 const (
-	// groupBytes ends a group of records; with its last record it stays within what the
+	// maxGroupBytes ends a group of records; with its last record it stays within what the
 	// store takes in one append.
-	groupBytes = 1 << 20
-	// earlyAfter is how long a group may be on its way before final states go ahead
+	maxGroupBytes = 1 << 20
+	// earlyStateDelay is how long a group may be on its way before final states go ahead
 	// of the next: longer than an append takes while the store is slow, as a state ahead
 	// would hold up the next group.
-	earlyAfter = 600 * time.Millisecond
-	// forgetEvery is how many decisions lie between two looks for jobs to forget.
-	forgetEvery = 256
-	// forgetSlack is kept beyond the stated time, as clocks differ by seconds.
-	forgetSlack = 30 * time.Second
+	earlyStateDelay = 600 * time.Millisecond
+	// decisionsPerExpiry is how many decisions lie between two looks for jobs to forget.
+	decisionsPerExpiry = 256
+	// retentionMargin is kept beyond the stated time, as clocks differ by seconds.
+	retentionMargin = 30 * time.Second
 )
--- a/placing/engine_test.go
+++ b/placing/engine_test.go
@@ -187,12 +187,12 @@
 	is.Equal(len(e.Decide(now).Records), 1) // on its way from now on
 	key := jobs.TaskKey{Job: first.ID}
 	e.Report("w1", now, nil, []EndedTask{{Number: 1, Task: key, Run: 1, How: EndDone}}, time.Time{}, now)
-	is.Equal(len(e.Decide(now.Add(earlyAfter/2)).EarlyStates), 0)
-	early := e.Decide(now.Add(earlyAfter)).EarlyStates
+	is.Equal(len(e.Decide(now.Add(earlyStateDelay/2)).EarlyStates), 0)
+	early := e.Decide(now.Add(earlyStateDelay)).EarlyStates
 	is.Equal(early, []jobs.Record{jobs.StateRecord(first.ID, jobs.StateDone)})
-	is.Equal(len(e.Decide(now.Add(2*earlyAfter)).EarlyStates), 0)
-	e.Recorded(now.Add(2 * earlyAfter))
-	plan := e.Decide(now.Add(2*earlyAfter + time.Second))
+	is.Equal(len(e.Decide(now.Add(2*earlyStateDelay)).EarlyStates), 0)
+	e.Recorded(now.Add(2 * earlyStateDelay))
+	plan := e.Decide(now.Add(2*earlyStateDelay + time.Second))
 	is.Equal(len(plan.Records), 1)
 	is.Equal(len(plan.States), 0)
 }
--- a/placing/estimate.go
+++ b/placing/estimate.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// learnShare is the weight of a new observation; ten runs settle it.
-	learnShare = 0.2
-	// unknownRuntime stands for a task without an estimate.
-	unknownRuntime = 5 * time.Second
-	// estimateFloor and estimateCeiling bound the learned factor: callers'
+	// estimateWeight is the weight of a new observation; ten runs settle it.
+	estimateWeight = 0.2
+	// defaultRuntime stands for a task without an estimate.
+	defaultRuntime = 5 * time.Second
+	// minEstimateFactor and maxEstimateFactor bound the learned factor: callers'
 	// estimates are off by half, seldom by more.
-	estimateFloor   = 0.3
-	estimateCeiling = 3.0
+	minEstimateFactor = 0.3
+	maxEstimateFactor = 3.0
 )
 
 // estimate is the learned ratio of true to estimated run times of a queue.
@@ -18,50 +18,50 @@
 	factor float64
 }
 
-func (e *Engine) learn(run *run, now time.Time) {
+func (e *Engine) updateEstimate(run *run, now time.Time) {
 	estimated := time.Duration(run.task.step.spec.EstimateMS) * time.Millisecond
 	if estimated <= 0 || run.startedAt.IsZero() || run.task.lastRun != 1 {
 		return
 	}
 	name := run.task.step.job.queue.Name
-	known := e.learned[name]
-	if known == nil {
-		known = &estimate{factor: 1}
-		e.learned[name] = known
+	est := e.estimates[name]
+	if est == nil {
+		est = &estimate{factor: 1}
+		e.estimates[name] = est
 	}
-	seen := float64(now.Sub(run.startedAt)) / float64(estimated)
-	seen = min(estimateCeiling, max(estimateFloor, seen))
-	known.factor += learnShare * (seen - known.factor)
+	observed := float64(now.Sub(run.startedAt)) / float64(estimated)
+	observed = min(maxEstimateFactor, max(minEstimateFactor, observed))
+	est.factor += estimateWeight * (observed - est.factor)
 }
 
-// runtime is the expected duration of one task of a step on a sound worker.
-func (e *Engine) runtime(job *job, spec int) time.Duration {
+// expectedRuntime is the expected duration of one task of a step on a sound worker.
+func (e *Engine) expectedRuntime(job *job, spec int) time.Duration {
 	estimated := time.Duration(job.submission.Steps[spec].EstimateMS) * time.Millisecond
 	if estimated <= 0 {
-		return unknownRuntime
+		return defaultRuntime
 	}
-	if known := e.learned[job.queue.Name]; known != nil {
-		return time.Duration(float64(estimated) * known.factor)
+	if est := e.estimates[job.queue.Name]; est != nil {
+		return time.Duration(float64(estimated) * est.factor)
 	}
 	return estimated
 }
 
-// chain is the longest chain of expected work from the given steps on: those
+// criticalPath is the longest chain of expected work from the given steps on: those
 // that are not yet done, if left is true, or all.
-func (e *Engine) chain(job *job, occurrence *occurrence, left bool) time.Duration {
+func (e *Engine) criticalPath(job *job, occurrence *occurrence, unfinishedOnly bool) time.Duration {
 	longest := time.Duration(0)
-	reach := e.reach[:0]
+	finish := e.pathScratch[:0]
 	for index := range job.submission.Steps {
 		begin := time.Duration(0)
 		for _, earlier := range job.submission.Steps[index].After {
-			begin = max(begin, reach[earlier])
+			begin = max(begin, finish[earlier])
 		}
-		reach = append(reach, begin)
-		if !left || occurrence.steps[index].left > 0 {
-			reach[index] += e.runtime(job, index)
+		finish = append(finish, begin)
+		if !unfinishedOnly || occurrence.steps[index].left > 0 {
+			finish[index] += e.expectedRuntime(job, index)
 		}
-		longest = max(longest, reach[index])
+		longest = max(longest, finish[index])
 	}
-	e.reach = reach
+	e.pathScratch = finish
 	return longest
 }
--- a/placing/evacuation_test.go
+++ b/placing/evacuation_test.go
@@ -167,8 +167,8 @@
 		e.StartAnswered(start.Worker, start.Task, start.Run, StartAccepted, testStart)
 	}
 	e.Evacuate([]string{"z1", "z2"}, testStart)
-	is.Equal(len(e.Decide(testStart.Add(orderGrace/2)).Stops), 0)
-	is.Equal(len(e.Decide(testStart.Add(orderGrace)).Stops), 4)
+	is.Equal(len(e.Decide(testStart.Add(unansweredStartTimeout/2)).Stops), 0)
+	is.Equal(len(e.Decide(testStart.Add(unansweredStartTimeout)).Stops), 4)
 }
 
 // A start that was kept back on its way is placed elsewhere, with nothing held against
@@ -183,7 +183,7 @@
 	e.StartAnswered(start.Worker, start.Task, start.Run, StartEvacuated, testStart) // a keeper knew before the holder
 	e.Evacuate([]string{"z1"}, testStart)
 	is.Equal(startedAt(decideUntil(e, testStart.Add(50*time.Millisecond), 200*time.Millisecond)), map[string]int{"b": 1})
-	is.Equal(e.jobs[start.Task.Job].runs[0].steps[0].tasks[0].pausing.fruitless, 0)
+	is.Equal(e.jobs[start.Task.Job].occurrences[0].steps[0].tasks[0].pausing.failures, 0)
 }
 
 // busyAll fills all workers with cheap work, one task each.
@@ -224,7 +224,7 @@
 	held := stops[0].Worker[:1]
 	zone := map[string]string{"a": "z1", "b": "z2"}[held]
 	e.Evacuate([]string{zone}, now)
-	is.True(e.jobs["0000000000000002"].claim == nil)
+	is.True(e.jobs["0000000000000002"].reservation == nil)
 	now = now.Add(200 * time.Millisecond)
 	again := e.Decide(now).Stops
 	is.Equal(len(again), 2)
--- a/placing/fit.go
+++ b/placing/fit.go
@@ -7,17 +7,17 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// kind is what of a step decides whether it can be seated, but for the number
+// fitKey is what of a step decides whether it can be seated, but for the number
 // of its tasks.
-type kind struct {
+type fitKey struct {
 	pool, label, dataRack string
 	need                  jobs.Resources
 	gang, oneRack, strict bool
-	yields                bool // to the work that room is kept clear for
+	yieldsHeadroom        bool // to the work that room is kept clear for
 }
 
-// seat is a place for one task.
-type seat struct {
+// placement is a place for one task.
+type placement struct {
 	task *task
 	node *node
 }
@@ -31,64 +31,64 @@
 	return need
 }
 
-// serves reports whether a node may run the unit's tasks.
-func (n *node) serves(unit *unit) bool {
-	avoided := !unit.anywhere && unit.avoid != "" && unit.avoid == n.entry.ID
-	return !avoided && unit.mayUse(n) && unit.advised(n)
+// accepts reports whether a node may run the unit's tasks.
+func (n *node) accepts(unit *unit) bool {
+	avoided := !unit.ignorePreferences && unit.avoid != "" && unit.avoid == n.entry.ID
+	return !avoided && unit.eligible(n) && unit.hasValidTicket(n)
 }
 
-// mayUse reports whether a node is of the pool and kind that the unit's tasks ask for, and
+// eligible reports whether a node is of the pool and kind that the unit's tasks ask for, and
 // not ruled out by the policy of their queue.
-func (u *unit) mayUse(n *node) bool {
-	return !u.barredFrom(n) && n.entry.Pool == u.job.queue.Pool && n.entry.HasLabel(u.step.spec.RequiredLabel)
+func (u *unit) eligible(n *node) bool {
+	return !u.forbiddenOn(n) && n.entry.Pool == u.job.queue.Pool && n.entry.HasLabel(u.step.spec.RequiredLabel)
 }
 
-// seats is how many tasks of a step fit on a node, up to most.
-func (v *view) seats(node *node, step *step, need jobs.Resources, most int) int {
+// capacityFor is how many tasks of a step fit on a node, up to most.
+func (v *view) capacityFor(node *node, step *step, need jobs.Resources, limit int) int {
 	free := v.free[node.at]
 	if !free.Fits(need) {
 		return 0 // as on most nodes when they are full; three divisions saved
 	}
-	count := quotient(free.Accelerators, need.Accelerators, most)
+	count := quotient(free.Accelerators, need.Accelerators, limit)
 	count = quotient(free.MilliCores, need.MilliCores, count)
 	count = quotient(free.MemoryMB, need.MemoryMB, count)
 	if step.spec.PerWorker > 0 && count > 0 {
-		count = min(count, step.spec.PerWorker-node.countOf(step))
+		count = min(count, step.spec.PerWorker-node.countTasksOf(step))
 	}
 	return max(0, count)
 }
 
-// vacant returns those of some seats that are free now and whose tasks still
+// stillAvailable returns those of some seats that are free now and whose tasks still
 // wait; of a gang all or none.
-func (v *view) vacant(unit *unit, seats []seat) []seat {
+func (v *view) stillAvailable(unit *unit, placements []placement) []placement {
 	need := unit.step.need()
-	var ready []seat
-	for _, seat := range seats {
-		waits := !seat.task.done && seat.task.run == nil
-		if waits && v.counts(seat.node) && v.free[seat.node.at].Fits(need) {
-			v.take(seat.node, need)
-			ready = append(ready, seat)
+	var available []placement
+	for _, p := range placements {
+		waits := !p.task.done && p.task.run == nil
+		if waits && v.contains(p.node) && v.free[p.node.at].Fits(need) {
+			v.allocate(p.node, need)
+			available = append(available, p)
 		}
 	}
-	for _, seat := range ready {
-		v.give(seat.node, need)
+	for _, p := range available {
+		v.release(p.node, need)
 	}
-	if unit.step.spec.Gang && len(ready) < len(unit.tasks) {
+	if unit.step.spec.Gang && len(available) < len(unit.tasks) {
 		return nil
 	}
-	return ready
+	return available
 }
 
 // quotient is how often need goes into free, at most most times.
-func quotient(free, need int64, most int) int {
+func quotient(free, need int64, limit int) int {
 	if need <= 0 {
-		return most
+		return limit
 	}
-	return min(most, int(max(0, free)/need))
+	return min(limit, int(max(0, free)/need))
 }
 
-// countOf is how many tasks of a step may be running on the node.
-func (n *node) countOf(step *step) int {
+// countTasksOf is how many tasks of a step may be running on the node.
+func (n *node) countTasksOf(step *step) int {
 	count := 0
 	for _, run := range n.runs {
 		if run.task.step == step {
@@ -98,17 +98,17 @@
 	return count
 }
 
-func (v *view) kind(u *unit, strict bool) kind {
+func (v *view) fitKeyOf(u *unit, strict bool) fitKey {
 	spec := u.step.spec
-	return kind{
-		pool:     u.job.queue.Pool,
-		label:    spec.RequiredLabel,
-		dataRack: spec.DataRack,
-		need:     u.step.need(),
-		gang:     spec.Gang,
-		oneRack:  spec.OneRack,
-		strict:   strict,
-		yields:   v.yields(u),
+	return fitKey{
+		pool:           u.job.queue.Pool,
+		label:          spec.RequiredLabel,
+		dataRack:       spec.DataRack,
+		need:           u.step.need(),
+		gang:           spec.Gang,
+		oneRack:        spec.OneRack,
+		strict:         strict,
+		yieldsHeadroom: v.yieldsHeadroom(u),
 	}
 }
 
@@ -116,178 +116,178 @@
 // none; strict asks for the rack that suits the step best. What failed in this
 // pass for as many tasks or fewer of the same kind is not tried again, unless workers are
 // ruled out for the one step alone.
-func (v *view) fit(unit *unit, strict bool) []seat {
+func (v *view) fit(unit *unit, strict bool) []placement {
 	plain := unit.avoid == "" && unit.step.spec.PerWorker == 0 && !unit.isolated && !unit.job.queue.Advised
-	key := v.kind(unit, strict)
+	key := v.fitKeyOf(unit, strict)
 	tasks := 1
 	if unit.step.spec.Gang {
 		tasks = len(unit.tasks)
 	}
-	if least, known := v.failed[key]; known && plain && tasks >= least {
+	if failedTasks, failed := v.failed[key]; failed && plain && tasks >= failedTasks {
 		return nil
 	}
-	seats := v.search(unit, strict)
-	if seats == nil && plain {
+	placements := v.findPlacements(unit, strict)
+	if placements == nil && plain {
 		v.failed[key] = tasks
 	}
-	return seats
+	return placements
 }
 
-func (v *view) search(unit *unit, strict bool) []seat {
+func (v *view) findPlacements(unit *unit, strict bool) []placement {
 	spec := unit.step.spec
 	switch {
 	case spec.Gang && spec.OneRack:
 		return v.searchRacks(unit, strict)
 	case spec.DataRack != "":
-		return v.searchNear(unit, strict)
+		return v.searchDataRack(unit, strict)
 	}
-	return v.fill(unit, v.nodes)
+	return v.pack(unit, v.nodes)
 }
 
-// searchNear prefers the rack where the data lies, and allows no other if
+// searchDataRack prefers the rack where the data lies, and allows no other if
 // strict.
-func (v *view) searchNear(unit *unit, strict bool) []seat {
+func (v *view) searchDataRack(unit *unit, strict bool) []placement {
 	var near []*node
 	for _, rack := range v.racks {
 		if rack[0].entry.Rack == unit.step.spec.DataRack {
 			near = rack
 		}
 	}
-	seats := v.fill(unit, near)
-	if strict && len(near) > 0 || len(seats) == len(unit.tasks) {
-		return seats
+	placements := v.pack(unit, near)
+	if strict && len(near) > 0 || len(placements) == len(unit.tasks) {
+		return placements
 	}
 	if unit.step.spec.Gang {
-		return v.fill(unit, v.nodes)
+		return v.pack(unit, v.nodes)
 	}
-	for _, seat := range seats {
-		v.take(seat.node, unit.step.need())
+	for _, p := range placements {
+		v.allocate(p.node, unit.step.need())
 	}
 	rest := *unit
-	rest.tasks = unit.tasks[len(seats):]
-	more := v.fill(&rest, v.nodes)
-	for _, seat := range seats {
-		v.give(seat.node, unit.step.need())
+	rest.tasks = unit.tasks[len(placements):]
+	more := v.pack(&rest, v.nodes)
+	for _, p := range placements {
+		v.release(p.node, unit.step.need())
 	}
-	return append(seats, more...)
+	return append(placements, more...)
 }
 
 // searchRacks seats a gang in the one rack that it fills best; if none holds it
 // and strict is false, anywhere.
-func (v *view) searchRacks(unit *unit, strict bool) []seat {
-	var best []seat
-	bestLeft := 0.0
-	least := weighCores(unit.step.need()) * int64(len(unit.tasks)) // a rack with less cannot hold them
+func (v *view) searchRacks(unit *unit, strict bool) []placement {
+	var best []placement
+	bestLeftover := 0.0
+	minCores := milliCoreEquivalents(unit.step.need()) * int64(len(unit.tasks)) // a rack with less cannot hold them
 	for index, rack := range v.racks {
-		if v.rackFree[index] < least || v.rackMost[index] < unit.step.need().Accelerators {
+		if v.rackFree[index] < minCores || v.rackMaxFree[index] < unit.step.need().Accelerators {
 			continue
 		}
-		seats := v.fill(unit, rack)
-		if seats == nil {
+		placements := v.pack(unit, rack)
+		if placements == nil {
 			continue
 		}
-		left := v.left(rack) - v.speedOfRack(seats, unit)
+		leftover := v.freeCores(rack) - v.rackSpeedScore(placements, unit)
 		if rack[0].entry.Rack == unit.step.spec.DataRack {
-			left = math.Inf(-1) // near its data goes before everything else
+			leftover = math.Inf(-1) // near its data goes before everything else
 		}
-		if best == nil || left < bestLeft {
-			best, bestLeft = seats, left
+		if best == nil || leftover < bestLeftover {
+			best, bestLeftover = placements, leftover
 		}
 	}
 	if best == nil && !strict {
-		return v.fill(unit, v.nodes)
+		return v.pack(unit, v.nodes)
 	}
 	return best
 }
 
-// left is what a set of nodes has free, in cores.
-func (v *view) left(nodes []*node) float64 {
+// freeCores is what a set of nodes has free, in cores.
+func (v *view) freeCores(nodes []*node) float64 {
 	sum := 0.0
 	for _, node := range nodes {
-		sum += cores(v.free[node.at])
+		sum += coreEquivalents(v.free[node.at])
 	}
 	return sum
 }
 
-// option is a node with room for some tasks.
-type option struct {
+// candidate is a node with room for some tasks.
+type candidate struct {
 	node   *node
 	count  int
 	weight float64
 }
 
-// fill seats as many tasks as fit, tightest nodes first; of a gang all or none.
-func (v *view) fill(unit *unit, nodes []*node) []seat {
-	options, room := v.options(unit, nodes)
+// pack seats as many tasks as fit, tightest nodes first; of a gang all or none.
+func (v *view) pack(unit *unit, nodes []*node) []placement {
+	candidates, capacity := v.candidates(unit, nodes)
 	wanted := len(unit.tasks)
-	if room == 0 || unit.step.spec.Gang && room < wanted {
+	if capacity == 0 || unit.step.spec.Gang && capacity < wanted {
 		return nil
 	}
-	sort.Slice(options, func(a, b int) bool {
-		if options[a].weight != options[b].weight {
-			return options[a].weight < options[b].weight
+	sort.Slice(candidates, func(a, b int) bool {
+		if candidates[a].weight != candidates[b].weight {
+			return candidates[a].weight < candidates[b].weight
 		}
-		return options[a].node.at < options[b].node.at
+		return candidates[a].node.at < candidates[b].node.at
 	})
-	seats := make([]seat, 0, min(room, wanted))
-	for _, option := range options {
-		for range min(option.count, wanted-len(seats)) {
-			seats = append(seats, seat{task: unit.tasks[len(seats)], node: option.node})
+	placements := make([]placement, 0, min(capacity, wanted))
+	for _, c := range candidates {
+		for range min(c.count, wanted-len(placements)) {
+			placements = append(placements, placement{task: unit.tasks[len(placements)], node: c.node})
 		}
-		if len(seats) == wanted {
+		if len(placements) == wanted {
 			break
 		}
 	}
-	return seats
+	return placements
 }
 
-// options lists the nodes with room, and how many tasks they hold in all.
-func (v *view) options(unit *unit, nodes []*node) ([]option, int) {
+// candidates lists the nodes with room, and how many tasks they hold in all.
+func (v *view) candidates(unit *unit, nodes []*node) ([]candidate, int) {
 	need := unit.step.need()
 	if len(nodes) != len(v.nodes) {
-		return v.optionsIn(nil, unit, need, nodes, 0)
+		return v.addCandidates(nil, unit, need, nodes, 0)
 	}
-	var options []option
-	room := 0
-	spares := v.rackWeights(unit) // within one rack it makes no difference
+	var candidates []candidate
+	capacity := 0
+	weights := v.rackWeights(unit) // within one rack it makes no difference
 	for index, rack := range v.racks {
-		if v.rackMost[index] < need.Accelerators {
+		if v.rackMaxFree[index] < need.Accelerators {
 			continue
 		}
-		spare := 0.0
-		if spares != nil {
-			spare = spares[index]
+		weight := 0.0
+		if weights != nil {
+			weight = weights[index]
 		}
-		var more int
-		options, more = v.optionsIn(options, unit, need, rack, spare)
-		room += more
+		var added int
+		candidates, added = v.addCandidates(candidates, unit, need, rack, weight)
+		capacity += added
 	}
-	return options, room
+	return candidates, capacity
 }
 
-// optionsIn adds those of some nodes that have room, and returns how many tasks they
+// addCandidates adds those of some nodes that have room, and returns how many tasks they
 // hold. spare is added to the weight of each.
-func (v *view) optionsIn(options []option, unit *unit, need jobs.Resources, nodes []*node, spare float64) ([]option, int) {
-	room := 0
+func (v *view) addCandidates(candidates []candidate, unit *unit, need jobs.Resources, nodes []*node, rackWeight float64) ([]candidate, int) {
+	capacity := 0
 	for _, node := range nodes {
-		count := v.seats(node, unit.step, need, len(unit.tasks))
-		if count == 0 || !node.serves(unit) || v.keptFrom(unit, node) || unit.emptyOnly && !v.fitToTry(node, unit.now) {
+		count := v.capacityFor(node, unit.step, need, len(unit.tasks))
+		if count == 0 || !node.accepts(unit) || v.closedTo(unit, node) || unit.emptyOnly && !v.suitsIsolation(node, unit.now) {
 			continue
 		}
-		weight := node.tightness(v.free[node.at]) + v.speedOf(node, unit)
+		weight := node.freeShare(v.free[node.at]) + v.speedScore(node, unit)
 		if unit.isolated {
 			weight = -weight // where least would be lost with it
 		}
-		if node.health.wary || unit.now.Before(node.unsteady) {
+		if node.health.onProbation || unit.now.Before(node.recentlyRestartedUntil) {
 			weight += probationWeight
 		}
-		if unit.anywhere && (!node.open(unit.now) || node.entry.ID == unit.avoid) {
-			weight += lastWeight
+		if unit.ignorePreferences && (!node.schedulable(unit.now) || node.entry.ID == unit.avoid) {
+			weight += lastResortWeight
 		}
-		options = append(options, option{node: node, count: count, weight: weight + spare})
-		room += count
+		candidates = append(candidates, candidate{node: node, count: count, weight: weight + rackWeight})
+		capacity += count
 	}
-	return options, room
+	return candidates, capacity
 }
 
 // rackWeights makes work that is not urgent keep to racks that are in use, so
@@ -299,30 +299,30 @@
 	}
 	weights := make([]float64, len(v.racks))
 	for index := range v.racks {
-		weights[index] = sparedRackWeight * share(v.rackFree[index], v.rackWhole[index])
+		weights[index] = unusedRackWeight * ratio(v.rackFree[index], v.rackCapacity[index])
 	}
 	return weights
 }
 
-// sparedRackWeight is above every tightness of a node.
-const sparedRackWeight = 5
+// unusedRackWeight is above every tightness of a node.
+const unusedRackWeight = 5
 
 // probationWeight is above every tightness, so that workers on probation and unsteady
 // ones are taken only where nothing else fits.
 const probationWeight = 20
 
-// lastWeight is above these together: of workers that are better left alone.
-const lastWeight = 100
+// lastResortWeight is above these together: of workers that are better left alone.
+const lastResortWeight = 100
 
-// tightness is the free share of the node, accelerators counting twice as they
+// freeShare is the free share of the node, accelerators counting twice as they
 // are what large tasks lack first. Least comes first, so that large holes stay
 // for large tasks.
-func (n *node) tightness(free jobs.Resources) float64 {
+func (n *node) freeShare(free jobs.Resources) float64 {
 	capacity := n.entry.Capacity
-	return 2*share(free.Accelerators, capacity.Accelerators) + share(free.MilliCores, capacity.MilliCores) + share(free.MemoryMB, capacity.MemoryMB)
+	return 2*ratio(free.Accelerators, capacity.Accelerators) + ratio(free.MilliCores, capacity.MilliCores) + ratio(free.MemoryMB, capacity.MemoryMB)
 }
 
-func share(part, whole int64) float64 {
+func ratio(part, whole int64) float64 {
 	if whole <= 0 {
 		return 0
 	}
--- a/placing/fit_test.go
+++ b/placing/fit_test.go
@@ -16,14 +16,14 @@
 	capacity := nodes[0].entry.Capacity
 	nodes[1].used = capacity.Add(capacity)
 	open := newView(nodes)
-	is.Equal(open.rackFree[0], weighCores(capacity))
+	is.Equal(open.rackFree[0], milliCoreEquivalents(capacity))
 	need := jobs.Resources{MilliCores: 8000, Accelerators: 8}
-	open.take(nodes[0], need)
-	open.give(nodes[1], need)
-	is.Equal(open.rackFree[0], weighCores(capacity.Sub(need)))
-	open.give(nodes[0], need)
-	is.Equal(open.rackFree[0], weighCores(capacity))
+	open.allocate(nodes[0], need)
+	open.release(nodes[1], need)
+	is.Equal(open.rackFree[0], milliCoreEquivalents(capacity.Sub(need)))
+	open.release(nodes[0], need)
+	is.Equal(open.rackFree[0], milliCoreEquivalents(capacity))
 	other := open.copy()
-	other.take(nodes[2], need)
-	is.Equal(open.rackFree[1], weighCores(capacity))
+	other.allocate(nodes[2], need)
+	is.Equal(open.rackFree[1], milliCoreEquivalents(capacity))
 }
--- a/placing/guarantee.go
+++ b/placing/guarantee.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// drawGuarantees finds the workspaces whose unfinished urgent jobs need more
+// updateOverGuarantee finds the workspaces whose unfinished urgent jobs need more
 // accelerators than they are guaranteed. Jobs of the others must begin within
 // the reclaim time, whatever else has to go.
-func (e *Engine) drawGuarantees() {
-	drawn := map[string]int64{}
+func (e *Engine) updateOverGuarantee() {
+	required := map[string]int64{}
 	for _, job := range e.active {
 		if job.queue.Priority == 0 && !job.state.Final() {
-			drawn[job.submission.Workspace] += job.accelerators()
+			required[job.submission.Workspace] += job.accelerators()
 		}
 	}
-	e.overdrawn = map[string]bool{}
-	for workspace, need := range drawn {
+	e.overGuarantee = map[string]bool{}
+	for workspace, need := range required {
 		if need > e.guarantees[workspace] {
-			e.overdrawn[workspace] = true
+			e.overGuarantee[workspace] = true
 		}
 	}
 }
 
-// guaranteed reports whether a job has to begin within the reclaim time.
-func (e *Engine) guaranteed(job *job) bool {
-	return job.queue.Priority == 0 && !e.overdrawn[job.submission.Workspace]
+// withinGuarantee reports whether a job has to begin within the reclaim time.
+func (e *Engine) withinGuarantee(job *job) bool {
+	return job.queue.Priority == 0 && !e.overGuarantee[job.submission.Workspace]
 }
 
 // accelerators is what all steps of a job need together.
@@ -35,8 +35,8 @@
 	return need
 }
 
-// urgentPatience is how long an urgent step waits for its rack, and for other
+// maxUrgentDelay is how long an urgent step waits for its rack, and for other
 // ways to make room than stopping urgent work.
-func (e *Engine) urgentPatience() time.Duration {
-	return time.Duration(urgentShare * float64(e.limits.Reclaim))
+func (e *Engine) maxUrgentDelay() time.Duration {
+	return time.Duration(urgentDelayShare * float64(e.limits.Reclaim))
 }
--- a/placing/headroom.go
+++ b/placing/headroom.go
@@ -18,19 +18,19 @@
 	// demandHalfLife is the time in which a past peak of demand counts half.
 	// Bursts of the users' callers last four to six seconds.
 	demandHalfLife = 5 * time.Second
-	// mostKeptFromTasks bounds the share of the workers that is kept clear of tasks
+	// maxTaskHeadroomShare bounds the share of the workers that is kept clear of tasks
 	// that start alone: they find room on the rest as others of them end.
-	mostKeptFromTasks = 0.5
-	// mostKeptFromGangs bounds the same for gangs, which need whole workers
+	maxTaskHeadroomShare = 0.5
+	// maxGangHeadroomShare bounds the same for gangs, which need whole workers
 	// themselves.
-	mostKeptFromGangs = 0.15
-	// spareShare of the work that is left is the time to spare below which a job
+	maxGangHeadroomShare = 0.15
+	// minSpareShare of the work that is left is the time to spare below which a job
 	// takes any room that it finds, as does one that is late already: estimates are
 	// off by half. Late ones do not wait, as they would be late for good.
-	spareShare = 1.5
-	// idleShare of the workers in use is the least at which anything is kept clear:
+	minSpareShare = 1.5
+	// minUsedShare of the workers in use is the least at which anything is kept clear:
 	// with half of them free there is room for all.
-	idleShare = 0.5
+	minUsedShare = 0.5
 )
 
 // demand follows what some kind of work asks for, in workers' worth of
@@ -40,8 +40,8 @@
 	at   time.Time
 }
 
-// see takes the present demand, and returns the recent peak.
-func (d *demand) see(present float64, now time.Time) float64 {
+// update takes the present demand, and returns the recent peak.
+func (d *demand) update(present float64, now time.Time) float64 {
 	if !d.at.IsZero() {
 		d.peak *= math.Exp2(-float64(now.Sub(d.at)) / float64(demandHalfLife))
 	}
@@ -73,17 +73,17 @@
 	return classTask
 }
 
-// part is what resources are of a capacity: the largest share of any kind.
-func part(need, capacity jobs.Resources) float64 {
-	largest := share(need.Accelerators, capacity.Accelerators)
-	largest = max(largest, share(need.MilliCores, capacity.MilliCores))
-	return max(largest, share(need.MemoryMB, capacity.MemoryMB))
+// dominantShare is what resources are of a capacity: the largest share of any kind.
+func dominantShare(need, capacity jobs.Resources) float64 {
+	dominant := ratio(need.Accelerators, capacity.Accelerators)
+	dominant = max(dominant, ratio(need.MilliCores, capacity.MilliCores))
+	return max(dominant, ratio(need.MemoryMB, capacity.MemoryMB))
 }
 
-// unused is the share of a node that is free in every kind of resource.
-func (v *view) unused(node *node) float64 {
+// unusedShare is the share of a node that is free in every kind of resource.
+func (v *view) unusedShare(node *node) float64 {
 	capacity := node.entry.Capacity
-	return max(0, 1-part(capacity.Sub(v.free[node.at]), capacity))
+	return max(0, 1-dominantShare(capacity.Sub(v.free[node.at]), capacity))
 }
 
 // load is what runs and what waits, by class, in workers' worth of capacity.
@@ -92,44 +92,44 @@
 	used, whole      float64 // of the workers outside evacuated zones
 }
 
-func (l *load) asked(by class) float64 { return l.running[by] + l.waiting[by] }
+func (l *load) demand(by class) float64 { return l.running[by] + l.waiting[by] }
 
-// shares are what runs on a node, in parts of its capacity. They are summed again only
+// nodeShares are what runs on a node, in parts of its capacity. They are summed again only
 // after something there has changed, as most passes find most nodes as they were.
-type shares struct {
-	known bool
+type nodeShares struct {
+	valid bool
 	used  float64
 	by    [classes]float64
 }
 
-func (n *node) share() *shares {
-	if n.shares.known {
+func (n *node) currentShares() *nodeShares {
+	if n.shares.valid {
 		return &n.shares
 	}
-	n.shares = shares{known: true, used: part(n.used, n.entry.Capacity)}
+	n.shares = nodeShares{valid: true, used: dominantShare(n.used, n.entry.Capacity)}
 	for _, run := range n.runs {
-		n.shares.by[run.task.step.class()] += part(run.need(), n.entry.Capacity)
+		n.shares.by[run.task.step.class()] += dominantShare(run.need(), n.entry.Capacity)
 	}
 	return &n.shares
 }
 
 // loads sums up what runs and waits, by pool.
 func (e *Engine) loads(units []*unit, open *view) map[string]*load {
-	found := map[string]*load{}
-	of := func(pool string) *load {
-		if found[pool] == nil {
-			found[pool] = &load{}
+	byPool := map[string]*load{}
+	loadOf := func(pool string) *load {
+		if byPool[pool] == nil {
+			byPool[pool] = &load{}
 		}
-		return found[pool]
+		return byPool[pool]
 	}
 	pool := ""
-	load := of(pool)
+	load := loadOf(pool)
 	for _, node := range e.nodeOrder {
 		if node.entry.Pool != pool {
 			pool = node.entry.Pool
-			load = of(pool)
+			load = loadOf(pool)
 		}
-		running := node.share()
+		running := node.currentShares()
 		for class, part := range running.by {
 			load.running[class] += part
 		}
@@ -138,30 +138,30 @@
 			load.whole++
 		}
 	}
-	usual := open.usualCapacities()
+	reference := open.referenceCapacities()
 	for _, unit := range units {
 		pool := unit.job.queue.Pool
-		if capacity, known := usual[pool]; known && unit.tier != tierHopeless {
-			of(pool).waiting[unit.step.class()] += float64(len(unit.tasks)) * part(unit.step.need(), capacity)
+		if capacity, ok := reference[pool]; ok && unit.tier != tierBestEffort {
+			loadOf(pool).waiting[unit.step.class()] += float64(len(unit.tasks)) * dominantShare(unit.step.need(), capacity)
 		}
 	}
-	return found
+	return byPool
 }
 
-// usualCapacities is what a worker of each pool offers, as its first does.
-func (v *view) usualCapacities() map[string]jobs.Resources {
-	usual := map[string]jobs.Resources{}
+// referenceCapacities is what a worker of each pool offers, as its first does.
+func (v *view) referenceCapacities() map[string]jobs.Resources {
+	reference := map[string]jobs.Resources{}
 	pool := ""
 	for _, node := range v.nodes {
 		if node.entry.Pool == pool {
 			continue
 		}
 		pool = node.entry.Pool
-		if _, known := usual[pool]; !known {
-			usual[pool] = node.entry.Capacity
+		if _, ok := reference[pool]; !ok {
+			reference[pool] = node.entry.Capacity
 		}
 	}
-	return usual
+	return reference
 }
 
 func (e *Engine) demandsOf(pool string) *demands {
@@ -171,31 +171,31 @@
 	return e.demands[pool]
 }
 
-// keepRoom closes nodes of each pool to work that can wait, as far as the recent demand
+// reserveHeadroom closes nodes of each pool to work that can wait, as far as the recent demand
 // there of what goes before it is above what of that runs now.
-func (e *Engine) keepRoom(units []*unit, open *view, now time.Time) {
+func (e *Engine) reserveHeadroom(units []*unit, open *view, now time.Time) {
 	for pool, load := range e.loads(units, open) {
-		known := e.demandsOf(pool)
-		urgent := known.urgent.see(load.asked(classUrgent), now) - load.running[classUrgent]
-		gangs := known.gang.see(load.asked(classGang), now) - load.running[classGang]
-		if load.used < idleShare*load.whole {
+		demands := e.demandsOf(pool)
+		urgent := demands.urgent.update(load.demand(classUrgent), now) - load.running[classUrgent]
+		gangs := demands.gang.update(load.demand(classGang), now) - load.running[classGang]
+		if load.used < minUsedShare*load.whole {
 			continue
 		}
-		open.keep(pool, classGang, min(urgent, mostKeptFromGangs*load.whole))
-		open.keep(pool, classTask, min(urgent+gangs, mostKeptFromTasks*load.whole))
+		open.closeNodes(pool, classGang, min(urgent, maxGangHeadroomShare*load.whole))
+		open.closeNodes(pool, classTask, min(urgent+gangs, maxTaskHeadroomShare*load.whole))
 	}
 }
 
-// keep closes the emptiest nodes of the emptiest racks of a pool to a class of work, until
+// closeNodes closes the emptiest nodes of the emptiest racks of a pool to a class of work, until
 // about wanted nodes' worth of capacity is free on them.
-func (v *view) keep(pool string, from class, wanted float64) {
-	if v.closed[from] == nil {
-		v.closed[from] = make([]bool, len(v.nodes))
+func (v *view) closeNodes(pool string, to class, wanted float64) {
+	if v.headroom[to] == nil {
+		v.headroom[to] = make([]bool, len(v.nodes))
 	}
 	unused := make([]float64, len(v.nodes))
 	rackUnused := make([]float64, len(v.racks))
 	for at, node := range v.nodes {
-		unused[at] = v.unused(node)
+		unused[at] = v.unusedShare(node)
 		rackUnused[v.rackOf[at]] += unused[at]
 	}
 	order := make([]int, 0, len(v.nodes))
@@ -215,17 +215,17 @@
 		if 2*wanted < unused[at] {
 			return
 		}
-		v.closed[from][at] = true
+		v.headroom[to][at] = true
 		wanted -= unused[at]
 	}
 }
 
-// keptFrom reports whether a node is kept clear of a unit.
-func (v *view) keptFrom(unit *unit, node *node) bool {
-	return v.yields(unit) && v.closed[unit.step.class()][node.at]
+// closedTo reports whether a node is kept clear of a unit.
+func (v *view) closedTo(unit *unit, node *node) bool {
+	return v.yieldsHeadroom(unit) && v.headroom[unit.step.class()][node.at]
 }
 
-// yields reports whether a unit is kept from nodes that are kept clear.
-func (v *view) yields(unit *unit) bool {
-	return unit.patient && !unit.isolated && !unit.step.spec.Lasting && v.closed[unit.step.class()] != nil
+// yieldsHeadroom reports whether a unit is kept from nodes that are kept clear.
+func (v *view) yieldsHeadroom(unit *unit) bool {
+	return unit.deferrable && !unit.isolated && !unit.step.spec.Lasting && v.headroom[unit.step.class()] != nil
 }
--- a/placing/headroom_test.go
+++ b/placing/headroom_test.go
@@ -42,7 +42,7 @@
 			d.lost += d.now.Sub(begin)
 		}
 	}
-	for _, worker := range d.ids {
+	for _, worker := range d.workerIDs {
 		d.endDue(worker)
 	}
 	for id := range d.work {
@@ -62,8 +62,8 @@
 		}
 		worked, whole := d.now.Sub(begin), d.work[run.task.key.Job]
 		if worked >= whole {
-			d.ends[worker]++
-			ends = append(ends, EndedTask{Number: d.ends[worker], Task: run.task.key, Run: run.number, How: EndDone})
+			d.endNumbers[worker]++
+			ends = append(ends, EndedTask{Number: d.endNumbers[worker], Task: run.task.key, Run: run.number, How: EndDone})
 			continue
 		}
 		running = append(running, RunningTask{Task: run.task.key, Run: run.number, Percent: int(100 * worked / whole)})
@@ -149,19 +149,19 @@
 		e, now := loadedEngine(0)
 		var nodes []*node
 		for index := range 12 {
-			node := e.node(WorkerEntry{ID: hexID(index)}, now)
+			node := e.ensureNode(WorkerEntry{ID: hexID(index)}, now)
 			node.entry = testWorker(hexID(index), "r1-"+string(rune('0'+index/4)))
 			if index < example.busy {
 				node.used = node.entry.Capacity
 			}
 			nodes = append(nodes, node)
 		}
-		e.demandsOf("pool").gang.see(12, now)
+		e.demandsOf("pool").gang.update(12, now)
 		open := newView(nodes)
-		e.keepRoom(nil, open, now.Add(example.since))
+		e.reserveHeadroom(nil, open, now.Add(example.since))
 		e.Learn(&jobs.Job{Submission: testJob(hexID(99), 2, testStep(24, 4))}, now)
-		unit := e.waiting(now)[0]
-		unit.patient = example.spare
+		unit := e.waitingUnits(now)[0]
+		unit.deferrable = example.spare
 		is.Equal(len(open.fit(unit, true)), example.seats)
 	}
 }
@@ -176,6 +176,6 @@
 		after   time.Duration
 		patient bool
 	}{{0, true}, {2 * time.Second, true}, {4 * time.Second, false}, {10 * time.Second, false}, {20 * time.Second, false}} {
-		is.Equal(e.waiting(now.Add(example.after))[0].patient, example.patient)
+		is.Equal(e.waitingUnits(now.Add(example.after))[0].deferrable, example.patient)
 	}
 }
--- a/placing/health.go
+++ b/placing/health.go
@@ -3,69 +3,69 @@
 import "time"
 
 const (
-	// failuresToRest is how many failed runs, without one that was done between,
+	// failuresToBackoff is how many failed runs, without one that was done between,
 	// put a worker to rest. One is mostly the task's own fault, but a short rest of
 	// one worker in 48 costs little, and a bad worker fails all that it gets.
-	failuresToRest = 1
-	// restFirst and restMost bound how long a worker that fails gets no work;
+	failuresToBackoff = 1
+	// minWorkerBackoff and maxWorkerBackoff bound how long a worker that fails gets no work;
 	// the rest doubles while its first run afterwards fails again. Bad times of
 	// workers last five to seven seconds in the users' deployments.
-	restFirst = 1 * time.Second
-	restMost  = 8 * time.Second
-	// busyPause follows an answer that says the worker is unhealthy.
-	busyPause = 700 * time.Millisecond
-	// silentPause follows an order without an answer.
-	silentPause = 300 * time.Millisecond
+	minWorkerBackoff = 1 * time.Second
+	maxWorkerBackoff = 8 * time.Second
+	// busyBackoff follows an answer that says the worker is unhealthy.
+	busyBackoff = 700 * time.Millisecond
+	// silentBackoff follows an order without an answer.
+	silentBackoff = 300 * time.Millisecond
 )
 
 // health is what a worker's own results say of it.
 type health struct {
-	failures int // in a row
-	rest     time.Duration
-	until    time.Time // gets nothing new before
-	wary     bool      // judged badly and not yet proved good again
+	failures    int // in a row
+	backoff     time.Duration
+	until       time.Time // gets nothing new before
+	onProbation bool      // judged badly and not yet proved good again
 }
 
-func (h *health) pause(now time.Time, length time.Duration) {
+func (h *health) backOff(now time.Time, length time.Duration) {
 	if until := now.Add(length); until.After(h.until) {
 		h.until = until
 	}
 }
 
-func (h *health) busy(now time.Time)   { h.pause(now, busyPause) }
-func (h *health) silent(now time.Time) { h.pause(now, silentPause) }
+func (h *health) markBusy(now time.Time)   { h.backOff(now, busyBackoff) }
+func (h *health) markSilent(now time.Time) { h.backOff(now, silentBackoff) }
 
-// stalled keeps new work off until the next report, and leaves the worker wary.
-func (h *health) stalled(now time.Time) {
-	h.wary = true
-	h.pause(now, restFirst)
+// markStalled keeps new work off until the next report, and leaves the worker wary.
+func (h *health) markStalled(now time.Time) {
+	h.onProbation = true
+	h.backOff(now, minWorkerBackoff)
 }
 
-func (h *health) good() { *h = health{} }
+func (h *health) reset() { *h = health{} }
 
-func (h *health) failed(now time.Time) {
+func (h *health) markFailed(now time.Time) {
 	h.failures++
-	if h.failures < failuresToRest && !h.wary {
+	if h.failures < failuresToBackoff && !h.onProbation {
 		return
 	}
-	h.wary = true
-	h.rest = min(restMost, max(restFirst, 2*h.rest))
-	h.pause(now, h.rest)
+	h.onProbation = true
+	h.backoff = min(maxWorkerBackoff, max(minWorkerBackoff, 2*h.backoff))
+	h.backOff(now, h.backoff)
 }
 
-// judge draws from an end what it says of the worker.
-func (e *Engine) judge(known *node, run *run, end EndedTask, now time.Time) {
+// updateHealth draws from an end what it says of the worker.
+func (e *Engine) updateHealth(n *node, run *run, end EndedTask, now time.Time) {
 	switch end.How {
 	case EndDone:
-		known.health.good()
+		n.health.reset()
 		if run != nil {
-			e.learn(run, now)
+			e.updateEstimate(run, now)
 		}
 	case EndFailed:
-		before := known.health.until
-		known.health.failed(now)
-		if known.health.until != before {
-			e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_rested", Worker: known.entry.ID, Detail: known.health.rest.String()})
+		before := n.health.until
+		n.health.markFailed(now)
+		if n.health.until != before {
+			e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_rested", Worker: n.entry.ID, Detail: n.health.backoff.String()})
 		}
 	}
 }
--- a/placing/job.go
+++ b/placing/job.go
@@ -8,101 +8,101 @@
 
 // job is one job in the engine's memory.
 type job struct {
-	submission *jobs.Submission
-	queue      jobs.Queue
-	acceptedAt time.Time // on the steady clock; earlier than the engine, perhaps
-	firstMS    int64     // time of day at acceptedAt
-	state      jobs.State
-	shown      jobs.State // as the newest state record says
-	reason     string
-	endedAt    time.Time
-	endedMS    int64
-	turnedMS   int64 // time of day when the turn of the newest step came that waited for others
-	dirty      bool
-	runs       []*occurrence
-	claim      *claim // capacity set aside while others are stopped for this job
+	submission    *jobs.Submission
+	queue         jobs.Queue
+	acceptedAt    time.Time // on the steady clock; earlier than the engine, perhaps
+	acceptedMS    int64     // time of day at acceptedAt
+	state         jobs.State
+	recordedState jobs.State // as the newest state record says
+	reason        string
+	endedAt       time.Time
+	endedMS       int64
+	readyMS       int64 // time of day when the turn of the newest step came that waited for others
+	dirty         bool
+	occurrences   []*occurrence
+	reservation   *reservation // capacity set aside while others are stopped for this job
 }
 
 // occurrence is one run of the steps of a job.
 type occurrence struct {
-	dueMS int64 // time of day; 0: at once
-	steps []*step
-	left  int // tasks not done
+	scheduledMS int64 // time of day; 0: at once
+	steps       []*step
+	left        int // tasks not done
 }
 
 // step is one step of an occurrence. A gang's tasks are placed, ended and
 // counted as one.
 type step struct {
-	job       *job
-	spec      *jobs.Step
-	tasks     []*task
-	left      int       // tasks not done
-	readyAt   time.Time // when its turn came, whoever held the term then; zero before
-	seenAt    time.Time // when this holder first saw that
-	roomAfter time.Time // no room is looked for before
-	toldHeld  time.Time // when it was last told what holds it back
-	advice    *advice   // nil until something is known
-	askedAt   time.Time // when the last question for it was sent
-	rates     []rate    // of its runs so far
-	suspects  bool      // a run of a task was once lost with its worker
+	job               *job
+	spec              *jobs.Step
+	tasks             []*task
+	left              int            // tasks not done
+	readyAt           time.Time      // when its turn came, whoever held the term then; zero before
+	observedReadyAt   time.Time      // when this holder first saw that
+	nextSearchAt      time.Time      // no room is looked for before
+	delayLoggedAt     time.Time      // when it was last told what holds it back
+	advice            *advice        // nil until something is known
+	adviceRequestedAt time.Time      // when the last question for it was sent
+	rates             []progressRate // of its runs so far
+	hasSuspects       bool           // a run of a task was once lost with its worker
 }
 
 // task is one task.
 type task struct {
-	step       *step
-	key        jobs.TaskKey
-	done       bool
-	failed     int // runs that ended as failed
-	lastRun    int // highest run number given
-	judged     int // highest run whose end was taken in; it is listed until acknowledged
-	checkpoint string
-	run        *run // nil unless a run may exist
-	avoid      string
-	losses     losses
-	pausing    pausing
-	stalls     int       // runs that were stopped as they stood still
-	roomSince  time.Time // since when it has waited beside plenty of room; zero: it does not
-	overAt     time.Time // when its last run that had begun, or may have, was over
+	step           *step
+	key            jobs.TaskKey
+	done           bool
+	failed         int // runs that ended as failed
+	lastRun        int // highest run number given
+	lastEndedRun   int // highest run whose end was taken in; it is listed until acknowledged
+	checkpoint     string
+	run            *run // nil unless a run may exist
+	avoidWorker    string
+	losses         losses
+	pausing        startBackoff
+	stalls         int       // runs that were stopped as they stood still
+	capacitySince  time.Time // since when it has waited beside plenty of room; zero: it does not
+	lastRunEndedAt time.Time // when its last run that had begun, or may have, was over
 }
 
 // phase is how far a run got.
 type phase int
 
 const (
-	phasePlanned  phase = iota // capacity is taken, nothing was sent
-	phaseOrdered               // the start was sent and not yet answered
-	phaseRunning               // the worker has it
-	phaseDoubtful              // it may be there or come there; a stop settles it
-	phaseStopping              // a stop was ordered
+	phasePlanned   phase = iota // capacity is taken, nothing was sent
+	phaseOrdered                // the start was sent and not yet answered
+	phaseRunning                // the worker has it
+	phaseUncertain              // it may be there or come there; a stop settles it
+	phaseStopping               // a stop was ordered
 )
 
 // run is one run of a task, from its placement until it is certain that it
 // neither runs nor will.
 type run struct {
-	task        *task
-	number      int
-	node        *node
-	phase       phase
-	orderedAt   time.Time
-	startedAt   time.Time // when the worker was known to have it
-	percent     int
-	percentAt   time.Time // when percent last grew
-	reportedAt  time.Time // of the newest report that showed it
-	resumed     bool      // from a saved state, or under a former holder of the term
-	basePercent int       // of a resumed run, as first reported
-	baseAt      time.Time // when it was
-	stoppedAt   time.Time // when its stop was first sent
-	stopSentAt  time.Time // when its stop was last sent
-	stopDoneAt  time.Time // when the worker took the stop
-	why         string    // of the stop
-	seen        bool      // a report of the worker has shown it
-	slowed      bool      // works at pacePercent, of a hundred
-	pacePercent int
-	paceSentAt  time.Time
-	compared    bool // its progress was compared with its siblings'
-	wantNode    bool // restored from the log; its worker has not reported yet
-	outlived    bool // restored from the log; its worker has started again since
-	isolated    bool // its worker gets nothing else, as the task may be what ends workers
+	task            *task
+	number          int
+	node            *node
+	phase           phase
+	orderedAt       time.Time
+	startedAt       time.Time // when the worker was known to have it
+	percent         int
+	percentAt       time.Time // when percent last grew
+	reportedAt      time.Time // of the newest report that showed it
+	resumed         bool      // from a saved state, or under a former holder of the term
+	basePercent     int       // of a resumed run, as first reported
+	baseAt          time.Time // when it was
+	stoppedAt       time.Time // when its stop was first sent
+	stopSentAt      time.Time // when its stop was last sent
+	stopDoneAt      time.Time // when the worker took the stop
+	stopReason      string    // of the stop
+	seen            bool      // a report of the worker has shown it
+	throttled       bool      // works at pacePercent, of a hundred
+	pacePercent     int
+	paceSentAt      time.Time
+	speedCompared   bool // its progress was compared with its siblings'
+	unconfirmed     bool // restored from the log; its worker has not reported yet
+	workerRestarted bool // restored from the log; its worker has started again since
+	isolated        bool // its worker gets nothing else, as the task may be what ends workers
 }
 
 func newJob(submission *jobs.Submission, queue jobs.Queue, now time.Time, nowMS int64) *job {
@@ -110,19 +110,19 @@
 	if submission.AcceptedMS > 0 && submission.AcceptedMS < nowMS {
 		age = time.Duration(nowMS-submission.AcceptedMS) * time.Millisecond
 	}
-	job := &job{submission: submission, queue: queue, state: jobs.StateQueued, shown: jobs.StateQueued, acceptedAt: now.Add(-age)}
-	job.firstMS = nowMS - age.Milliseconds()
+	job := &job{submission: submission, queue: queue, state: jobs.StateQueued, recordedState: jobs.StateQueued, acceptedAt: now.Add(-age)}
+	job.acceptedMS = nowMS - age.Milliseconds()
 	for index := range submission.Runs() {
-		job.runs = append(job.runs, newOccurrence(job, index))
+		job.occurrences = append(job.occurrences, newOccurrence(job, index))
 	}
 	return job
 }
 
 func newOccurrence(job *job, number int) *occurrence {
 	submission := job.submission
-	made := &occurrence{left: submission.TasksOfRun()}
+	occurrence := &occurrence{left: submission.TasksOfRun()}
 	if submission.Occurrences > 0 {
-		made.dueMS = submission.FirstAtMS + int64(number)*submission.PeriodMS
+		occurrence.scheduledMS = submission.FirstAtMS + int64(number)*submission.PeriodMS
 	}
 	for stepIndex := range submission.Steps {
 		spec := &submission.Steps[stepIndex]
@@ -131,16 +131,16 @@
 			key := jobs.TaskKey{Job: submission.ID, Occurrence: number, Step: stepIndex, Index: index}
 			step.tasks = append(step.tasks, &task{step: step, key: key})
 		}
-		made.steps = append(made.steps, step)
+		occurrence.steps = append(occurrence.steps, step)
 	}
-	return made
+	return occurrence
 }
 
 func (j *job) task(key jobs.TaskKey) *task {
-	if key.Occurrence < 0 || key.Occurrence >= len(j.runs) || key.Step < 0 || key.Step >= len(j.submission.Steps) {
+	if key.Occurrence < 0 || key.Occurrence >= len(j.occurrences) || key.Step < 0 || key.Step >= len(j.submission.Steps) {
 		return nil
 	}
-	tasks := j.runs[key.Occurrence].steps[key.Step].tasks
+	tasks := j.occurrences[key.Occurrence].steps[key.Step].tasks
 	if key.Index < 0 || key.Index >= len(tasks) {
 		return nil
 	}
@@ -149,7 +149,7 @@
 
 func (j *job) allTasks() []*task {
 	var list []*task
-	for _, occurrence := range j.runs {
+	for _, occurrence := range j.occurrences {
 		for _, step := range occurrence.steps {
 			list = append(list, step.tasks...)
 		}
@@ -157,15 +157,15 @@
 	return list
 }
 
-// record is the job's progress as it is kept in the log. Of an ended job only
+// progressRecord is the job's progress as it is kept in the log. Of an ended job only
 // the state is kept: nothing of it is placed again, and what still runs is
 // stopped wherever it is found.
-func (j *job) record() jobs.Record {
+func (j *job) progressRecord() jobs.Record {
 	progress := &jobs.Progress{State: j.state, Reason: j.reason}
 	if j.state.Final() {
 		progress.EndedMS = j.endedMS
 	} else {
-		progress.TurnedMS = j.turnedMS
+		progress.TurnedMS = j.readyMS
 		j.recordTasks(progress)
 	}
 	record, err := jobs.ProgressRecord(j.submission.ID, progress)
@@ -184,86 +184,86 @@
 		if task.lastRun == 0 {
 			continue
 		}
-		kept := jobs.TaskProgress{Flat: flat, Run: task.lastRun, Failed: task.failed, Judged: task.judged, Checkpoint: task.checkpoint,
-			Losses: task.losses.all, EarlyLosses: task.losses.early}
+		recorded := jobs.TaskProgress{Flat: flat, Run: task.lastRun, Failed: task.failed, Judged: task.lastEndedRun, Checkpoint: task.checkpoint,
+			Losses: task.losses.total, EarlyLosses: task.losses.early}
 		if task.run != nil {
-			kept.Worker, kept.BornMS = task.run.node.onRecord()
+			recorded.Worker, recorded.BornMS = task.run.node.recordedName()
 		}
-		progress.Tasks = append(progress.Tasks, kept)
+		progress.Tasks = append(progress.Tasks, recorded)
 	}
 }
 
-// restoreKnown takes what the log says of a job. A former holder of the term may
+// restoreJob takes what the log says of a job. A former holder of the term may
 // have written its progress and not its state, or its final state alone: then
 // the other is written too.
-func (e *Engine) restoreKnown(job *job, known *jobs.Job, now time.Time) {
-	if known.Shown != "" {
-		job.shown = known.Shown
+func (e *Engine) restoreJob(job *job, stored *jobs.Job, now time.Time) {
+	if stored.Shown != "" {
+		job.recordedState = stored.Shown
 	}
-	if known.Progress != nil {
-		e.restoreRecord(job, known.Progress)
+	if stored.Progress != nil {
+		e.restoreProgress(job, stored.Progress)
 	}
-	if known.Shown.Final() && !job.state.Final() {
+	if stored.Shown.Final() && !job.state.Final() {
 		// The former holder did not come to write its progress, or it was dropped.
-		e.finish(job, known.Shown, "", now)
+		e.finish(job, stored.Shown, "", now)
 	}
-	if job.state != job.shown {
-		e.touch(job)
+	if job.state != job.recordedState {
+		e.markDirty(job)
 	}
 }
 
-// restoreRecord takes what the log says of a job.
-func (e *Engine) restoreRecord(job *job, value []byte) {
+// restoreProgress takes what the log says of a job.
+func (e *Engine) restoreProgress(job *job, value []byte) {
 	progress, err := jobs.DecodeProgress(value)
 	if err != nil {
 		// The fold has read the state of this very record; a job whose tasks
 		// cannot be read must not run again.
-		e.note("progress_unreadable", job, "", err.Error())
+		e.logEvent("progress_unreadable", job, "", err.Error())
 		job.state = jobs.StateFailed
 		job.reason = "its progress cannot be read"
 		return
 	}
-	e.restore(job, progress, e.formerLapse)
+	e.applyProgress(job, progress, e.formerLeasesExpireAt)
 }
 
-// restore takes over a job's progress. Runs on record are looked for at their
+// applyProgress takes over a job's progress. Runs on record are looked for at their
 // workers, until lapse.
-func (e *Engine) restore(job *job, progress *jobs.Progress, lapse time.Time) {
+func (e *Engine) applyProgress(job *job, progress *jobs.Progress, leaseExpiry time.Time) {
 	job.state = progress.State
 	job.reason = progress.Reason
 	if progress.State.Final() {
 		job.endedMS = progress.EndedMS
-		job.endedAt = job.acceptedAt.Add(time.Duration(progress.EndedMS-job.firstMS) * time.Millisecond)
+		job.endedAt = job.acceptedAt.Add(time.Duration(progress.EndedMS-job.acceptedMS) * time.Millisecond)
 		return
 	}
-	job.turnedMS = progress.TurnedMS
+	job.readyMS = progress.TurnedMS
 	tasks := job.allTasks()
 	for flat, task := range tasks {
 		if progress.Done.Has(flat) {
 			e.markDone(task)
 		}
 	}
-	for _, kept := range progress.Tasks {
-		if kept.Flat >= 0 && kept.Flat < len(tasks) {
-			e.restoreTask(tasks[kept.Flat], kept, lapse)
+	for _, recorded := range progress.Tasks {
+		if recorded.Flat >= 0 && recorded.Flat < len(tasks) {
+			e.restoreTask(tasks[recorded.Flat], recorded, leaseExpiry)
 		}
 	}
 }
 
-func (e *Engine) restoreTask(task *task, kept jobs.TaskProgress, lapse time.Time) {
-	task.lastRun = kept.Run
-	task.failed = kept.Failed
-	task.judged = kept.Judged
-	task.checkpoint = kept.Checkpoint
-	if kept.Losses > 0 {
-		task.setLosses(losses{all: kept.Losses, early: kept.EarlyLosses})
+func (e *Engine) restoreTask(task *task, recorded jobs.TaskProgress, leaseExpiry time.Time) {
+	task.lastRun = recorded.Run
+	task.failed = recorded.Failed
+	task.lastEndedRun = recorded.Judged
+	task.checkpoint = recorded.Checkpoint
+	if recorded.Losses > 0 {
+		task.setLosses(losses{total: recorded.Losses, early: recorded.EarlyLosses})
 	}
-	if kept.Worker == "" {
+	if recorded.Worker == "" {
 		return
 	}
-	node := e.node(WorkerEntry{ID: LifeID(kept.Worker, kept.BornMS), Name: kept.Worker, BornMS: kept.BornMS}, lapse)
-	task.run = &run{task: task, number: kept.Run, node: node, phase: phaseRunning, wantNode: true, resumed: true}
-	node.add(task.run)
+	node := e.ensureNode(WorkerEntry{ID: LifeID(recorded.Worker, recorded.BornMS), Name: recorded.Worker, BornMS: recorded.BornMS}, leaseExpiry)
+	task.run = &run{task: task, number: recorded.Run, node: node, phase: phaseRunning, unconfirmed: true, resumed: true}
+	node.addRun(task.run)
 }
 
 func (e *Engine) markDone(task *task) {
@@ -272,11 +272,11 @@
 	}
 	task.done = true
 	task.step.left--
-	task.step.job.runs[task.key.Occurrence].left--
+	task.step.job.occurrences[task.key.Occurrence].left--
 }
 
-// ready reports whether the steps before this one have ended.
-func (s *step) ready(occurrence *occurrence) bool {
+// predecessorsDone reports whether the steps before this one have ended.
+func (s *step) predecessorsDone(occurrence *occurrence) bool {
 	for _, earlier := range s.spec.After {
 		if occurrence.steps[earlier].left > 0 {
 			return false
--- a/placing/life.go
+++ b/placing/life.go
@@ -20,10 +20,10 @@
 	return name + "@" + strconv.FormatInt(bornMS, 10)
 }
 
-// answeredFor is how long the word of a life keeps entries of earlier ones off. A worker's
+// answerRetention is how long the word of a life keeps entries of earlier ones off. A worker's
 // own entry follows within seconds, so later than that it is its word that is out of date,
 // as when its time of day was put back.
-const answeredFor = 30 * time.Second
+const answerRetention = 30 * time.Second
 
 // answer is the newest word of a worker.
 type answer struct {
@@ -31,49 +31,49 @@
 	at     time.Time
 }
 
-// otherLives are the nodes of other lives of a node's worker.
-func (e *Engine) otherLives(known *node) []*node {
-	if known.entry.Name == "" {
+// otherIncarnations are the nodes of other lives of a node's worker.
+func (e *Engine) otherIncarnations(n *node) []*node {
+	if n.entry.Name == "" {
 		return nil
 	}
 	var list []*node
-	for _, other := range e.lives[known.entry.Name] {
-		if other != known {
+	for _, other := range e.incarnations[n.entry.Name] {
+		if other != n {
 			list = append(list, other)
 		}
 	}
 	return list
 }
 
-// dropLife takes a node that is dropped out of the lives of its worker.
-func (e *Engine) dropLife(known *node) {
-	name := known.entry.Name
-	list := e.otherLives(known)
-	if len(list) == 0 {
-		delete(e.lives, name)
+// removeIncarnation takes a node that is dropped out of the lives of its worker.
+func (e *Engine) removeIncarnation(n *node) {
+	name := n.entry.Name
+	remaining := e.otherIncarnations(n)
+	if len(remaining) == 0 {
+		delete(e.incarnations, name)
 		return
 	}
-	e.lives[name] = list
+	e.incarnations[name] = remaining
 }
 
 // outdated reports whether an entry is of a life before the one that answered last: the
 // list lags behind, or another writer has made the entry and said of no life.
 func (e *Engine) outdated(entry *WorkerEntry) bool {
-	return entry.BornMS < e.answered[entry.Name].bornMS
+	return entry.BornMS < e.newestAnswers[entry.Name].bornMS
 }
 
-// noteAnswer keeps the word of a life, unless a later one has answered.
-func (e *Engine) noteAnswer(name string, bornMS int64, now time.Time) {
-	if bornMS >= e.answered[name].bornMS {
-		e.answered[name] = answer{bornMS: bornMS, at: now}
+// recordAnswer keeps the word of a life, unless a later one has answered.
+func (e *Engine) recordAnswer(name string, bornMS int64, now time.Time) {
+	if bornMS >= e.newestAnswers[name].bornMS {
+		e.newestAnswers[name] = answer{bornMS: bornMS, at: now}
 	}
 }
 
-// forgetAnswers drops words that are out of date.
-func (e *Engine) forgetAnswers(now time.Time) {
-	for name, newest := range e.answered {
-		if now.Sub(newest.at) > answeredFor {
-			delete(e.answered, name)
+// expireAnswers drops words that are out of date.
+func (e *Engine) expireAnswers(now time.Time) {
+	for name, newest := range e.newestAnswers {
+		if now.Sub(newest.at) > answerRetention {
+			delete(e.newestAnswers, name)
 		}
 	}
 }
@@ -83,94 +83,94 @@
 // settled there: next is then its entry, to be watched though it may not be listed. Where
 // the life that answers began earlier its word has come late, and proves nothing against
 // one that has reported.
-func (e *Engine) Reborn(worker string, bornMS int64, now time.Time) (next WorkerEntry, watch bool) {
-	known := e.nodes[worker]
-	if known == nil {
+func (e *Engine) Reborn(worker string, bornMS int64, now time.Time) (next WorkerEntry, mustWatch bool) {
+	former := e.nodes[worker]
+	if former == nil {
 		return WorkerEntry{}, false
 	}
-	defer e.dropNodes()
-	if bornMS == 0 || known.entry.Name == "" {
-		e.fellSilent(known, now)
-		known.listed = false
-		e.lose(known, "worker reborn", now)
+	defer e.removeNodes()
+	if bornMS == 0 || former.entry.Name == "" {
+		e.markSilent(former, now)
+		former.listed = false
+		e.loseWorker(former, "worker reborn", now)
 		return WorkerEntry{}, false
 	}
-	if bornMS < known.entry.BornMS && known.reported {
-		e.fellSilent(known, now)
+	if bornMS < former.entry.BornMS && former.reported {
+		e.markSilent(former, now)
 		return WorkerEntry{}, false
 	}
-	e.noteAnswer(known.entry.Name, bornMS, now)
-	entry := WorkerEntry{ID: LifeID(known.entry.Name, bornMS), Name: known.entry.Name, BornMS: bornMS, Address: known.entry.Address}
-	later := e.node(entry, now.Add(LeaseLapse(e.limits.Lease)))
+	e.recordAnswer(former.entry.Name, bornMS, now)
+	entry := WorkerEntry{ID: LifeID(former.entry.Name, bornMS), Name: former.entry.Name, BornMS: bornMS, Address: former.entry.Address}
+	later := e.ensureNode(entry, now.Add(LeaseLapse(e.limits.Lease)))
 	if later.entry.Address == "" {
 		later.entry.Address = entry.Address
 	}
-	e.succeed(known, later, now)
+	e.replaceIncarnation(former, later, now)
 	return later.entry, len(later.runs) > 0 && !later.listed
 }
 
-// answeredBy takes that a life has answered: those of its worker that began before are
+// handleAnswer takes that a life has answered: those of its worker that began before are
 // over. A later one is not: the answer may have come late.
-func (e *Engine) answeredBy(known *node, now time.Time) {
-	if known.entry.BornMS == 0 {
+func (e *Engine) handleAnswer(n *node, now time.Time) {
+	if n.entry.BornMS == 0 {
 		return
 	}
-	name := known.entry.Name
-	e.noteAnswer(name, known.entry.BornMS, now)
-	if len(e.lives[name]) == 1 {
+	name := n.entry.Name
+	e.recordAnswer(name, n.entry.BornMS, now)
+	if len(e.incarnations[name]) == 1 {
 		return
 	}
-	for _, other := range e.otherLives(known) {
-		if other.entry.BornMS < known.entry.BornMS {
-			e.succeed(other, known, now)
+	for _, other := range e.otherIncarnations(n) {
+		if other.entry.BornMS < n.entry.BornMS {
+			e.replaceIncarnation(other, n, now)
 		}
 	}
-	e.dropNodes()
+	e.removeNodes()
 }
 
-// succeed takes that a life is over and a later one of the same worker there. What ran
+// replaceIncarnation takes that a life is over and a later one of the same worker there. What ran
 // for certain in the former is lost with it. A start that may not have been carried out
 // yet may be by the later life, which knows of no earlier order: it is stopped there
 // before its task may run elsewhere.
-func (e *Engine) succeed(former, later *node, now time.Time) {
-	e.fellSilent(former, now)
+func (e *Engine) replaceIncarnation(former, later *node, now time.Time) {
+	e.markSilent(former, now)
 	former.listed = false
 	runs := append([]*run(nil), former.runs...)
-	e.tellLoss(former, "started again", len(runs), now)
+	e.logLoss(former, "started again", len(runs), now)
 	for _, run := range runs {
-		if run.wantNode {
-			run.outlived = former.entry.BornMS != 0
+		if run.unconfirmed {
+			run.workerRestarted = former.entry.BornMS != 0
 			run.moveTo(later)
 		}
 	}
 	runs = append([]*run(nil), former.runs...)
-	e.blameLoss(former, runs, now)
+	e.countLosses(former, runs, now)
 	for _, run := range runs {
 		switch {
 		case run.phase == phasePlanned || run.seen:
-			e.resolve(run, "worker started again", now)
+			e.endRun(run, "worker started again", now)
 		default:
 			run.moveTo(later)
-			e.doubt(run, now)
+			e.stopUncertainRun(run, now)
 		}
 	}
 	for _, run := range runs {
-		e.giveUp(run.task, now)
+		e.failIfLossesExceeded(run.task, now)
 	}
 }
 
 // moveTo enters a run at a later life of its worker, where it may be or come.
 func (r *run) moveTo(later *node) {
-	r.node.drop(r)
+	r.node.removeRun(r)
 	r.node = later
 	r.seen = false
-	later.add(r)
+	later.addRun(r)
 }
 
-// doubt has a run stopped at a node where it may be or come.
-func (e *Engine) doubt(run *run, now time.Time) {
-	run.phase = phaseDoubtful
-	run.why = "worker started again"
+// stopUncertainRun has a run stopped at a node where it may be or come.
+func (e *Engine) stopUncertainRun(run *run, now time.Time) {
+	run.phase = phaseUncertain
+	run.stopReason = "worker started again"
 	run.stopDoneAt = time.Time{}
 	e.sendStop(run, now)
 }
--- a/placing/life_test.go
+++ b/placing/life_test.go
@@ -18,7 +18,7 @@
 	return entry
 }
 
-// atWork returns an engine with one task at work, seen there, on the first of two
+// hasRunningTask returns an engine with one task at work, seen there, on the first of two
 // workers' lives, and the task's key.
 func atWork(t *testing.T) (*Engine, jobs.TaskKey) {
 	t.Helper()
@@ -49,7 +49,7 @@
 	e.List([]WorkerEntry{later}, now)
 	is.Equal(len(e.Decide(now).Starts), 0) // a list alone proves nothing: the former may go on
 	e.Report(later.ID, now, nil, nil, now.Add(6*time.Second), now)
-	is.Equal(e.jobs[key.Job].task(key).losses.all, 1)
+	is.Equal(e.jobs[key.Job].task(key).losses.total, 1)
 	is.Equal(len(e.nodes), 1)
 	starts := startAll(e, now.Add(time.Second))
 	is.Equal(len(starts), 1)
@@ -127,14 +127,14 @@
 			is := is.New(t)
 			e := testEngine(2)
 			job := e.addJob(testJob(hexID(1), 1, testStep(1, 8)), testStart)
-			e.restore(job, &jobs.Progress{State: jobs.StateRunning, Tasks: []jobs.TaskProgress{{Run: 1, Worker: "w1", BornMS: c.bornMS}}}, testStart.Add(10*time.Second))
+			e.applyProgress(job, &jobs.Progress{State: jobs.StateRunning, Tasks: []jobs.TaskProgress{{Run: 1, Worker: "w1", BornMS: c.bornMS}}}, testStart.Add(10*time.Second))
 			e.Complete()
 			life := lifeOf("w1", 200)
 			e.List([]WorkerEntry{life}, testStart)
 			e.Report(life.ID, testStart, c.rows, nil, time.Time{}, testStart)
 			task := job.task(key)
 			is.Equal(task.run != nil && task.run.number == 1, c.goesOn)
-			is.Equal(task.losses.all, c.losses)
+			is.Equal(task.losses.total, c.losses)
 			is.Equal(len(e.Decide(testStart.Add(time.Second)).Stops), 0)
 			is.Equal(len(e.nodes), 1)
 		})
@@ -159,7 +159,7 @@
 	is.True(e.jobs[key.Job].task(key).run != nil)
 	e.Report(life.ID, now, []RunningTask{{Task: key, Run: 1, Percent: 20}}, nil, now.Add(6*time.Second), now)
 	is.Equal(e.jobs[key.Job].task(key).run.number, 1)
-	is.Equal(e.jobs[key.Job].task(key).losses.all, 0)
+	is.Equal(e.jobs[key.Job].task(key).losses.total, 0)
 	is.Equal(len(e.List([]WorkerEntry{life}, now)), 1)
 }
 
@@ -176,12 +176,12 @@
 	now = now.Add(7 * time.Second)
 	e.Decide(now)
 	is.True(e.jobs[key.Job].task(key).run == nil) // its leases have lapsed
-	now = now.Add(answeredFor)
+	now = now.Add(answerRetention)
 	e.List(nil, now)
 	is.Equal(len(e.List([]WorkerEntry{present}, now)), 1)
 	e.Report(present.ID, now, nil, nil, now.Add(6*time.Second), now)
 	is.Equal(len(startAll(e, now)), 0) // a task that was lost waits for a steady worker, for a while
-	starts := startAll(e, now.Add(isolationPatience+time.Second))
+	starts := startAll(e, now.Add(maxIsolationDelay+time.Second))
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Worker, present.ID)
 }
--- a/placing/limits.go
+++ b/placing/limits.go
@@ -42,7 +42,7 @@
 	return "unknown"
 }
 
-func (l *Limits) gone(former Former) time.Duration {
+func (l *Limits) formerLeaderTimeout(former Former) time.Duration {
 	switch former {
 	case FormerHandedOver:
 		return l.HandedOver
--- a/placing/lasting_test.go
+++ b/placing/long_running_test.go
@@ -9,14 +9,14 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-func lastingStep(tasks int) jobs.Step {
+func longRunningStep(tasks int) jobs.Step {
 	step := testStep(tasks, 1)
 	step.Lasting = true
 	return step
 }
 
-// report has a worker list its runs, with a load for those that serve.
-func (c *cluster) report(id string, load int64) Plan {
+// reportLoad reports the runs of a worker, with a load for serving tasks, and runs a pass.
+func (c *cluster) reportLoad(id string, load int64) Plan {
 	var rows []RunningTask
 	for _, run := range c.engine.nodes[id].runs {
 		row := RunningTask{Task: run.task.key, Run: run.number, Percent: 100}
@@ -29,49 +29,49 @@
 	return c.engine.Decide(c.now)
 }
 
-// Lasting tasks start again however they end, count no attempts, and are not
-// stopped for urgent work.
+// Long-running tasks restart however they end, count no attempts and are not preempted by
+// urgent work.
 func TestLastingTasksStartAgainHoweverTheyEnd(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
-	c.submit(testJob(hexID(1), 2, lastingStep(1)))
+	c.submit(testJob(hexID(1), 2, longRunningStep(1)))
 	c.steps(2)
 	for number, how := range []How{EndFailed, EndDone, EndLapsed, EndFailed, EndBroken} {
 		task := c.engine.jobs[hexID(1)].allTasks()[0]
 		is.True(task.run != nil)
 		worker := task.run.node.entry.ID
 		end := EndedTask{Number: int64(number + 1), Task: task.key, Run: task.run.number, How: how}
-		c.ends[worker]++
-		end.Number = c.ends[worker]
+		c.endNumbers[worker]++
+		end.Number = c.endNumbers[worker]
 		c.engine.Report(worker, c.now, nil, []EndedTask{end}, time.Time{}, c.now)
-		c.now = c.now.Add(2 * restMost)
+		c.now = c.now.Add(2 * maxWorkerBackoff)
 		c.steps(3)
 	}
-	is.True(c.begun(hexID(1)))
+	is.True(c.allRunning(hexID(1)))
 	is.Equal(c.engine.jobs[hexID(1)].state, jobs.StateRunning)
 	for index := range 4 {
 		c.submit(testJob(hexID(10+index), 0, gangStep(1, 8)))
 	}
 	c.steps(60)
-	is.True(c.begun(hexID(1)))
+	is.True(c.allRunning(hexID(1)))
 }
 
-// Lasting tasks leave a worker that is about to go while enough others of their
-// step are at work, and in any case before it goes.
+// Long-running tasks move off a leaving worker while enough other tasks of their step run, and
+// in any case before it leaves.
 func TestLastingTasksLeaveAWorkerInTime(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
-	step := lastingStep(2)
+	step := longRunningStep(2)
 	step.PerWorker = 1
 	step.MayMiss = 1
 	c.submit(testJob(hexID(1), 1, step))
 	c.steps(2)
-	for _, id := range c.ids {
-		c.report(id, 0)
+	for _, id := range c.workerIDs {
+		c.reportLoad(id, 0)
 	}
 	leaving := c.engine.jobs[hexID(1)].allTasks()[0].run.node
 	var entries []WorkerEntry
-	for _, id := range c.ids {
+	for _, id := range c.workerIDs {
 		entry := c.engine.nodes[id].entry
 		if id == leaving.entry.ID {
 			entry.Leaving, entry.Remaining = true, 5*time.Second
@@ -80,17 +80,17 @@
 	}
 	c.engine.List(entries, c.now)
 	c.steps(3)
-	is.True(c.begun(hexID(1)))
+	is.True(c.allRunning(hexID(1)))
 	is.Equal(len(leaving.runs), 0)
 }
 
-// Nothing new starts on a worker that leaves, or that the list does not name.
+// Nothing starts on a worker that is leaving or missing from the worker list.
 func TestLeavingWorkersGetNothingNew(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
 	entries := []WorkerEntry{testWorker("w00", "r1-0"), testWorker("w01", "r1-0"), testWorker("w02", "r1-0")}
 	entries[0].Leaving, entries[0].Remaining = true, time.Minute
-	c.engine.List(entries, c.now) // w03 is not named
+	c.engine.List(entries, c.now) // w03 is not listed
 	c.submit(testJob(hexID(1), 0, testStep(32, 1)))
 	c.steps(3)
 	is.Equal(len(c.engine.nodes["w00"].runs), 0)
@@ -98,37 +98,37 @@
 	is.Equal(len(c.engine.nodes["w01"].runs)+len(c.engine.nodes["w02"].runs), 16)
 }
 
-// Tasks that fill stand still as soon as a serving task beside them misses its
-// target, and work again step by step once it meets it.
+// Fillers pause as soon as a serving task on their worker misses its target, and speed up step
+// by step once it meets the target.
 func TestFillingTasksGiveWayToServingOnes(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
-	serving := lastingStep(1)
+	serving := longRunningStep(1)
 	serving.ResponseTarget = 100
 	c.submit(testJob(hexID(1), 0, serving))
-	filling := testStep(3, 1)
-	filling.Fills = true
-	c.submit(testJob(hexID(2), 2, filling))
+	filler := testStep(3, 1)
+	filler.Fills = true
+	c.submit(testJob(hexID(2), 2, filler))
 	c.steps(2)
 	worker := c.engine.jobs[hexID(1)].allTasks()[0].run.node.entry.ID
-	share := func(load int64) []int {
+	paces := func(load int64) []int {
 		var list []int
-		for _, pace := range c.report(worker, load).Paces {
+		for _, pace := range c.reportLoad(worker, load).Paces {
 			list = append(list, pace.Percent)
 			c.engine.PaceAnswered(pace)
 		}
 		return list
 	}
-	is.Equal(len(share(90)), 0)
-	is.Equal(share(120), []int{0, 0, 0})
-	is.Equal(len(share(130)), 0) // they stand already
-	c.now = c.now.Add(paceEvery)
-	is.Equal(len(share(90)), 0) // too close to the target
-	is.Equal(share(50), []int{paceStep, paceStep, paceStep})
-	is.Equal(len(share(50)), 0) // one step at a time
+	is.Equal(len(paces(90)), 0)
+	is.Equal(paces(120), []int{0, 0, 0})
+	is.Equal(len(paces(130)), 0) // they are paused already
+	c.now = c.now.Add(paceRaiseInterval)
+	is.Equal(len(paces(90)), 0) // too close to the target
+	is.Equal(paces(50), []int{paceStep, paceStep, paceStep})
+	is.Equal(len(paces(50)), 0) // one step at a time
 	for range 20 {
-		c.now = c.now.Add(paceEvery)
-		share(50)
+		c.now = c.now.Add(paceRaiseInterval)
+		paces(50)
 	}
-	is.Equal(c.engine.nodes[worker].pacing.share(), fullPace)
+	is.Equal(c.engine.nodes[worker].pacing.allowedPercent(), fullPace)
 }
--- a/placing/loss.go
+++ b/placing/loss.go
@@ -19,104 +19,104 @@
 	// at the task: a task that ends its worker does so as it begins, or once it has
 	// resumed from a saved state.
 	earlyLoss = time.Second
-	// earlyLossesMost is after how many early losses a task is given up: on the users'
+	// maxEarlyLosses is after how many early losses a task is given up: on the users'
 	// worst days two of them may still be chance.
-	earlyLossesMost = 3
-	// lossesMost is after how many losses of any kind a task that ends is given up: the
+	maxEarlyLosses = 3
+	// maxLosses is after how many losses of any kind a task that ends is given up: the
 	// users allow two starts after the third worker was lost under it.
-	lossesMost = 5
-	// isolateAfter is from how many losses on a task is suspected though none was early.
-	isolateAfter = 2
-	// outliveFactor times the longest time for which the task worked before a loss is
+	maxLosses = 5
+	// minLossesToIsolate is from how many losses on a task is suspected though none was early.
+	minLossesToIsolate = 2
+	// clearLossesFactor times the longest time for which the task worked before a loss is
 	// when its next run has shown that it does not end its worker as the last one did.
-	outliveFactor = 2
-	// isolationPatience is how long a suspected task waits for an empty worker. Users
+	clearLossesFactor = 2
+	// maxIsolationDelay is how long a suspected task waits for an empty worker. Users
 	// expect a task whose turn has come to run within three seconds if there is room.
-	isolationPatience = 2 * time.Second
-	// lastingProof is how long a lasting task has to be at work to be cleared of all
+	maxIsolationDelay = 2 * time.Second
+	// longRunningProof is how long a lasting task has to be at work to be cleared of all
 	// losses: it outlives many workers by its nature.
-	lastingProof = 30 * time.Second
+	longRunningProof = 30 * time.Second
 )
 
 // losses is what the loss of workers says of a task; a gang's tasks share it.
 type losses struct {
-	all   int           // runs that were over with their worker
-	early int           // of these, soon after their start, on a worker that was not unsteady itself
-	run   int           // highest run whose loss was counted
-	at    time.Time     // of the newest
-	after time.Duration // the longest time at work before a loss
+	total       int           // runs that were over with their worker
+	early       int           // of these, soon after their start, on a worker that was not unsteady itself
+	lastRun     int           // highest run whose loss was counted
+	newestAt    time.Time     // of the newest
+	longestWork time.Duration // the longest time at work before a loss
 }
 
-// suspected reports whether a task may be what ends its workers.
-func (l losses) suspected() bool { return l.early > 0 || l.all >= isolateAfter }
+// suspect reports whether a task may be what ends its workers.
+func (l losses) suspect() bool { return l.early > 0 || l.total >= minLossesToIsolate }
 
-func (l losses) tooMany() bool { return l.early >= earlyLossesMost || l.all >= lossesMost }
+func (l losses) exceeded() bool { return l.early >= maxEarlyLosses || l.total >= maxLosses }
 
-// lose takes that a node's life is over, and with it all that may be there. One that said
+// loseWorker takes that a node's life is over, and with it all that may be there. One that said
 // that it leaves has kept its word: that is no loss to hold against anyone.
-func (e *Engine) lose(known *node, why string, now time.Time) {
-	runs := append([]*run(nil), known.runs...)
-	e.tellLoss(known, why, len(runs), now)
-	e.blameLoss(known, runs, now)
+func (e *Engine) loseWorker(n *node, reason string, now time.Time) {
+	runs := append([]*run(nil), n.runs...)
+	e.logLoss(n, reason, len(runs), now)
+	e.countLosses(n, runs, now)
 	for _, run := range runs {
-		e.resolve(run, why, now)
+		e.endRun(run, reason, now)
 	}
 	for _, run := range runs {
-		e.giveUp(run.task, now)
+		e.failIfLossesExceeded(run.task, now)
 	}
 }
 
-func (e *Engine) tellLoss(known *node, why string, runs int, now time.Time) {
+func (e *Engine) logLoss(n *node, reason string, runs int, now time.Time) {
 	if runs > 0 {
-		e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_lost", Worker: known.entry.ID,
-			Detail: fmt.Sprintf("%s runs %d %s", why, runs, known.silence(now))})
+		e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_lost", Worker: n.entry.ID,
+			Detail: fmt.Sprintf("%s runs %d %s", reason, runs, n.silenceDetail(now))})
 	}
 }
 
-// blameLoss counts the loss of a node against the tasks of its runs.
-func (e *Engine) blameLoss(known *node, runs []*run, now time.Time) {
-	if known.entry.Leaving {
+// countLosses counts the loss of a node against the tasks of its runs.
+func (e *Engine) countLosses(n *node, runs []*run, now time.Time) {
+	if n.entry.Leaving {
 		return
 	}
 	for _, run := range runs {
-		e.blame(run, now)
+		e.countLoss(run, now)
 	}
-	e.markUnsteady(known.entry.Address, now)
+	e.markRecentlyRestarted(n.entry.Address, now)
 }
 
-// blame counts the loss of a run's worker against its task. Each run counts once,
+// countLoss counts the loss of a run's worker against its task. Each run counts once,
 // also if several workers of a gang were lost under it.
-func (e *Engine) blame(run *run, now time.Time) {
+func (e *Engine) countLoss(run *run, now time.Time) {
 	task := run.task
-	if run.phase == phasePlanned || task.run != run || task.done || task.step.job.state.Final() || run.number <= task.losses.run {
+	if run.phase == phasePlanned || task.run != run || task.done || task.step.job.state.Final() || run.number <= task.losses.lastRun {
 		return
 	}
-	counted := task.losses
-	counted.all++
-	counted.run = run.number
-	counted.at = now
-	if worked, _ := run.worked(now); worked > counted.after {
-		counted.after = worked
+	losses := task.losses
+	losses.total++
+	losses.lastRun = run.number
+	losses.newestAt = now
+	if worked, _ := run.workTime(now); worked > losses.longestWork {
+		losses.longestWork = worked
 	}
-	if run.lostEarly() && e.unexplainedAbout(run.node.silentAt) <= unexplainedMost {
-		counted.early++
+	if run.isEarlyLoss() && e.unexplainedLossesNear(run.node.silentAt) <= maxUnexplainedLosses {
+		losses.early++
 	}
-	task.setLosses(counted)
-	e.note("task_lost_worker", task.step.job, run.node.entry.ID,
-		fmt.Sprintf("%s losses %d early %d unsteady %t", task.key, counted.all, counted.early, now.Before(run.node.unsteady)))
+	task.setLosses(losses)
+	e.logEvent("task_lost_worker", task.step.job, run.node.entry.ID,
+		fmt.Sprintf("%s losses %d early %d unsteady %t", task.key, losses.total, losses.early, now.Before(run.node.recentlyRestartedUntil)))
 }
 
-func (t *task) setLosses(counted losses) {
-	t.step.suspects = true
-	for _, member := range t.together() {
-		member.losses = counted
+func (t *task) setLosses(updated losses) {
+	t.step.hasSuspects = true
+	for _, member := range t.gangMembers() {
+		member.losses = updated
 	}
 }
 
-// lostEarly reports whether a run's worker fell silent soon after the run began. On a
+// isEarlyLoss reports whether a run's worker fell silent soon after the run began. On a
 // worker whose former life was lost too, that says nothing of the task; nor does an
 // order that was sent after the worker had fallen silent.
-func (r *run) lostEarly() bool {
+func (r *run) isEarlyLoss() bool {
 	silentAt := r.node.silentAt
 	if silentAt.IsZero() || r.orderedAt.IsZero() {
 		return false // under a former holder of the term, which alone knows when
@@ -124,19 +124,19 @@
 	if r.startedAt.IsZero() {
 		return false // the worker may have been gone before the order reached it
 	}
-	if silentAt.Before(r.node.unsteady) || silentAt.Before(r.orderedAt) {
+	if silentAt.Before(r.node.recentlyRestartedUntil) || silentAt.Before(r.orderedAt) {
 		return false
 	}
-	return silentAt.Sub(r.begun()) < earlyLoss
+	return silentAt.Sub(r.workStartedAt()) < earlyLoss
 }
 
-// begun is when a run began to work at the earliest: the members of a gang wait for
+// workStartedAt is when a run began to work at the earliest: the members of a gang wait for
 // each other.
-func (r *run) begun() time.Time {
+func (r *run) workStartedAt() time.Time {
 	begun := r.startOrOrder()
-	for _, member := range r.task.together() {
+	for _, member := range r.task.gangMembers() {
 		if member.run != nil {
-			begun = latest(begun, member.run.startOrOrder())
+			begun = laterTime(begun, member.run.startOrOrder())
 		}
 	}
 	return begun
@@ -149,42 +149,42 @@
 	return r.startedAt
 }
 
-// giveUp ends the job of a task that has lost too many workers.
-func (e *Engine) giveUp(task *task, now time.Time) {
+// failIfLossesExceeded ends the job of a task that has lost too many workers.
+func (e *Engine) failIfLossesExceeded(task *task, now time.Time) {
 	job := task.step.job
-	if task.done || job.state.Final() || !task.losses.tooMany() {
+	if task.done || job.state.Final() || !task.losses.exceeded() {
 		return
 	}
-	e.finish(job, jobs.StateFailed, "task "+task.key.String()+" lost its worker in "+strconv.Itoa(task.losses.all)+" runs", now)
+	e.finish(job, jobs.StateFailed, "task "+task.key.String()+" lost its worker in "+strconv.Itoa(task.losses.total)+" runs", now)
 }
 
-// outlived clears a task of what its run has outlived by being at work, and lets
+// clearLosses clears a task of what its run has outlived by being at work, and lets
 // others onto its worker again.
-func (e *Engine) outlived(run *run, row RunningTask, now time.Time) {
-	counted := run.task.losses
-	if counted.all == 0 || row.Percent == 0 || run.startedAt.IsZero() {
+func (e *Engine) clearLosses(run *run, row RunningTask, now time.Time) {
+	losses := run.task.losses
+	if losses.total == 0 || row.Percent == 0 || run.startedAt.IsZero() {
 		return
 	}
 	worked := now.Sub(run.startedAt)
-	if worked < max(earlyLoss, outliveFactor*counted.after) {
+	if worked < max(earlyLoss, clearLossesFactor*losses.longestWork) {
 		return
 	}
-	counted.early = 0
-	if worked >= lastingProof && run.task.step.spec.Lasting {
-		counted.all = 0
+	losses.early = 0
+	if worked >= longRunningProof && run.task.step.spec.Lasting {
+		losses.total = 0
 	}
-	if counted != run.task.losses {
-		run.task.setLosses(counted)
+	if losses != run.task.losses {
+		run.task.setLosses(losses)
 	}
-	for _, member := range run.task.together() {
+	for _, member := range run.task.gangMembers() {
 		if member.run != nil {
 			member.run.endIsolation()
 		}
 	}
 }
 
-// together are the tasks that run, end and are lost as one with a task.
-func (t *task) together() []*task {
+// gangMembers are the tasks that run, end and are lost as one with a task.
+func (t *task) gangMembers() []*task {
 	if t.step.spec.Gang {
 		return t.step.tasks
 	}
@@ -194,13 +194,13 @@
 func (r *run) endIsolation() {
 	if r.isolated {
 		r.isolated = false
-		r.node.isolating--
+		r.node.isolatedRuns--
 	}
 }
 
-// worked is how long a run was at its worker before that fell silent, or until now.
+// workTime is how long a run was at its worker before that fell silent, or until now.
 // started is false if the worker was never known to have it.
-func (r *run) worked(now time.Time) (length time.Duration, started bool) {
+func (r *run) workTime(now time.Time) (length time.Duration, started bool) {
 	if r.startedAt.IsZero() {
 		return 0, false
 	}
@@ -211,8 +211,8 @@
 	return max(0, end.Sub(r.startedAt)), true
 }
 
-// history is what tells the ends of a task's runs apart, for the log.
-func (r *run) history(now time.Time) string {
-	worked, started := r.worked(now)
+// summary is what tells the ends of a task's runs apart, for the log.
+func (r *run) summary(now time.Time) string {
+	worked, started := r.workTime(now)
 	return fmt.Sprintf("run %d started %t worked_ms %d percent %d", r.number, started, worked.Milliseconds(), r.percent)
 }
--- a/placing/loss_test.go
+++ b/placing/loss_test.go
@@ -53,7 +53,7 @@
 	leaving.Leaving = true
 	leaving.Remaining = 100 * time.Millisecond
 	entries := []WorkerEntry{leaving}
-	for _, id := range c.ids {
+	for _, id := range c.workerIDs {
 		if id != leaving.ID {
 			entries = append(entries, c.engine.nodes[id].entry)
 		}
@@ -64,8 +64,8 @@
 	c.engine.List(entries[1:], c.now)
 	c.now = c.now.Add(2 * time.Second)
 	c.engine.Decide(c.now)
-	is.Equal(task.losses.all, 0)
-	is.Equal(len(c.engine.unsteady), 0)
+	is.Equal(task.losses.total, 0)
+	is.Equal(len(c.engine.recentlyRestarted), 0)
 }
 
 // A worker whose loss shows late gets orders for a while that reach nobody. That their
@@ -80,7 +80,7 @@
 	now := testStart
 	for life := range int64(3) {
 		entry := lifeOf("w1", 100+life)
-		e.unsteady = map[string]time.Time{} // as if each were another worker
+		e.recentlyRestarted = map[string]time.Time{} // as if each were another worker
 		e.List([]WorkerEntry{entry}, now)
 		e.Report(entry.ID, now, nil, nil, now.Add(10*time.Second), now)
 		e.Decide(now)
@@ -94,5 +94,5 @@
 		now = now.Add(3 * time.Second)
 	}
 	is.True(!job.state.Final())
-	is.Equal(job.task(jobs.TaskKey{Job: hexID(1)}).losses, losses{all: 3, run: 3, at: now.Add(-3 * time.Second)})
+	is.Equal(job.task(jobs.TaskKey{Job: hexID(1)}).losses, losses{total: 3, lastRun: 3, newestAt: now.Add(-3 * time.Second)})
 }
--- a/placing/node.go
+++ b/placing/node.go
@@ -11,49 +11,49 @@
 	// clockDrift is how slow a worker's clock may be, so how much longer its
 	// leases may last, as the platform states it.
 	clockDrift = 0.02
-	// lapseSlack is added for the estimate of the worker's clock and for the
+	// leaseMargin is added for the estimate of the worker's clock and for the
 	// way of an order.
-	lapseSlack = 400 * time.Millisecond
+	leaseMargin = 400 * time.Millisecond
 )
 
 // LeaseLapse is the time after which a lease of some length has certainly
 // lapsed, counted from the sending of the order that asked for it.
 func LeaseLapse(lease time.Duration) time.Duration {
-	return time.Duration(float64(lease)*(1+clockDrift)) + lapseSlack
+	return time.Duration(float64(lease)*(1+clockDrift)) + leaseMargin
 }
 
 // node is one life of a worker.
 type node struct {
-	entry     WorkerEntry
-	listed    bool
-	reported  bool           // it has answered a hold of this term
-	answering bool           // its last hold was answered
-	silentAt  time.Time      // since when holds are not answered; zero while they are
-	lapseAt   time.Time      // when everything there has lapsed, unless renewed
-	runs      []*run         // that may be there
-	used      jobs.Resources // what they occupy
-	at        int            // number in the view of the present pass
-	foreign   int            // runs there that this engine does not know
-	seenEnd   int64          // highest number of an end that was handled
-	fullUntil time.Time      // it refused for room; its next report tells
-	leaveAt   time.Time      // when it may be gone, while leaving
-	evacuated bool           // its availability zone gets nothing new
-	health    health
-	unsteady  time.Time // until then it counts as unsteady, see markUnsteady
-	isolating int       // runs there of suspected tasks
-	pacing    pacing
-	speed     speed
-	shares    shares
+	entry                  WorkerEntry
+	listed                 bool
+	reported               bool           // it has answered a hold of this term
+	answering              bool           // its last hold was answered
+	silentAt               time.Time      // since when holds are not answered; zero while they are
+	leasesExpireAt         time.Time      // when everything there has lapsed, unless renewed
+	runs                   []*run         // that may be there
+	used                   jobs.Resources // what they occupy
+	at                     int            // number in the view of the present pass
+	unknownRuns            int            // runs there that this engine does not know
+	lastEnd                int64          // highest number of an end that was handled
+	fullUntil              time.Time      // it refused for room; its next report tells
+	leaveAt                time.Time      // when it may be gone, while leaving
+	evacuated              bool           // its availability zone gets nothing new
+	health                 health
+	recentlyRestartedUntil time.Time // until then it counts as unsteady, see markRecentlyRestarted
+	isolatedRuns           int       // runs there of suspected tasks
+	pacing                 paceControl
+	speed                  speedEstimate
+	shares                 nodeShares
 }
 
-// add enters a run that may be there.
-func (n *node) add(run *run) {
-	n.shares.known = false
+// addRun enters a run that may be there.
+func (n *node) addRun(run *run) {
+	n.shares.valid = false
 	n.runs = append(n.runs, run)
 	n.used = n.used.Add(run.need())
-	if run.task.losses.suspected() {
+	if run.task.losses.suspect() {
 		run.isolated = true
-		n.isolating++
+		n.isolatedRuns++
 	}
 }
 
@@ -67,10 +67,10 @@
 	return need
 }
 
-func (n *node) drop(run *run) {
+func (n *node) removeRun(run *run) {
 	for index, candidate := range n.runs {
 		if candidate == run {
-			n.shares.known = false
+			n.shares.valid = false
 			n.runs = append(n.runs[:index], n.runs[index+1:]...)
 			n.used = n.used.Sub(run.need())
 			run.endIsolation()
@@ -79,16 +79,16 @@
 	}
 }
 
-// onRecord names the worker and its life as the log has them. An instance of a version
+// recordedName names the worker and its life as the log has them. An instance of a version
 // that knows of no lives reads the name alone.
-func (n *node) onRecord() (name string, bornMS int64) {
+func (n *node) recordedName() (name string, bornMS int64) {
 	if n.entry.Name == "" {
 		return n.entry.ID, 0
 	}
 	return n.entry.Name, n.entry.BornMS
 }
 
-func (n *node) find(key jobs.TaskKey, number int) *run {
+func (n *node) findRun(key jobs.TaskKey, number int) *run {
 	for _, run := range n.runs {
 		if run.number == number && run.task.key == key {
 			return run
@@ -97,92 +97,92 @@
 	return nil
 }
 
-// node returns the books of a worker's life, made anew if need be. lapse is when what
+// ensureNode returns the books of a worker's life, made anew if need be. lapse is when what
 // a former holder of the term started there has lapsed.
-func (e *Engine) node(entry WorkerEntry, lapse time.Time) *node {
-	known := e.nodes[entry.ID]
-	if known == nil {
-		known = &node{entry: WorkerEntry{ID: entry.ID, Name: entry.Name, BornMS: entry.BornMS}, lapseAt: lapse}
-		e.nodes[entry.ID] = known
+func (e *Engine) ensureNode(entry WorkerEntry, leasesExpireAt time.Time) *node {
+	n := e.nodes[entry.ID]
+	if n == nil {
+		n = &node{entry: WorkerEntry{ID: entry.ID, Name: entry.Name, BornMS: entry.BornMS}, leasesExpireAt: leasesExpireAt}
+		e.nodes[entry.ID] = n
 		if entry.Name != "" {
-			e.lives[entry.Name] = append(e.lives[entry.Name], known)
+			e.incarnations[entry.Name] = append(e.incarnations[entry.Name], n)
 		}
-		e.nodeOrder = append(e.nodeOrder, known)
+		e.nodeOrder = append(e.nodeOrder, n)
 		sort.Slice(e.nodeOrder, func(a, b int) bool { return e.nodeOrder[a].entry.ID < e.nodeOrder[b].entry.ID })
 	}
-	return known
+	return n
 }
 
 // List takes the workers as the platform lists them now, and returns those that are
 // there as far as is known. Those that are not listed any more get nothing new; what runs
 // there goes on while they answer.
 func (e *Engine) List(entries []WorkerEntry, now time.Time) []WorkerEntry {
-	for _, known := range e.nodeOrder {
-		known.listed = false
+	for _, n := range e.nodeOrder {
+		n.listed = false
 	}
-	there := make([]WorkerEntry, 0, len(entries))
+	present := make([]WorkerEntry, 0, len(entries))
 	for _, entry := range entries {
 		if e.outdated(&entry) {
 			continue
 		}
-		there = append(there, entry)
-		known := e.node(entry, now)
-		if entry.Leaving && !known.entry.Leaving {
-			known.leaveAt = now.Add(entry.Remaining)
+		present = append(present, entry)
+		n := e.ensureNode(entry, now)
+		if entry.Leaving && !n.entry.Leaving {
+			n.leaveAt = now.Add(entry.Remaining)
 			e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_leaving", Worker: entry.ID, Detail: "remaining " + entry.Remaining.String()})
 		}
-		e.resized(known, entry)
-		known.entry = entry
-		known.listed = true
-		e.markEvacuated(known, now)
-		known.unsteady = e.unsteady[entry.Address]
+		e.noteResize(n, entry)
+		n.entry = entry
+		n.listed = true
+		e.updateEvacuated(n, now)
+		n.recentlyRestartedUntil = e.recentlyRestarted[entry.Address]
 	}
-	e.dropNodes()
-	e.forgetAnswers(now)
-	return there
+	e.removeNodes()
+	e.expireAnswers(now)
+	return present
 }
 
-func (e *Engine) dropNodes() {
-	kept := e.nodeOrder[:0]
-	for _, known := range e.nodeOrder {
-		if known.listed || len(known.runs) > 0 {
-			kept = append(kept, known)
+func (e *Engine) removeNodes() {
+	remaining := e.nodeOrder[:0]
+	for _, n := range e.nodeOrder {
+		if n.listed || len(n.runs) > 0 {
+			remaining = append(remaining, n)
 			continue
 		}
-		delete(e.nodes, known.entry.ID)
-		e.dropLife(known)
-		delete(e.ackPending, known)
-		delete(e.ackFlight, known)
-		e.plan.Forget = append(e.plan.Forget, known.entry.ID)
+		delete(e.nodes, n.entry.ID)
+		e.removeIncarnation(n)
+		delete(e.pendingAcks, n)
+		delete(e.acksInFlight, n)
+		e.plan.Forget = append(e.plan.Forget, n.entry.ID)
 	}
-	clear(e.nodeOrder[len(kept):])
-	e.nodeOrder = kept
+	clear(e.nodeOrder[len(remaining):])
+	e.nodeOrder = remaining
 }
 
-// Unreachable says that a hold was not answered. lapseAt is when everything
+// Unreachable says that a hold was not answered. leasesExpireAt is when everything
 // there has lapsed if nothing is renewed.
-func (e *Engine) Unreachable(worker string, lapseAt, now time.Time) {
-	known := e.nodes[worker]
-	if known == nil {
+func (e *Engine) Unreachable(worker string, leasesExpireAt, now time.Time) {
+	n := e.nodes[worker]
+	if n == nil {
 		return
 	}
-	e.fellSilent(known, now)
-	if !lapseAt.IsZero() {
-		known.lapseAt = lapseAt
+	e.markSilent(n, now)
+	if !leasesExpireAt.IsZero() {
+		n.leasesExpireAt = leasesExpireAt
 	}
 }
 
-// expire gives up what ran on workers whose leases have lapsed.
-func (e *Engine) expire(now time.Time) {
-	dropped := false
-	for _, known := range e.nodeOrder {
-		if known.answering || known.lapseAt.IsZero() || now.Before(known.lapseAt) || len(known.runs) == 0 {
+// expireLeases gives up what ran on workers whose leases have lapsed.
+func (e *Engine) expireLeases(now time.Time) {
+	unlisted := false
+	for _, n := range e.nodeOrder {
+		if n.answering || n.leasesExpireAt.IsZero() || now.Before(n.leasesExpireAt) || len(n.runs) == 0 {
 			continue
 		}
-		e.lose(known, "lease lapsed", now)
-		dropped = dropped || !known.listed
+		e.loseWorker(n, "lease lapsed", now)
+		unlisted = unlisted || !n.listed
 	}
-	if dropped {
-		e.dropNodes()
+	if unlisted {
+		e.removeNodes()
 	}
 }
--- /dev/null
+++ b/placing/pass.go
@@ -0,0 +1,177 @@
+package placing
+
+import (
+	"strconv"
+	"time"
+)
+
+const (
+	// minPassInterval and passIntervalPerNode set the least time between two passes, some twenty
+	// times the duration of a pass.
+	minPassInterval     = 5 * time.Millisecond
+	passIntervalPerNode = 43 * time.Microsecond
+)
+
+// maybeRunPass runs a pass unless the last one was a moment ago: answers come in bursts, and
+// the cost of a pass grows with the number of workers.
+func (e *Engine) maybeRunPass(now time.Time) {
+	e.logEvacuationsFreshness(now)
+	if !e.evacuationsFresh(now) {
+		return
+	}
+	interval := minPassInterval + time.Duration(len(e.nodeOrder))*passIntervalPerNode
+	if now.Sub(e.lastPassAt) < interval {
+		e.plan.Again = interval - now.Sub(e.lastPassAt)
+		return
+	}
+	e.lastPassAt = now
+	e.runPass(now)
+}
+
+// runPass places waiting work and preempts other work for urgent work that does not fit.
+func (e *Engine) runPass(now time.Time) {
+	units := e.waitingUnits(now)
+	if len(units) == 0 {
+		return
+	}
+	open := e.openView(now)
+	e.logSummary(units, open, now)
+	headroomReserved := false
+	for _, unit := range units {
+		if !headroomReserved && unit.tier != tierUrgent {
+			e.reserveHeadroom(units, open, now)
+			headroomReserved = true
+		}
+		e.placeUnit(unit, open, now)
+	}
+	e.requestAdvice(open, now)
+	e.startDelayed(units, open, now)
+}
+
+// openView returns a view of the free capacity of the schedulable nodes.
+func (e *Engine) openView(now time.Time) *view {
+	e.expireReservations(now)
+	nodes := make([]*node, 0, len(e.nodeOrder))
+	for _, n := range e.nodeOrder {
+		if n.schedulable(now) && e.capacityTrusted(n, now) {
+			nodes = append(nodes, n)
+		}
+	}
+	return e.viewOf(nodes)
+}
+
+// expireReservations drops reservations that were held for longer than the stops may take.
+func (e *Engine) expireReservations(now time.Time) {
+	for _, job := range e.active {
+		if job.reservation != nil && !now.Before(job.reservation.until) {
+			job.reservation = nil
+		}
+	}
+}
+
+// viewOf returns a view of what is free on the given nodes besides reserved capacity.
+func (e *Engine) viewOf(nodes []*node) *view {
+	v := newView(nodes)
+	v.speedsSignificant = e.differences.significant
+	for _, job := range e.active {
+		if job.reservation == nil {
+			continue
+		}
+		for _, seat := range job.reservation.placements {
+			v.allocate(seat.node, seat.task.step.need())
+		}
+	}
+	return v
+}
+
+// usable reports whether a node can accept new work.
+func (n *node) usable(now time.Time) bool {
+	stays := n.listed && n.reported && n.answering && !n.entry.Leaving && !n.evacuated
+	return stays && n.unknownRuns == 0 && !now.Before(n.fullUntil)
+}
+
+// schedulable reports whether a node can accept new work and is neither isolated nor in
+// backoff.
+func (n *node) schedulable(now time.Time) bool {
+	return n.usable(now) && n.isolatedRuns == 0 && !now.Before(n.health.until)
+}
+
+func (e *Engine) placeUnit(unit *unit, open *view, now time.Time) {
+	reservation := unit.releaseReservation(open)
+	placements := e.findPlacements(unit, reservation, open, now)
+	if len(placements) > 0 {
+		e.assumeUnit(unit, placements, open, now)
+		if len(placements) < len(unit.tasks) {
+			e.queueForAdvice(unit)
+		}
+		return
+	}
+	if reservation != nil {
+		unit.reserve(reservation, open)
+		return
+	}
+	e.queueForAdvice(unit)
+	if unit.tier == tierUrgent && !unit.isolated {
+		e.preempt(unit, open, now)
+	}
+}
+
+// releaseReservation returns a unit's reserved capacity to the view for the unit's own use, and
+// returns the reservation.
+func (u *unit) releaseReservation(open *view) *reservation {
+	reservation := u.job.reservation
+	if reservation == nil || reservation.step != u.step || u.isolated {
+		return nil
+	}
+	for _, seat := range reservation.placements {
+		open.release(seat.node, u.step.need())
+	}
+	clear(open.failed) // the reserved capacity is free for this unit
+	u.job.reservation = nil
+	return reservation
+}
+
+// reserve withholds the capacity of a reservation from other units.
+func (u *unit) reserve(reservation *reservation, open *view) {
+	u.job.reservation = reservation
+	for _, seat := range reservation.placements {
+		open.allocate(seat.node, u.step.need())
+	}
+}
+
+// findPlacements finds placements for a unit. While its reservation stands they are in the rack
+// that suits the step, or those of the reservation itself.
+func (e *Engine) findPlacements(unit *unit, reservation *reservation, open *view, now time.Time) []placement {
+	if reservation == nil {
+		return e.preferredPlacements(unit, open, now)
+	}
+	if seats := open.fit(unit, true); seats != nil {
+		return seats
+	}
+	return open.stillAvailable(unit, reservation.placements)
+}
+
+func (e *Engine) assumeUnit(unit *unit, placements []placement, open *view, now time.Time) {
+	number := 0
+	if unit.step.spec.Gang {
+		for _, task := range unit.step.tasks {
+			number = max(number, task.lastRun)
+		}
+		number++
+	}
+	for _, seat := range placements {
+		runNumber := number
+		if runNumber == 0 {
+			runNumber = seat.task.lastRun + 1
+		}
+		if unit.isolated {
+			open.exclude(seat.node)
+		} else {
+			open.allocate(seat.node, unit.step.need())
+		}
+		e.assume(seat.task, seat.node, runNumber)
+	}
+	e.logEvent("placed", unit.job, placements[0].node.entry.ID, "step "+strconv.Itoa(placements[0].task.key.Step)+
+		" tasks "+strconv.Itoa(len(placements))+" of "+strconv.Itoa(len(unit.step.tasks))+
+		" tier "+strconv.Itoa(int(unit.tier))+" waited_ms "+strconv.FormatInt(now.Sub(unit.step.readyAt).Milliseconds(), 10))
+}
--- a/placing/preempt.go
+++ b/placing/preempt.go
@@ -9,194 +9,192 @@
 )
 
 const (
-	// claimSlack is how long beyond the stop of what must go a claim is kept:
-	// the answer of the stop and the report with the end take some
-	// milliseconds. After it room is made elsewhere, for which the reclaim time
-	// must leave a second try.
-	claimSlack = 400 * time.Millisecond
-	// checkpointLoss is the work lost by stopping a task that saves its state,
-	// which it also does at the stop.
+	// reservationSlack is how long a reservation outlives the stop of its victims: the answer to
+	// the stop and the report with the end take some milliseconds. Afterwards other victims are
+	// chosen, and the reclaim time must leave time for this second try.
+	reservationSlack = 400 * time.Millisecond
+	// checkpointLoss is the work lost by stopping a task that saves checkpoints, which it also
+	// does at the stop.
 	checkpointLoss = 300 * time.Millisecond
-	// lossFactor bounds what may be thrown away for an urgent job beyond its
-	// workspace's guarantee, as a multiple of its worth in core-seconds. The users
-	// value an urgent core-second about six times as much as one thrown away, and
-	// what is stopped comes later too.
-	lossFactor = 2
-	// urgentLoss weighs what urgent work beyond its guarantee loses to a guaranteed
-	// job against other losses, with a second for its late end: the users value an
-	// urgent core-second about six times as much.
-	urgentLoss = 6
-	// roomAgain is the pause before room is looked for again for a step that
-	// found none, as the search is the dearest of all.
-	roomAgain = 100 * time.Millisecond
+	// maxLossFactor bounds the work that may be lost for an urgent job beyond its workspace's
+	// guarantee, as a multiple of the job's value in core-seconds. The users value an urgent
+	// core-second about six times as much as a lost one, and the victims also finish later.
+	maxLossFactor = 2
+	// urgentLossWeight is the weight of losses of urgent victims, stopped beyond their guarantee
+	// for a guaranteed job; a second is added for their late end. The users value an urgent
+	// core-second about six times as much.
+	urgentLossWeight = 6
+	// preemptionBackoff is the pause before victims are searched again for a step that found none,
+	// as this search is the most expensive one.
+	preemptionBackoff = 100 * time.Millisecond
 )
 
-// claim is capacity set aside for a step while what runs there is stopped.
-type claim struct {
-	step  *step
-	seats []seat
-	until time.Time
+// reservation is capacity set aside for a step while its victims are stopped.
+type reservation struct {
+	step       *step
+	placements []placement
+	until      time.Time
 }
 
-// victim is what is stopped together: a gang's run or one task's.
+// victim is a set of runs that are stopped together: a gang's or a single one.
 type victim struct {
 	runs []*run
-	loss float64 // core-seconds that would be done again, weighed
+	loss float64 // weighted core-seconds that would be done again
 }
 
-// makeRoom stops work of lower priority so that an urgent unit fits, at the
-// least loss, and sets the room aside for it.
-func (e *Engine) makeRoom(unit *unit, open *view, now time.Time) {
-	if now.Before(unit.step.roomAfter) {
+// preempt stops work of lower priority so that an urgent unit fits, at the least loss, and
+// reserves the capacity for it.
+func (e *Engine) preempt(unit *unit, open *view, now time.Time) {
+	if now.Before(unit.step.nextSearchAt) {
 		return
 	}
 	coming := open.copy()
 	for _, node := range coming.nodes {
 		for _, run := range node.runs {
 			if e.endsSoon(run, now) {
-				coming.give(node, run.need())
+				coming.release(node, run.need())
 			}
 		}
 	}
-	if unit.guaranteed && now.Sub(unit.step.readyAt) >= e.urgentPatience() {
-		unit.overdrawn = e.overdrawn
+	if unit.guaranteed && now.Sub(unit.step.readyAt) >= e.maxUrgentDelay() {
+		unit.overdrawn = e.overGuarantee
 	}
-	if seats := coming.fit(unit, true); seats != nil {
-		e.claim(unit, seats, open, now)
+	if placements := coming.fit(unit, true); placements != nil {
+		e.reserve(unit, placements, open, now)
 		return
 	}
-	chosen, seats := e.choose(unit, coming, now)
-	if seats == nil || !e.worthIt(unit, chosen) {
-		unit.step.roomAfter = now.Add(roomAgain)
+	victims, placements := e.selectVictims(unit, coming, now)
+	if placements == nil || !e.justifiesLoss(unit, victims) {
+		unit.step.nextSearchAt = now.Add(preemptionBackoff)
 		return
 	}
-	for _, victim := range chosen {
+	for _, victim := range victims {
 		for _, run := range victim.runs {
 			e.stopRun(run, "room for "+unit.job.submission.ID, now)
 		}
 	}
-	e.note("preempted", unit.job, "", "victims "+strconv.Itoa(len(chosen)))
-	e.claim(unit, seats, open, now)
+	e.logEvent("preempted", unit.job, "", "victims "+strconv.Itoa(len(victims)))
+	e.reserve(unit, placements, open, now)
 }
 
-// endsSoon reports whether a run was stopped and is not late to end.
+// endsSoon reports whether a run was stopped and its end is not late.
 func (e *Engine) endsSoon(run *run, now time.Time) bool {
-	return !run.stoppedAt.IsZero() && now.Sub(run.stoppedAt) < e.limits.StopWithin+claimSlack
+	return !run.stoppedAt.IsZero() && now.Sub(run.stoppedAt) < e.limits.StopWithin+reservationSlack
 }
 
-func (e *Engine) claim(unit *unit, seats []seat, open *view, now time.Time) {
-	unit.setAside(&claim{step: unit.step, seats: seats, until: now.Add(e.limits.StopWithin + claimSlack)}, open)
+func (e *Engine) reserve(unit *unit, placements []placement, open *view, now time.Time) {
+	unit.reserve(&reservation{step: unit.step, placements: placements, until: now.Add(e.limits.StopWithin + reservationSlack)}, open)
 }
 
-// choose finds what to stop. A gang that is slow unless in one rack gets the
-// rack that costs least; once no rack is worth waiting for, or for any other step, all
-// nodes are one field.
-func (e *Engine) choose(unit *unit, coming *view, now time.Time) ([]victim, []seat) {
-	fields := [][]*node{coming.nodes}
+// selectVictims selects the runs to stop. A gang that is slow outside of one rack gets the rack
+// with the least loss. All nodes are searched together once no rack is worth waiting for, and
+// for any other step.
+func (e *Engine) selectVictims(unit *unit, coming *view, now time.Time) ([]victim, []placement) {
+	groups := [][]*node{coming.nodes}
 	if unit.step.spec.Gang && unit.step.spec.OneRack {
-		fields = coming.racks
+		groups = coming.racks
 	}
-	best := e.cheapest(unit, coming, fields, now)
-	if best == nil && len(fields) > 1 && !e.waitsForRack(unit, coming, now) {
-		best = e.cheapest(unit, coming, [][]*node{coming.nodes}, now)
+	best := e.cheapestPlan(unit, coming, groups, now)
+	if best == nil && len(groups) > 1 && !e.shouldWaitForRack(unit, coming, now) {
+		best = e.cheapestPlan(unit, coming, [][]*node{coming.nodes}, now)
 	}
 	if best == nil {
 		return nil, nil
 	}
-	return best.victims, best.seats
+	return best.victims, best.placements
 }
 
-// clearing is a way to make room in one field of nodes.
-type clearing struct {
-	victims []victim
-	seats   []seat
-	loss    float64
+// preemptionPlan is a set of victims in one group of nodes and the placements that they free.
+type preemptionPlan struct {
+	victims    []victim
+	placements []placement
+	loss       float64
 }
 
-func (e *Engine) cheapest(unit *unit, coming *view, fields [][]*node, now time.Time) *clearing {
-	var best *clearing
-	for _, field := range fields {
-		if !enoughCapacity(unit, field) {
+func (e *Engine) cheapestPlan(unit *unit, coming *view, groups [][]*node, now time.Time) *preemptionPlan {
+	var best *preemptionPlan
+	for _, group := range groups {
+		if !enoughCapacity(unit, group) {
 			continue
 		}
-		found := newField(unit, coming, field, now).clear(best)
-		if found != nil {
-			best = found
+		plan := newVictimSearch(unit, coming, group, now).findPlan(best)
+		if plan != nil {
+			best = plan
 		}
 	}
 	return best
 }
 
-// field is a set of nodes of which room is made on some.
-type field struct {
+// victimSearch searches one group of nodes for victims.
+type victimSearch struct {
 	unit    *unit
-	work    *view
+	view    *view
 	nodes   []*node
 	now     time.Time
 	stopped map[*run]bool
-	next    []*clearing // by position in nodes: the cheapest way to one more seat
+	next    []*preemptionPlan // by position in nodes: the cheapest way to place one more task there
 }
 
-func newField(unit *unit, coming *view, nodes []*node, now time.Time) *field {
-	made := &field{unit: unit, work: coming.copy(), nodes: nodes, now: now, stopped: map[*run]bool{}}
-	made.next = make([]*clearing, len(nodes))
+func newVictimSearch(unit *unit, coming *view, nodes []*node, now time.Time) *victimSearch {
+	s := &victimSearch{unit: unit, view: coming.copy(), nodes: nodes, now: now, stopped: map[*run]bool{}}
+	s.next = make([]*preemptionPlan, len(nodes))
 	for index := range nodes {
-		made.refresh(index)
+		s.refresh(index)
 	}
-	return made
+	return s
 }
 
-func (f *field) refresh(index int) {
+func (f *victimSearch) refresh(index int) {
 	f.next[index] = nil
-	if f.nodes[index].serves(f.unit) {
-		f.next[index] = f.seatOn(f.nodes[index])
+	if f.nodes[index].accepts(f.unit) {
+		f.next[index] = f.planOneMore(f.nodes[index])
 	}
 }
 
-// clear makes room for the unit: one seat after the other where it costs least,
-// until the unit fits. It gives up once it costs as much as the best way known.
-func (f *field) clear(best *clearing) *clearing {
-	found := &clearing{}
+// findPlan adds the cheapest victims for one more task at a time until the unit fits. It gives
+// up once the loss reaches that of the best plan found so far.
+func (f *victimSearch) findPlan(best *preemptionPlan) *preemptionPlan {
+	plan := &preemptionPlan{}
 	wanted := len(f.unit.tasks)
 	if !f.unit.step.spec.Gang {
 		wanted = 1
 	}
 	for {
-		_, room := f.work.options(f.unit, f.nodes)
-		if room >= wanted {
-			found.seats = f.work.fill(f.unit, f.nodes)
-			return found
+		_, count := f.view.candidates(f.unit, f.nodes)
+		if count >= wanted {
+			plan.placements = f.view.pack(f.unit, f.nodes)
+			return plan
 		}
-		next := f.cheapestSeat()
+		next := f.cheapestStep()
 		if next == nil {
 			return nil
 		}
-		found.victims = append(found.victims, next.victims...)
-		found.loss += next.loss
-		if best != nil && found.loss >= best.loss {
+		plan.victims = append(plan.victims, next.victims...)
+		plan.loss += next.loss
+		if best != nil && plan.loss >= best.loss {
 			return nil
 		}
-		f.stop(next)
+		f.release(next)
 	}
 }
 
-func (f *field) cheapestSeat() *clearing {
-	var best *clearing
-	for _, found := range f.next {
-		if found != nil && (best == nil || found.loss < best.loss) {
-			best = found
+func (f *victimSearch) cheapestStep() *preemptionPlan {
+	var best *preemptionPlan
+	for _, plan := range f.next {
+		if plan != nil && (best == nil || plan.loss < best.loss) {
+			best = plan
 		}
 	}
 	return best
 }
 
-// stop frees what the victims occupy, on all nodes that they are on.
-func (f *field) stop(chosen *clearing) {
+// release frees the capacity of the victims on all of their nodes.
+func (f *victimSearch) release(plan *preemptionPlan) {
 	touched := map[*node]bool{}
-	for _, victim := range chosen.victims {
+	for _, victim := range plan.victims {
 		for _, run := range victim.runs {
 			f.stopped[run] = true
-			f.work.give(run.node, run.need())
+			f.view.release(run.node, run.need())
 			touched[run.node] = true
 		}
 	}
@@ -207,58 +205,58 @@
 	}
 }
 
-// enoughCapacity reports whether a unit would fit if nothing else ran but what lasts.
+// enoughCapacity reports whether a unit would fit if only long-running tasks ran beside it.
 func enoughCapacity(unit *unit, nodes []*node) bool {
 	wanted := 1
 	if unit.step.spec.Gang {
 		wanted = len(unit.tasks)
 	}
 	for _, node := range nodes {
-		wanted -= unit.roomOn(node)
+		wanted -= unit.fitCountOn(node)
 	}
 	return wanted <= 0
 }
 
-// seatOn stops runs on one node, least loss first, until one more task fits,
-// and spares those that turn out not to be needed. It returns nil if no stop makes room,
-// as where the step may have no more tasks on the node.
-func (f *field) seatOn(node *node) *clearing {
+// planOneMore selects victims on one node, least loss first, until one more task fits, and
+// drops those that turn out not to be needed. It returns nil if no victims free enough
+// capacity, or if the step may have no more tasks on the node.
+func (f *victimSearch) planOneMore(node *node) *preemptionPlan {
 	need := f.unit.step.need()
-	before := f.work.seats(node, f.unit.step, need, len(f.unit.tasks))
-	if most := f.unit.step.spec.PerWorker; most > 0 && node.countOf(f.unit.step)+before >= most {
+	fitting := f.view.capacityFor(node, f.unit.step, need, len(f.unit.tasks))
+	if limit := f.unit.step.spec.PerWorker; limit > 0 && node.countTasksOf(f.unit.step)+fitting >= limit {
 		return nil
 	}
-	free := f.work.free[node.at]
-	for range before {
+	free := f.view.free[node.at]
+	for range fitting {
 		free = free.Sub(need)
 	}
-	candidates := node.victims(f.unit, f.stopped, f.now)
+	candidates := node.victimsFor(f.unit, f.stopped, f.now)
 	count := 0
 	for count < len(candidates) && !free.Fits(need) {
-		free = free.Add(candidates[count].on(node))
+		free = free.Add(candidates[count].usageOn(node))
 		count++
 	}
 	if !free.Fits(need) {
 		return nil
 	}
-	found := &clearing{}
+	plan := &preemptionPlan{}
 	for index := count - 1; index >= 0; index-- {
-		spared := free.Sub(candidates[index].on(node))
-		if spared.Fits(need) {
-			free = spared
+		without := free.Sub(candidates[index].usageOn(node))
+		if without.Fits(need) {
+			free = without
 			continue
 		}
-		found.victims = append(found.victims, candidates[index])
-		found.loss += candidates[index].loss
+		plan.victims = append(plan.victims, candidates[index])
+		plan.loss += candidates[index].loss
 	}
-	if len(found.victims) == 0 {
+	if len(plan.victims) == 0 {
 		return nil
 	}
-	return found
+	return plan
 }
 
-// on is what a victim occupies on one node.
-func (v victim) on(node *node) jobs.Resources {
+// usageOn returns the resources that a victim occupies on one node.
+func (v victim) usageOn(node *node) jobs.Resources {
 	sum := jobs.Resources{}
 	for _, run := range v.runs {
 		if run.node == node {
@@ -268,19 +266,19 @@
 	return sum
 }
 
-// victims lists what may be stopped on a node for a unit, least loss first.
-func (n *node) victims(unit *unit, stopped map[*run]bool, now time.Time) []victim {
+// victimsFor lists the victims on a node that may be stopped for a unit, least loss first.
+func (n *node) victimsFor(unit *unit, stopped map[*run]bool, now time.Time) []victim {
 	var list []victim
 	for index, candidate := range n.runs {
-		if !candidate.stoppable(unit) || stopped[candidate] {
+		if !candidate.preemptibleFor(unit) || stopped[candidate] {
 			continue
 		}
 		step := candidate.task.step
 		if !step.spec.Gang {
-			list = append(list, victim{runs: []*run{candidate}, loss: candidate.weighed(now)})
+			list = append(list, victim{runs: []*run{candidate}, loss: candidate.weightedLoss(now)})
 			continue
 		}
-		if !n.earlierMember(step, index) {
+		if !n.hasEarlierMember(step, index) {
 			list = append(list, gangVictim(step, now))
 		}
 	}
@@ -288,8 +286,9 @@
 	return list
 }
 
-// earlierMember reports whether a member of the step's gang stands before index.
-func (n *node) earlierMember(step *step, index int) bool {
+// hasEarlierMember reports whether a member of the step's gang precedes index in the runs of
+// the node.
+func (n *node) hasEarlierMember(step *step, index int) bool {
 	for _, run := range n.runs[:index] {
 		if run.task.step == step {
 			return true
@@ -298,25 +297,25 @@
 	return false
 }
 
-func (r *run) stoppable(unit *unit) bool {
+func (r *run) preemptibleFor(unit *unit) bool {
 	job := r.task.step.job
-	below := job.queue.Priority > unit.job.queue.Priority
+	lowerPriority := job.queue.Priority > unit.job.queue.Priority
 	overdrawn := job.queue.Priority == 0 && unit.overdrawn[job.submission.Workspace]
-	return (below || overdrawn) && !r.task.step.spec.Lasting && r.stopSentAt.IsZero() && r.task.run == r
+	return (lowerPriority || overdrawn) && !r.task.step.spec.Lasting && r.stopSentAt.IsZero() && r.task.run == r
 }
 
 func gangVictim(step *step, now time.Time) victim {
-	var made victim
+	var v victim
 	for _, member := range step.tasks {
 		if member.run != nil {
-			made.runs = append(made.runs, member.run)
-			made.loss += member.run.weighed(now)
+			v.runs = append(v.runs, member.run)
+			v.loss += member.run.weightedLoss(now)
 		}
 	}
-	return made
+	return v
 }
 
-// loss is the core-seconds that a stop would throw away.
+// loss returns the core-seconds that a stop would lose.
 func (r *run) loss(now time.Time) float64 {
 	if r.startedAt.IsZero() {
 		return 0
@@ -325,25 +324,25 @@
 	if r.task.step.spec.Checkpoints {
 		worked = min(worked, checkpointLoss)
 	}
-	return worked.Seconds() * cores(r.task.step.spec.Need)
+	return worked.Seconds() * coreEquivalents(r.task.step.spec.Need)
 }
 
-// weighed is the loss of a stop as it is compared with others.
-func (r *run) weighed(now time.Time) float64 {
+// weightedLoss returns the loss of a stop, weighted for comparison with others.
+func (r *run) weightedLoss(now time.Time) float64 {
 	if r.task.step.job.queue.Priority == 0 {
-		return urgentLoss * (r.loss(now) + cores(r.task.step.spec.Need))
+		return urgentLossWeight * (r.loss(now) + coreEquivalents(r.task.step.spec.Need))
 	}
 	return r.loss(now)
 }
 
-// worthIt allows any loss inside the workspace's guarantee, and beyond it what
-// the job's own worth covers.
-func (e *Engine) worthIt(unit *unit, chosen []victim) bool {
+// justifiesLoss allows any loss within the workspace's guarantee, and beyond it as much as the
+// value of the job covers.
+func (e *Engine) justifiesLoss(unit *unit, victims []victim) bool {
 	lost := 0.0
-	for _, victim := range chosen {
+	for _, victim := range victims {
 		lost += victim.loss
 	}
-	own := e.work(unit.job, unit.occurrence, false)
-	worth := baseWorth*e.meanWork(unit.job, own) + workWorth*own
-	return lost <= lossFactor*worth || unit.guaranteed
+	own := e.coreSeconds(unit.job, unit.occurrence, false)
+	worth := baseValue*e.meanWork(unit.job, own) + workValue*own
+	return lost <= maxLossFactor*worth || unit.guaranteed
 }
--- a/placing/preference.go
+++ b/placing/preference.go
@@ -2,60 +2,60 @@
 
 import "time"
 
-// preference is a reason to leave work waiting though it fits somewhere.
+// preference is a reason to delay work although it fits on some worker.
 type preference int
 
 const (
-	preferOneRack   preference = iota // a gang's tasks in one rack
-	preferDataRack                    // the rack where the data lies
-	preferKeptClear                   // room that is kept clear of work that can wait
-	preferRested                      // workers that rest after failures
-	preferApart                       // a worker that a suspected task has to itself
-	preferEmpty                       // an empty and steady worker for a suspected task
-	preferOther                       // another worker than the last that it failed on
-	preferences
+	preferOneRack      preference = iota // all tasks of a gang in one rack
+	preferDataRack                       // the rack that holds the data
+	preferHeadroom                       // headroom reserved against deferrable work
+	preferOutOfBackoff                   // no worker in backoff after failures
+	preferNotIsolated                    // no worker that runs an isolated suspect task
+	preferEmpty                          // an empty worker that has not recently restarted, for a suspect task
+	preferOtherWorker                    // not the worker on which it failed last
+	preferenceCount
 )
 
-var preferenceNames = [preferences]string{"one_rack", "data_rack", "kept_clear", "rested", "apart", "empty", "other_worker"}
+var preferenceNames = [preferenceCount]string{"one_rack", "data_rack", "kept_clear", "rested", "apart", "empty", "other_worker"}
 
-// against names the preferences that a unit's seats would go against. kept are the nodes
-// that are kept clear of its class.
-func (u *unit) against(seats []seat, kept map[*node]bool, now time.Time) []string {
-	var found [preferences]bool
-	for _, seat := range seats {
+// violatedPreferences names the preferences that some placements of a unit violate. headroom
+// holds the nodes reserved against its class.
+func (u *unit) violatedPreferences(placements []placement, headroom map[*node]bool, now time.Time) []string {
+	var violated [preferenceCount]bool
+	for _, seat := range placements {
 		node := seat.node
-		for preference, goes := range [preferences]bool{
-			preferOneRack:   u.step.spec.Gang && u.step.spec.OneRack && node.entry.Rack != seats[0].node.entry.Rack,
-			preferDataRack:  u.step.spec.DataRack != "" && node.entry.Rack != u.step.spec.DataRack,
-			preferKeptClear: kept[node],
-			preferRested:    now.Before(node.health.until),
-			preferApart:     node.isolating > 0,
-			preferEmpty:     u.isolated && len(node.runs) > 0,
-			preferOther:     u.avoid == node.entry.ID,
+		for preference, violates := range [preferenceCount]bool{
+			preferOneRack:      u.step.spec.Gang && u.step.spec.OneRack && node.entry.Rack != placements[0].node.entry.Rack,
+			preferDataRack:     u.step.spec.DataRack != "" && node.entry.Rack != u.step.spec.DataRack,
+			preferHeadroom:     headroom[node],
+			preferOutOfBackoff: now.Before(node.health.until),
+			preferNotIsolated:  node.isolatedRuns > 0,
+			preferEmpty:        u.isolated && len(node.runs) > 0,
+			preferOtherWorker:  u.avoid == node.entry.ID,
 		} {
-			found[preference] = found[preference] || goes
+			violated[preference] = violated[preference] || violates
 		}
 	}
 	var names []string
-	for preference, goes := range found {
-		if goes {
+	for preference, violates := range violated {
+		if violates {
 			names = append(names, preferenceNames[preference])
 		}
 	}
 	return names
 }
 
-// keptNodes are the nodes that are kept clear, by the class of work that they are kept
-// clear of.
-func (v *view) keptNodes() [classes]map[*node]bool {
-	var kept [classes]map[*node]bool
-	for class, closed := range v.closed {
-		kept[class] = map[*node]bool{}
+// headroomNodes returns the nodes that are reserved as headroom, by the class of work that they
+// are withheld from.
+func (v *view) headroomNodes() [classes]map[*node]bool {
+	var headroom [classes]map[*node]bool
+	for class, closed := range v.headroom {
+		headroom[class] = map[*node]bool{}
 		for at, isClosed := range closed {
 			if isClosed {
-				kept[class][v.nodes[at]] = true
+				headroom[class][v.nodes[at]] = true
 			}
 		}
 	}
-	return kept
+	return headroom
 }
--- a/placing/property_test.go
+++ b/placing/property_test.go
@@ -10,58 +10,58 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// propertySteps is rapid's usual number of steps; these properties draw few.
-const propertySteps = "30"
+// rapidSteps is rapid's usual number of steps; these properties draw few values.
+const rapidSteps = "30"
 
-func TestMain(m *testing.M) { prooftest.Main(m, propertySteps) }
+func TestMain(m *testing.M) { prooftest.Main(m, rapidSteps) }
 
-// Whatever is lost, late, cut off or replaced: no task runs twice at a time or
-// after its end was noted, none before the steps it waits for, none is ordered where the
-// holder knows of an evacuation, no job fails
-// without the failures it is allowed, none waits beside idle room, and once things are
-// calm all jobs end.
+// With lost, late and partitioned messages, worker restarts and leader changes: no task runs
+// twice at a time or after its end was acknowledged, none starts before the steps it depends
+// on or in a zone that the leader knows as evacuated, no job fails without as many failures as
+// it is allowed, no task waits beside idle capacity, and once faults stop all jobs end.
 func TestNothingRunsTwiceAndAllEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(4, 7).Draw(t, "workers"))
-		w.watchIdle(false)
-		w.takeOver()
-		w.run(12*time.Second, func() {
-			w.mishap()
-			if len(w.jobs) < 14 && w.random.IntN(40) == 0 {
-				w.submit()
+		s := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(4, 7).Draw(t, "workers"))
+		s.enableDelayCheck(false)
+		s.changeLeader()
+		s.run(12*time.Second, func() {
+			s.injectFault()
+			if len(s.jobs) < 14 && s.rng.IntN(40) == 0 {
+				s.submitRandomJob()
 			}
 		})
-		w.calm = true
-		w.openZones()
-		w.run(60*time.Second, func() {})
-		for _, fault := range w.faults {
+		s.faultsDisabled = true
+		s.endEvacuations()
+		s.run(60*time.Second, func() {})
+		for _, fault := range s.violations {
 			t.Error(fault)
 		}
-		checkEnds(t, w)
+		checkEnds(t, s)
 	})
 }
 
-func checkEnds(t *rapid.T, w *world) {
-	for _, submission := range w.jobs {
-		state := w.table.Job(submission.ID).State()
+func checkEnds(t *rapid.T, s *simulation) {
+	for _, job := range s.jobs {
+		state := s.table.Job(job.ID).State()
 		if !state.Final() {
-			t.Errorf("job %s is still %s", submission.ID, state)
+			t.Errorf("job %s is still %s", job.ID, state)
 		}
-		if state == jobs.StateFailed && !failedOften(w, submission) && !lostOften(w, submission) {
-			t.Errorf("job %s failed without %d failures of a task, and without %d lost workers", submission.ID, submission.Queue.MaxAttempts, lossesToGiveUp)
+		if state == jobs.StateFailed && !failedTooOften(s, job) && !lostTooOften(s, job) {
+			t.Errorf("job %s failed without %d failures of a task, and without %d lost workers", job.ID, job.Queue.MaxAttempts, minLossesToGiveUp)
 		}
 	}
 }
 
-// lossesToGiveUp is under how many lost workers the users allow a task to be given up.
-const lossesToGiveUp = 2
+// minLossesToGiveUp is the number of workers that must be lost under a task before it may be
+// given up.
+const minLossesToGiveUp = 2
 
-// lostOften reports whether so many workers were lost under a task, or under a gang, that
-// its job may be given up.
-func lostOften(w *world, submission *jobs.Submission) bool {
-	for step := range submission.Steps {
-		for index := range submission.Steps[step].Tasks {
-			if w.lost[jobs.TaskKey{Job: submission.ID, Step: step, Index: index}] >= lossesToGiveUp {
+// lostTooOften reports whether a task or a gang lost enough workers for its job to be given
+// up.
+func lostTooOften(s *simulation, job *jobs.Submission) bool {
+	for step := range job.Steps {
+		for i := range job.Steps[step].Tasks {
+			if s.workerLosses[jobs.TaskKey{Job: job.ID, Step: step, Index: i}] >= minLossesToGiveUp {
 				return true
 			}
 		}
@@ -69,19 +69,19 @@
 	return false
 }
 
-// failedOften reports whether a task, or the members of a gang together, ended
-// as failed as often as it takes.
-func failedOften(w *world, submission *jobs.Submission) bool {
-	for step := range submission.Steps {
-		together := 0
-		for index := range submission.Steps[step].Tasks {
-			count := w.ended[jobs.TaskKey{Job: submission.ID, Step: step, Index: index}]
-			together += count
-			if count >= submission.Queue.MaxAttempts {
+// failedTooOften reports whether a task, or the members of a gang together, used up the
+// allowed attempts.
+func failedTooOften(s *simulation, job *jobs.Submission) bool {
+	for step := range job.Steps {
+		gangFailures := 0
+		for i := range job.Steps[step].Tasks {
+			count := s.failures[jobs.TaskKey{Job: job.ID, Step: step, Index: i}]
+			gangFailures += count
+			if count >= job.Queue.MaxAttempts {
 				return true
 			}
 		}
-		if submission.Steps[step].Gang && together >= submission.Queue.MaxAttempts {
+		if job.Steps[step].Gang && gangFailures >= job.Queue.MaxAttempts {
 			return true
 		}
 	}
--- /dev/null
+++ b/placing/rack_delay.go
@@ -0,0 +1,141 @@
+package placing
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// rackDelayFactor bounds how long a step waits for a rack that suits it, as a share of its
+	// expected run time: outside of it the step takes three times as long, so waiting up to its
+	// own run time is the better choice.
+	rackDelayFactor = 1.0
+	// urgentDelayShare is the bound for urgent steps, as a share of the reclaim time. They have
+	// to start within all of it, and some need a preemption first.
+	urgentDelayShare = 0.4
+	// reconnectTimeout is how long a silent worker is expected back: within it connections that
+	// were reset are opened again.
+	reconnectTimeout = time.Second
+)
+
+// preferredPlacements finds the placements that suit a unit best. A step waits for its rack
+// only with as many tasks as the rack could hold; the others go elsewhere.
+func (e *Engine) preferredPlacements(unit *unit, open *view, now time.Time) []placement {
+	if unit.isolated || !unit.prefersRack() || !e.mayWaitForRack(unit, now) {
+		return open.fit(unit, false)
+	}
+	fitting := e.rackFitCount(unit, open, now)
+	if fitting == 0 {
+		return open.fit(unit, false)
+	}
+	near := open.fit(unit, true)
+	elsewhere := len(unit.tasks) - max(fitting, len(near))
+	if elsewhere == 0 {
+		return near
+	}
+	all := open.fit(unit, false) // those in the rack come first
+	return all[:min(len(all), len(near)+elsewhere)]
+}
+
+// prefersRack reports whether the unit is slower outside of one rack.
+func (u *unit) prefersRack() bool {
+	return u.step.spec.Gang && u.step.spec.OneRack || u.step.spec.DataRack != ""
+}
+
+// mayWaitForRack reports whether a step may still be delayed for a rack that suits it.
+func (e *Engine) mayWaitForRack(unit *unit, now time.Time) bool {
+	maxDelay := time.Duration(rackDelayFactor * float64(e.expectedRuntime(unit.job, unit.tasks[0].key.Step)))
+	if unit.tier == tierUrgent {
+		maxDelay = min(maxDelay, e.maxUrgentDelay())
+	}
+	return now.Sub(unit.step.readyAt) < maxDelay
+}
+
+// shouldWaitForRack reports whether a unit may still wait for a rack that could hold it.
+func (e *Engine) shouldWaitForRack(unit *unit, open *view, now time.Time) bool {
+	return e.mayWaitForRack(unit, now) && e.rackFitCount(unit, open, now) > 0
+}
+
+// rackFitCount returns how many of a unit's tasks its rack could hold; of a gang all or none.
+func (e *Engine) rackFitCount(unit *unit, open *view, now time.Time) int {
+	counts := e.rackFitCounts(unit, open, now)
+	if !unit.step.spec.Gang {
+		return min(len(unit.tasks), counts[unit.step.spec.DataRack])
+	}
+	for _, count := range counts {
+		if count >= len(unit.tasks) {
+			return len(unit.tasks)
+		}
+	}
+	return 0
+}
+
+// rackFitCounts returns how many tasks like those of a unit each suitable rack could hold.
+// Units of the same kind share the counts of a pass.
+func (e *Engine) rackFitCounts(unit *unit, open *view, now time.Time) map[string]int {
+	key := open.fitKeyOf(unit, true)
+	cacheable := unit.step.spec.PerWorker == 0 && !unit.job.queue.Advised
+	if known := open.rackFitCounts[key]; known != nil && cacheable {
+		return known
+	}
+	counts := map[string]int{}
+	for _, known := range e.nodeOrder {
+		if known.expectedUsable(now) && unit.eligible(known) && unit.suitsRack(known.entry.Rack) {
+			counts[known.entry.Rack] += unit.fitCountOn(known)
+		}
+	}
+	if cacheable {
+		open.rackFitCounts[key] = counts
+	}
+	return counts
+}
+
+// fitsWithout reports whether workers other than the avoided one could hold a unit, or one
+// task of a unit whose tasks start alone.
+func (e *Engine) fitsWithout(unit *unit, avoided string) bool {
+	wanted := 1
+	if unit.step.spec.Gang {
+		wanted = len(unit.tasks)
+	}
+	for _, n := range e.nodeOrder {
+		if n.entry.ID != avoided && n.expectedUsable(unit.now) && unit.eligible(n) {
+			wanted -= unit.fitCountOn(n)
+		}
+		if wanted <= 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// expectedUsable reports whether a node is expected to accept new work soon: it is not leaving
+// or evacuated, and it answers, has not been reached in this term, or fell silent only just
+// now.
+func (n *node) expectedUsable(now time.Time) bool {
+	stays := n.listed && !n.entry.Leaving && !n.evacuated
+	return stays && (n.silentAt.IsZero() || now.Sub(n.silentAt) < reconnectTimeout)
+}
+
+// suitsRack reports whether a unit may wait for a rack.
+func (u *unit) suitsRack(rack string) bool {
+	return u.step.spec.Gang && u.step.spec.OneRack || rack == u.step.spec.DataRack
+}
+
+// fitCountOn returns how many tasks like those of a unit a node could hold beside its
+// long-running tasks.
+func (u *unit) fitCountOn(n *node) int {
+	free := n.entry.Capacity
+	for _, run := range n.runs {
+		if run.task.step.spec.Lasting && run.stopSentAt.IsZero() {
+			free = free.Sub(run.need())
+		}
+	}
+	need := u.step.need()
+	count := quotient(free.Accelerators, need.Accelerators, math.MaxInt32)
+	count = quotient(free.MilliCores, need.MilliCores, count)
+	count = quotient(free.MemoryMB, need.MemoryMB, count)
+	if u.step.spec.PerWorker > 0 {
+		count = min(count, u.step.spec.PerWorker-n.countTasksOf(u.step))
+	}
+	return max(0, count)
+}
--- a/placing/rack_wait_test.go
+++ b/placing/rack_delay_test.go
@@ -8,11 +8,11 @@
 	"github.com/matryer/is"
 )
 
-// racksOfSix is a pool of 48 workers, six to a rack.
+// racksOfSix returns a pool of 48 workers, six to a rack.
 func racksOfSix() *cluster { return newClusterOf(8, 6) }
 
-// beginsWithin lets time pass until a job has begun, at most for limit.
-func (c *cluster) beginsWithin(id string, limit time.Duration) bool {
+// startsWithin advances the time until a job has started, at most by limit.
+func (c *cluster) startsWithin(id string, limit time.Duration) bool {
 	for end := c.now.Add(limit); c.now.Before(end); {
 		for _, start := range c.step().Starts {
 			if start.Task.Job == id {
@@ -23,7 +23,7 @@
 	return false
 }
 
-func TestGangWiderThanEveryRackBeginsBesideIdleWorkers(t *testing.T) {
+func TestGangWiderThanEveryRackStartsOnIdleWorkers(t *testing.T) {
 	for _, tasks := range []int{13, 14, 16, 24} {
 		t.Run(fmt.Sprint(tasks), func(t *testing.T) {
 			is := is.New(t)
@@ -32,17 +32,17 @@
 			gang.EstimateMS = 117_907
 			held := testJob(hexID(1), 1, gang)
 			c.submit(held)
-			is.True(c.beginsWithin(held.ID, overdueAfter)) // 48 idle workers
+			is.True(c.startsWithin(held.ID, overdueAfter)) // 48 idle workers
 		})
 	}
 }
 
-func TestGangBeginsWhereEachRackLacksAWorkerForLong(t *testing.T) {
+func TestGangStartsElsewhereWhenEveryRackLacksAWorker(t *testing.T) {
 	occupy := map[string]func(c *cluster, rack string){
 		"away": func(c *cluster, rack string) {
 			for _, known := range c.engine.nodeOrder {
 				if known.entry.Rack == rack {
-					c.engine.Unreachable(known.entry.ID, time.Time{}, c.now.Add(-backSoon))
+					c.engine.Unreachable(known.entry.ID, time.Time{}, c.now.Add(-reconnectTimeout))
 					return
 				}
 			}
@@ -53,7 +53,7 @@
 			c.submit(testJob("long-"+rack, 2, small))
 		},
 		"in use by a lasting task": func(c *cluster, rack string) {
-			small := lastingStep(1)
+			small := longRunningStep(1)
 			small.RequiredLabel = rack
 			c.submit(testJob("lasting-"+rack, 2, small))
 		},
@@ -70,12 +70,12 @@
 			gang.EstimateMS = 60_000
 			held := testJob(hexID(1), 1, gang)
 			c.submit(held)
-			is.True(c.beginsWithin(held.ID, overdueAfter))
+			is.True(c.startsWithin(held.ID, overdueAfter))
 		})
 	}
 }
 
-// Away from its rack a gang takes three times as long.
+// Outside of one rack a gang takes three times as long.
 func TestGangWaitsForARackThatComesFreeSoon(t *testing.T) {
 	is := is.New(t)
 	d := newDay(2)
@@ -88,7 +88,7 @@
 	gang := testJob(hexID(9), 1, gangStep(8, 4))
 	d.hand(gang, time.Second)
 	for range 40 {
-		if d.play(); d.begun(gang.ID) {
+		if d.play(); d.allRunning(gang.ID) {
 			break
 		}
 	}
@@ -96,7 +96,7 @@
 	is.True(d.now.Sub(d.handed[gang.ID]) < 1500*time.Millisecond)
 }
 
-func TestTasksThatTheirDataRackCannotHoldInTimeBeginElsewhere(t *testing.T) {
+func TestTasksBeyondTheirDataRackStartElsewhere(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(3)
 	step := testStep(6, 8) // the rack holds four
--- a/placing/turn_test.go
+++ b/placing/ready_time_test.go
@@ -9,8 +9,8 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// folded are jobs as a new holder of the term finds them on record.
-func folded(t *testing.T, submission *jobs.Submission, written []jobs.Record) []*jobs.Job {
+// foldJobs returns the jobs that a new leader reads from the log.
+func foldJobs(t *testing.T, submission *jobs.Submission, written []jobs.Record) []*jobs.Job {
 	t.Helper()
 	table := jobs.NewTable()
 	first, err := jobs.SubmissionRecord(submission)
@@ -25,7 +25,7 @@
 	return table.All()
 }
 
-func TestTurnOfAStepDoesNotDependOnWhoHoldsTheTerm(t *testing.T) {
+func TestReadyTimeOfStepDoesNotDependOnLeader(t *testing.T) {
 	is := is.New(t)
 	second := testStep(1, 1)
 	second.After = []int{0}
@@ -35,29 +35,29 @@
 	c := newCluster(1)
 	c.submit(submission)
 	c.steps(1)
-	first := c.engine.jobs[submission.ID].runs[0].steps[0].tasks[0]
+	first := c.engine.jobs[submission.ID].occurrences[0].steps[0].tasks[0]
 	c.now = c.now.Add(4 * time.Second)
-	turn := c.now
+	ready := c.now
 	end := EndedTask{Number: 1, Task: first.key, Run: 1, How: EndDone}
 	c.engine.Report(first.run.node.entry.ID, c.now, nil, []EndedTask{end}, time.Time{}, c.now)
 	records := c.engine.Decide(c.now).Records
 
 	for _, later := range []time.Duration{time.Second, 5 * time.Second} {
 		next := testEngine(2)
-		next.Load(folded(t, submission, records), FormerHandedOver, turn.Add(later))
+		next.Load(foldJobs(t, submission, records), FormerHandedOver, ready.Add(later))
 		next.Complete()
-		next.Decide(turn.Add(later))
-		step := next.jobs[submission.ID].runs[0].steps[1]
-		is.True(step.readyAt.Equal(turn))
-		is.True(step.seenAt.Equal(turn.Add(later)))
+		next.Decide(ready.Add(later))
+		step := next.jobs[submission.ID].occurrences[0].steps[1]
+		is.True(step.readyAt.Equal(ready))
+		is.True(step.observedReadyAt.Equal(ready.Add(later)))
 	}
 }
 
-func TestTurnOfAFirstStepIsWhenItsJobWasAccepted(t *testing.T) {
+func TestReadyTimeOfFirstStepIsWhenItsJobWasAccepted(t *testing.T) {
 	is := is.New(t)
 	submission := testJob(hexID(1), 1, testStep(1, 1))
 	submission.Steps[0].RequiredLabel = "nowhere"
-	for age, turn := range map[time.Duration]time.Time{
+	for age, ready := range map[time.Duration]time.Time{
 		7 * time.Second:  testStart.Add(-7 * time.Second),
 		-7 * time.Second: testStart, // accepted by an instance whose time of day is ahead
 	} {
@@ -65,6 +65,6 @@
 		e := testEngine(1)
 		e.Load([]*jobs.Job{{Submission: submission}}, FormerHandedOver, testStart)
 		e.Decide(testStart)
-		is.True(e.jobs[submission.ID].runs[0].steps[0].readyAt.Equal(turn))
+		is.True(e.jobs[submission.ID].occurrences[0].steps[0].readyAt.Equal(ready))
 	}
 }
--- /dev/null
+++ b/placing/recently_restarted.go
@@ -0,0 +1,82 @@
+package placing
+
+import (
+	"fmt"
+	"time"
+)
+
+const (
+	// maxUnexplainedLosses is how many workers without a run that had just started may fall silent
+	// within earlyLoss of a loss for the loss to count against a task. More point to a power
+	// failure of a data center room, or to this instance's own connections.
+	maxUnexplainedLosses = 3
+	// recentRestartPeriod is how long a worker counts as recently restarted after a former
+	// incarnation at its address was lost: workers that crash repeatedly do so every few seconds.
+	recentRestartPeriod = 30 * time.Second
+)
+
+// markSilent records that a node does not answer.
+func (e *Engine) markSilent(n *node, now time.Time) {
+	n.answering = false
+	if !n.silentAt.IsZero() {
+		return
+	}
+	n.silentAt = now
+	for len(e.unexplainedSilences) > 0 && now.Sub(e.unexplainedSilences[0]) > recentRestartPeriod {
+		e.unexplainedSilences = e.unexplainedSilences[1:]
+	}
+	if !n.hasRecentStart(now) {
+		e.unexplainedSilences = append(e.unexplainedSilences, now)
+	}
+}
+
+// unexplainedLossesNear returns how many workers without a run that had just started fell silent
+// within earlyLoss of a moment.
+func (e *Engine) unexplainedLossesNear(at time.Time) int {
+	count := 0
+	for _, lossAt := range e.unexplainedSilences {
+		if lossAt.Sub(at).Abs() < earlyLoss {
+			count++
+		}
+	}
+	return count
+}
+
+// hasRecentStart reports whether a run on the node started within earlyLoss before a moment.
+func (n *node) hasRecentStart(at time.Time) bool {
+	for _, run := range n.runs {
+		if startedAt := run.workStartedAt(); !startedAt.IsZero() && at.Sub(startedAt) < earlyLoss {
+			return true
+		}
+	}
+	return false
+}
+
+// markRecentlyRestarted marks the incarnations that follow a lost one at its address as
+// recently restarted for some time, whatever they finish meanwhile: work prefers other workers,
+// and their loss does not count against a task.
+func (e *Engine) markRecentlyRestarted(address string, now time.Time) {
+	if address == "" {
+		return // of an incarnation known from the log alone
+	}
+	for other, until := range e.recentlyRestarted {
+		if now.After(until) {
+			delete(e.recentlyRestarted, other)
+		}
+	}
+	e.recentlyRestarted[address] = now.Add(recentRestartPeriod)
+	for _, n := range e.nodeOrder {
+		if n.entry.Address == address {
+			n.recentlyRestartedUntil = e.recentlyRestarted[address]
+		}
+	}
+}
+
+// silenceDetail returns, for the log, how long a node has not answered. A node on which a former
+// leader placed work may never have answered this one.
+func (n *node) silenceDetail(now time.Time) string {
+	if n.silentAt.IsZero() {
+		return "never answered"
+	}
+	return fmt.Sprintf("silent_ms %d", now.Sub(n.silentAt).Milliseconds())
+}
--- a/placing/report.go
+++ b/placing/report.go
@@ -7,63 +7,63 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// Report takes a worker's answer to a hold that was sent at sentAt. lapseAt is
-// when everything there lapses if nothing is renewed after it.
+// Report handles a worker's answer to a hold that was sent at sentAt. lapseAt is when all
+// leases on the worker expire unless they are renewed later.
 func (e *Engine) Report(worker string, sentAt time.Time, running []RunningTask, ended []EndedTask, lapseAt, now time.Time) {
-	known := e.nodes[worker]
-	if known == nil {
+	n := e.nodes[worker]
+	if n == nil {
 		return
 	}
-	e.answeredBy(known, now)
-	if !known.reported {
+	e.handleAnswer(n, now)
+	if !n.reported {
 		e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_reported", Worker: worker,
 			Detail: "running " + strconv.Itoa(len(running)) + " ended " + strconv.Itoa(len(ended))})
 	}
-	known.reported = true
-	known.answering = true
-	known.silentAt = time.Time{}
+	n.reported = true
+	n.answering = true
+	n.silentAt = time.Time{}
 	if !lapseAt.IsZero() {
-		known.lapseAt = lapseAt
+		n.leasesExpireAt = lapseAt
 	}
 	for _, end := range ended {
-		if e.jobs[end.Task.Job] == nil && !e.complete {
-			break // it and later ones are listed again
+		if e.jobs[end.Task.Job] == nil && !e.jobsComplete {
+			break // it and later ends are listed again
 		}
-		e.ended(known, end, now)
+		e.applyEnd(n, end, now)
 	}
-	listed := e.running(known, running, now)
-	e.settleMissing(known, listed, sentAt, now)
-	e.pace(known, running, now)
-	if len(ended) > 0 && known.seenEnd > 0 {
-		e.ackPending[known] = known.seenEnd
+	listed := e.applyRunning(n, running, now)
+	e.reconcileMissing(n, listed, sentAt, now)
+	e.paceFillers(n, running, now)
+	if len(ended) > 0 && n.lastEnd > 0 {
+		e.pendingAcks[n] = n.lastEnd
 	}
 }
 
-// running takes the rows of what runs, and returns the runs found.
-func (e *Engine) running(known *node, rows []RunningTask, now time.Time) map[*run]bool {
-	listed := make(map[*run]bool, len(rows))
-	known.foreign = 0
+// applyRunning handles the rows of running tasks and returns the runs found.
+func (e *Engine) applyRunning(n *node, rows []RunningTask, now time.Time) map[*run]bool {
+	reported := make(map[*run]bool, len(rows))
+	n.unknownRuns = 0
 	for _, row := range rows {
-		run := known.find(row.Task, row.Run)
+		run := n.findRun(row.Task, row.Run)
 		if run == nil {
-			run = e.adopt(known, row, now)
+			run = e.adoptRun(n, row, now)
 		}
 		if run == nil {
-			known.foreign++
+			n.unknownRuns++
 			continue
 		}
-		listed[run] = true
-		e.observe(run, row, now)
+		reported[run] = true
+		e.observeRun(run, row, now)
 	}
-	return listed
+	return reported
 }
 
-func (e *Engine) observe(run *run, row RunningTask, now time.Time) {
+func (e *Engine) observeRun(run *run, row RunningTask, now time.Time) {
 	if !run.seen {
 		run.seen = true
-		run.wantNode = false
+		run.unconfirmed = false
 		if run.phase == phaseOrdered {
-			e.accepted(run, now)
+			e.startAccepted(run, now)
 		}
 		if run.startedAt.IsZero() {
 			run.startedAt = now
@@ -74,7 +74,7 @@
 		}
 	}
 	run.reportedAt = now
-	e.outlived(run, row, now)
+	e.clearLosses(run, row, now)
 	defer e.compareSpeed(run, now)
 	if row.Percent > run.percent {
 		run.percent = row.Percent
@@ -84,90 +84,88 @@
 		}
 	}
 	if row.Checkpoint != "" {
-		e.keepCheckpoint(run.task, row.Checkpoint)
+		e.recordCheckpoint(run.task, row.Checkpoint)
 	}
 }
 
-// keepCheckpoint remembers the newest saved state of a task; that of a gang's
-// member is every member's.
-func (e *Engine) keepCheckpoint(task *task, saved string) {
+// recordCheckpoint stores the newest checkpoint of a task; that of a gang's member counts for
+// every member.
+func (e *Engine) recordCheckpoint(task *task, checkpoint string) {
 	if !task.step.spec.Gang {
-		task.checkpoint = saved
+		task.checkpoint = checkpoint
 		return
 	}
 	for _, member := range task.step.tasks {
-		member.checkpoint = saved
+		member.checkpoint = checkpoint
 	}
 }
 
-// adopt takes over a run that the log did not name, or stops it if it must not
-// go on.
-func (e *Engine) adopt(known *node, row RunningTask, now time.Time) *run {
+// adoptRun takes over a run that is not on record, or stops it if it must not go on.
+func (e *Engine) adoptRun(n *node, row RunningTask, now time.Time) *run {
 	job := e.jobs[row.Task.Job]
 	var task *task
 	if job != nil {
 		task = job.task(row.Task)
 	}
-	if job == nil && !e.complete {
+	if job == nil && !e.jobsComplete {
 		return nil
 	}
 	if task == nil {
-		e.plan.Stops = append(e.plan.Stops, Stop{Task: row.Task, Run: row.Run, Worker: known.entry.ID})
+		e.plan.Stops = append(e.plan.Stops, Stop{Task: row.Task, Run: row.Run, Worker: n.entry.ID})
 		return nil
 	}
-	run := &run{task: task, number: row.Run, node: known, phase: phaseRunning, startedAt: now, resumed: true}
-	known.add(run)
+	run := &run{task: task, number: row.Run, node: n, phase: phaseRunning, startedAt: now, resumed: true}
+	n.addRun(run)
 	if task.run == nil && !task.done && !job.state.Final() {
 		task.run = run
 		task.lastRun = max(task.lastRun, row.Run)
-		e.note("run_adopted", job, known.entry.ID, row.Task.String())
+		e.logEvent("run_adopted", job, n.entry.ID, row.Task.String())
 		return run
 	}
 	e.stopRun(run, "another run of the task counts", now)
 	return run
 }
 
-// settleMissing resolves runs that the report would have to show but does not.
-// Only a report asked for after the run was accepted, or after its stop was
-// taken, says anything about it; so does the first report of a term about runs
-// on record, since older orders are fenced off by then.
-func (e *Engine) settleMissing(known *node, listed map[*run]bool, sentAt, now time.Time) {
-	for _, run := range append([]*run(nil), known.runs...) {
-		if listed[run] || run.phase == phasePlanned {
+// reconcileMissing ends runs that the report should list but does not. A report decides only if
+// it was requested after the run was accepted, or after its stop was acknowledged. The first
+// report of a term also decides for runs on record, since older orders are fenced off by then.
+func (e *Engine) reconcileMissing(n *node, reported map[*run]bool, sentAt, now time.Time) {
+	for _, run := range append([]*run(nil), n.runs...) {
+		if reported[run] || run.phase == phasePlanned {
 			continue
 		}
 		switch {
-		case run.wantNode:
-			e.resolveWanted(run, now)
+		case run.unconfirmed:
+			e.endMissingRun(run, now)
 		case !run.stopDoneAt.IsZero() && sentAt.After(run.stopDoneAt):
-			e.resolve(run, "stopped", now)
+			e.endRun(run, "stopped", now)
 		case run.phase == phaseRunning && sentAt.After(run.startedAt):
-			e.resolve(run, "lost by its worker", now)
+			e.endRun(run, "lost by its worker", now)
 		}
 	}
 }
 
-// resolveWanted settles a run on record that is not at its worker. If that has started
-// again since, the run was lost with its former life.
-func (e *Engine) resolveWanted(run *run, now time.Time) {
-	if !run.outlived {
-		e.resolve(run, "not at its worker", now)
+// endMissingRun ends a run on record that is not at its worker. If the worker has restarted
+// since, the run was lost with the former incarnation.
+func (e *Engine) endMissingRun(run *run, now time.Time) {
+	if !run.workerRestarted {
+		e.endRun(run, "not at its worker", now)
 		return
 	}
-	e.blame(run, now)
-	e.resolve(run, "worker started again", now)
-	e.giveUp(run.task, now)
+	e.countLoss(run, now)
+	e.endRun(run, "worker started again", now)
+	e.failIfLossesExceeded(run.task, now)
 }
 
-// ended takes one end. Ends are listed again until they are acknowledged, so
+// applyEnd handles one reported end. Ends are listed again until they are acknowledged, so
 // their numbers tell which are new.
-func (e *Engine) ended(known *node, end EndedTask, now time.Time) {
-	if end.Number <= known.seenEnd {
-		e.tellPassedOver(known, end)
+func (e *Engine) applyEnd(n *node, end EndedTask, now time.Time) {
+	if end.Number <= n.lastEnd {
+		e.noteSkippedEnd(n, end)
 		return
 	}
-	known.seenEnd = end.Number
-	run := known.find(end.Task, end.Run)
+	n.lastEnd = end.Number
+	run := n.findRun(end.Task, end.Run)
 	job := e.jobs[end.Task.Job]
 	if job == nil {
 		return
@@ -177,40 +175,40 @@
 		return
 	}
 	task.lastRun = max(task.lastRun, end.Run)
-	e.judge(known, run, end, now)
-	e.settleEnd(job, task, run, end, now)
+	e.updateHealth(n, run, end, now)
+	e.applyTaskEnd(job, task, run, end, now)
 	if run != nil {
-		run.wantNode = false
-		e.resolve(run, "ended "+string(end.How), now)
+		run.unconfirmed = false
+		e.endRun(run, "ended "+string(end.How), now)
 	}
 	if !job.state.Final() {
-		e.touch(job)
+		e.markDirty(job)
 	}
 }
 
-// tellPassedOver notes an end that counts as seen although its run is still thought to
-// be there.
-func (e *Engine) tellPassedOver(known *node, end EndedTask) {
-	if run := known.find(end.Task, end.Run); run != nil {
-		e.note("end_passed_over", run.task.step.job, known.entry.ID, end.Task.String()+" run "+strconv.Itoa(end.Run)+" "+string(end.How)+
-			" number "+strconv.FormatInt(end.Number, 10)+" seen "+strconv.FormatInt(known.seenEnd, 10))
+// noteSkippedEnd logs an end that counts as handled although its run is still on the books of
+// the node.
+func (e *Engine) noteSkippedEnd(n *node, end EndedTask) {
+	if run := n.findRun(end.Task, end.Run); run != nil {
+		e.logEvent("end_passed_over", run.task.step.job, n.entry.ID, end.Task.String()+" run "+strconv.Itoa(end.Run)+" "+string(end.How)+
+			" number "+strconv.FormatInt(end.Number, 10)+" seen "+strconv.FormatInt(n.lastEnd, 10))
 	}
 }
 
-func (e *Engine) settleEnd(job *job, task *task, run *run, end EndedTask, now time.Time) {
-	if job.state.Final() || task.done || end.Run <= task.judged {
+func (e *Engine) applyTaskEnd(job *job, task *task, run *run, end EndedTask, now time.Time) {
+	if job.state.Final() || task.done || end.Run <= task.lastEndedRun {
 		return
 	}
-	counts := run != nil && run == task.run || run == nil && task.run == nil
-	if !counts {
+	current := run != nil && run == task.run || run == nil && task.run == nil
+	if !current {
 		return
 	}
-	task.judged = end.Run
+	task.lastEndedRun = end.Run
 	if task.step.spec.Lasting && end.How == EndFailed {
-		task.lastingEnded(run, now)
+		task.longRunningEnded(run, now)
 	}
 	if end.Checkpoint != "" {
-		e.keepCheckpoint(task, end.Checkpoint)
+		e.recordCheckpoint(task, end.Checkpoint)
 	}
 	switch end.How {
 	case EndDone:
@@ -231,8 +229,8 @@
 	} else {
 		e.markDone(task)
 	}
-	e.noteTurns(job, task, now)
-	for _, occurrence := range job.runs {
+	e.markReadySteps(job, task, now)
+	for _, occurrence := range job.occurrences {
 		if occurrence.left > 0 {
 			return
 		}
@@ -240,30 +238,30 @@
 	e.finish(job, jobs.StateDone, "", now)
 }
 
-// taskFailed counts an attempt. A gang's attempt counts once, however many of
-// its members report the failure.
+// taskFailed counts an attempt. A gang's attempt counts once, however many of its members
+// report the failure.
 func (e *Engine) taskFailed(job *job, task *task, end EndedTask, now time.Time) {
 	if task.step.spec.Lasting {
 		return
 	}
 	if task.step.spec.Gang {
 		for _, member := range task.step.tasks {
-			member.judged = end.Run // the others' ends say the same of this run
+			member.lastEndedRun = end.Run // the ends of the other members report the same failure
 			member.failed++
-			member.avoid = end.workerOf(task)
+			member.avoidWorker = end.workerOfRun(task)
 		}
 	} else {
 		task.failed++
-		task.avoid = end.workerOf(task)
+		task.avoidWorker = end.workerOfRun(task)
 	}
-	e.note("task_failed", job, "", task.key.String()+" attempt "+strconv.Itoa(task.failed)+" of "+strconv.Itoa(job.queue.MaxAttempts))
+	e.logEvent("task_failed", job, "", task.key.String()+" attempt "+strconv.Itoa(task.failed)+" of "+strconv.Itoa(job.queue.MaxAttempts))
 	if task.failed >= job.queue.MaxAttempts {
 		e.finish(job, jobs.StateFailed, "task "+task.key.String()+" failed in every attempt", now)
 	}
 }
 
-// workerOf is the worker on which the task's present run ended.
-func (EndedTask) workerOf(task *task) string {
+// workerOfRun returns the worker on which the task's current run ended.
+func (EndedTask) workerOfRun(task *task) string {
 	if task.run == nil {
 		return ""
 	}
