--- a/placing/resize_test.go
+++ b/placing/resize_test.go
@@ -8,10 +8,10 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// resize has a worker offer another number of accelerators from now on.
+// resize changes the number of accelerators that a worker offers.
 func (c *cluster) resize(worker string, accelerators int64) {
 	var entries []WorkerEntry
-	for _, id := range c.ids {
+	for _, id := range c.workerIDs {
 		entry := c.engine.nodes[id].entry
 		if id == worker {
 			entry.Capacity.Accelerators = accelerators
@@ -21,17 +21,17 @@
 	c.engine.List(entries, c.now)
 }
 
-// oneWorker is a cluster of one worker with eight accelerators.
+// oneWorker returns a cluster of one worker with eight accelerators.
 func oneWorker() *cluster {
 	c := newCluster(1)
-	c.ids = c.ids[:1]
+	c.workerIDs = c.workerIDs[:1]
 	c.resize("w00", 8)
 	return c
 }
 
-// A worker may offer less for some time, below what runs there. What runs goes on, and
-// nothing new comes until there is room again.
-func TestShrunkWorkerGetsNothingBeyondItsRoom(t *testing.T) {
+// A worker may shrink below what runs on it. Its runs go on, and nothing new is placed until it
+// has free capacity again.
+func TestShrunkWorkerGetsNothingBeyondItsCapacity(t *testing.T) {
 	is := is.New(t)
 	c := oneWorker()
 	c.submit(testJob(hexID(1), 1, testStep(5, 1)))
@@ -40,24 +40,24 @@
 	c.submit(testJob(hexID(2), 1, testStep(1, 1)))
 	c.submit(testJob(hexID(3), 2, testStep(1, 1)))
 	c.steps(2)
-	is.True(c.begun(hexID(1)))
-	is.Equal(c.waiting(hexID(2)), 1)
-	is.Equal(c.waiting(hexID(3)), 1)
+	is.True(c.allRunning(hexID(1)))
+	is.Equal(c.countWaiting(hexID(2)), 1)
+	is.Equal(c.countWaiting(hexID(3)), 1)
 	c.resize("w00", 8)
 	c.steps(2)
-	is.Equal(c.waiting(hexID(2)), 0)
-	is.Equal(c.waiting(hexID(3)), 0)
+	is.Equal(c.countWaiting(hexID(2)), 0)
+	is.Equal(c.countWaiting(hexID(3)), 0)
 }
 
-// A placement waits for its record before its start is ordered. Meanwhile the worker may
-// have shrunk, and one that does not guard its room would take the start all the same.
-func TestStartIsNotOrderedOntoAWorkerThatShrankMeanwhile(t *testing.T) {
+// The start is sent only after its placement is recorded. Meanwhile the worker may have shrunk,
+// and one that does not check its capacity would start the task all the same.
+func TestPlacedStartIsNotSentToAWorkerThatShrank(t *testing.T) {
 	for name, step := range map[string]jobs.Step{"alone": testStep(2, 4), "gang": gangStep(2, 4)} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(1)
 			c.submit(testJob(hexID(1), 1, step))
-			c.engine.Decide(c.now) // placed, the record is on its way
+			c.engine.Decide(c.now) // placed, the record is being appended
 			worker := c.engine.jobs[hexID(1)].allTasks()[0].run.node.entry.ID
 			c.resize(worker, 4)
 			c.engine.Recorded(c.now)
@@ -68,13 +68,13 @@
 				}
 			}
 			is.True(on[worker] <= 4)
-			is.True(c.begun(hexID(1)))
+			is.True(c.allRunning(hexID(1)))
 		})
 	}
 }
 
-// Room that was set aside for urgent work is not used where it is gone.
-func TestClaimOnAShrunkWorkerIsNotUsed(t *testing.T) {
+// Capacity reserved for urgent work is not used if the worker no longer offers it.
+func TestReservationOnShrunkWorkerIsNotUsed(t *testing.T) {
 	is := is.New(t)
 	c := oneWorker()
 	c.submit(testJob(hexID(1), 2, testStep(8, 1)))
@@ -83,15 +83,15 @@
 	c.step() // others are stopped for it
 	c.resize("w00", 3)
 	c.steps(8)
-	is.Equal(c.waiting(hexID(2)), 1)
+	is.Equal(c.countWaiting(hexID(2)), 1)
 	c.resize("w00", 8)
 	c.steps(8)
-	is.Equal(c.waiting(hexID(2)), 0)
+	is.Equal(c.countWaiting(hexID(2)), 0)
 }
 
-// The list of workers may be out of reach while progress can be written. Workers that do
-// not guard their room get nothing new then, as they may have shrunk; those that do go on.
-func TestUnguardedWorkerGetsNothingOnAnOldList(t *testing.T) {
+// The list of workers may be unreachable while progress can be written. Workers that do not
+// check their capacity then get nothing new, as they may have shrunk; the others do.
+func TestUnguardedWorkerGetsNothingWhenTheListIsOld(t *testing.T) {
 	for name, unguarded := range map[string]bool{"guarded": false, "unguarded": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -100,14 +100,14 @@
 			c.engine.ListSeen(c.now)
 			c.submit(testJob(hexID(1), 1, testStep(1, 1)))
 			c.steps(2)
-			is.True(c.begun(hexID(1)))
-			c.now = c.now.Add(listTrust)
+			is.True(c.allRunning(hexID(1)))
+			c.now = c.now.Add(maxListAge)
 			c.submit(testJob(hexID(2), 1, testStep(1, 1)))
 			c.steps(2)
-			is.Equal(c.begun(hexID(2)), !unguarded)
+			is.Equal(c.allRunning(hexID(2)), !unguarded)
 			c.engine.ListSeen(c.now)
 			c.steps(2)
-			is.True(c.begun(hexID(2)))
+			is.True(c.allRunning(hexID(2)))
 		})
 	}
 }
--- a/placing/runs.go
+++ b/placing/runs.go
@@ -7,14 +7,14 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// StartResult is how a worker answered a start.
+// StartResult is a worker's answer to a start.
 type StartResult int
 
 // Results of a start.
 const (
 	StartAccepted  StartResult = iota
-	StartRefused               // it did and will do nothing
-	StartNoTicket              // refused, as it carried no valid ticket
+	StartRefused               // refused; it never starts
+	StartNoTicket              // refused without a valid ticket
 	StartNoRoom                // refused, as the task does not fit there now
 	StartBusy                  // refused, as the worker is unhealthy
 	StartUnknown               // no answer; it may take effect, also later
@@ -22,40 +22,40 @@
 )
 
 const (
-	// stopAgain is how long a stop may go unanswered before it is ordered again;
-	// it has been sent three times by then.
-	stopAgain = time.Second
-	// fullPause keeps new work off a worker that refused for room, until its
-	// books can be put right by its next report.
-	fullPause = 500 * time.Millisecond
+	// stopRetryInterval is how long a stop may go unanswered before it is sent again; the transport
+	// has sent it three times by then.
+	stopRetryInterval = time.Second
+	// noCapacityBackoff keeps new work off a worker that refused for lack of capacity, until its
+	// next report corrects the accounting.
+	noCapacityBackoff = 500 * time.Millisecond
 )
 
-// bind takes capacity for a run of a task. The start is ordered once the
-// placement is on record.
-func (e *Engine) bind(task *task, node *node, number int) {
+// assume reserves capacity for a new run of a task. The start is sent once the placement is on
+// record.
+func (e *Engine) assume(task *task, node *node, number int) {
 	run := &run{task: task, number: number, node: node, phase: phasePlanned}
 	task.run = run
 	task.lastRun = number
-	node.add(run)
-	e.pending = append(e.pending, run)
+	node.addRun(run)
+	e.pendingRuns = append(e.pendingRuns, run)
 	job := task.step.job
 	if job.state == jobs.StateQueued {
 		job.state = jobs.StateRunning
 	}
-	e.touch(job)
+	e.markDirty(job)
 }
 
-// order sends the start of a run whose placement is on record.
-func (e *Engine) order(run *run, now time.Time) {
+// dispatch orders the start of a run whose placement is on record.
+func (e *Engine) dispatch(run *run, now time.Time) {
 	if run.phase != phasePlanned || run.task.run != run {
 		return
 	}
 	if !e.stillFits(run.node, now) {
-		e.resolve(run, "no room any more", now)
+		e.endRun(run, "no room any more", now)
 		return
 	}
-	if !e.evacuationsKnown(now) {
-		e.resolve(run, "evacuated zones not known", now)
+	if !e.evacuationsFresh(now) {
+		e.endRun(run, "evacuated zones not known", now)
 		return
 	}
 	run.phase = phaseOrdered
@@ -68,11 +68,11 @@
 		Worker:     run.node.entry.ID,
 		Spec:       run.task.step.job.submission.Spec,
 		Checkpoint: run.task.checkpoint,
-		Ticket:     run.task.step.ticketOf(run.node.entry.ID),
+		Ticket:     run.task.step.ticketFor(run.node.entry.ID),
 	})
 }
 
-// StartAnswered takes a worker's answer to a start.
+// StartAnswered handles a worker's answer to a start.
 func (e *Engine) StartAnswered(worker string, key jobs.TaskKey, number int, result StartResult, now time.Time) {
 	run := e.findRun(worker, key, number)
 	if run == nil {
@@ -80,76 +80,76 @@
 	}
 	switch result {
 	case StartAccepted:
-		e.accepted(run, now)
+		e.startAccepted(run, now)
 	case StartUnknown:
 		if run.phase == phaseOrdered {
 			e.stopRun(run, "start not answered", now)
-			run.node.health.silent(now)
+			run.node.health.markSilent(now)
 		}
 	default:
-		e.refused(run, result, now)
+		e.startRefused(run, result, now)
 	}
 }
 
-func (e *Engine) accepted(run *run, now time.Time) {
-	if run.phase != phaseOrdered && run.phase != phaseDoubtful {
+func (e *Engine) startAccepted(run *run, now time.Time) {
+	if run.phase != phaseOrdered && run.phase != phaseUncertain {
 		return
 	}
 	run.phase = phaseRunning
 	run.startedAt = now
 	run.percentAt = now
-	run.task.roomSince = time.Time{}
+	run.task.capacitySince = time.Time{}
 	if !run.task.step.spec.Lasting {
-		run.task.pausing = pausing{}
+		run.task.pausing = startBackoff{}
 	}
 }
 
-func (e *Engine) refused(run *run, result StartResult, now time.Time) {
+func (e *Engine) startRefused(run *run, result StartResult, now time.Time) {
 	if run.seen {
-		return // an earlier copy of the order is at work
+		return // an earlier copy of the order has started it
 	}
 	switch result {
 	case StartEvacuated:
-		run.node.fullUntil = now.Add(fullPause) // who drives the worker knows better, or less
+		run.node.fullUntil = now.Add(noCapacityBackoff) // the worker's dispatcher has newer, or older, data on evacuations
 	case StartNoTicket:
-		run.task.step.ticketRefused(run.node.entry.ID)
+		run.task.step.dropTicket(run.node.entry.ID)
 	case StartNoRoom:
-		run.node.fullUntil = now.Add(fullPause)
+		run.node.fullUntil = now.Add(noCapacityBackoff)
 	case StartBusy:
-		run.node.health.busy(now)
+		run.node.health.markBusy(now)
 	case StartRefused:
 		run.task.startFailed(now)
 	}
-	e.resolve(run, "start refused", now)
+	e.endRun(run, "start refused", now)
 }
 
 func (e *Engine) findRun(worker string, key jobs.TaskKey, number int) *run {
-	known := e.nodes[worker]
-	if known == nil {
+	n := e.nodes[worker]
+	if n == nil {
 		return nil
 	}
-	return known.find(key, number)
+	return n.findRun(key, number)
 }
 
-// stopRun makes sure that a run ends: one that was not ordered is dropped, any
-// other is stopped at its worker.
-func (e *Engine) stopRun(run *run, why string, now time.Time) {
+// stopRun makes sure that a run ends: one that was not ordered is dropped, any other is stopped
+// at its worker.
+func (e *Engine) stopRun(run *run, reason string, now time.Time) {
 	if run.phase == phasePlanned {
-		e.resolve(run, why, now)
+		e.endRun(run, reason, now)
 		return
 	}
 	if !run.stopSentAt.IsZero() {
 		return
 	}
-	run.why = why
+	run.stopReason = reason
 	if run.phase == phaseOrdered {
-		run.phase = phaseDoubtful
+		run.phase = phaseUncertain
 	} else {
 		run.phase = phaseStopping
 	}
 	e.sendStop(run, now)
-	e.note("run_stopped", run.task.step.job, run.node.entry.ID,
-		run.task.key.String()+" lost_core_s "+strconv.Itoa(int(run.loss(now)))+" "+why)
+	e.logEvent("run_stopped", run.task.step.job, run.node.entry.ID,
+		run.task.key.String()+" lost_core_s "+strconv.Itoa(int(run.loss(now)))+" "+reason)
 }
 
 func (e *Engine) sendStop(run *run, now time.Time) {
@@ -160,53 +160,53 @@
 	e.plan.Stops = append(e.plan.Stops, Stop{Task: run.task.key, Run: run.number, Worker: run.node.entry.ID})
 }
 
-// StopAnswered says that a worker took a stop; from then on the run cannot
-// begin there, and the worker's next report tells whether it had begun.
+// StopAnswered records that a worker acknowledged a stop. From then on the run cannot start
+// there, and the worker's next report tells whether it had started.
 func (e *Engine) StopAnswered(worker string, key jobs.TaskKey, number int, now time.Time) {
 	if run := e.findRun(worker, key, number); run != nil && run.stopDoneAt.IsZero() {
 		run.stopDoneAt = now
 	}
 }
 
-// resolve says that a run is certainly over. Its task may run again, as may its
-// whole gang once all members are over.
-func (e *Engine) resolve(run *run, why string, now time.Time) {
-	run.node.drop(run)
+// endRun removes a run that certainly neither runs nor will. Its task may run again, as may its
+// whole gang once the runs of all members are over.
+func (e *Engine) endRun(run *run, reason string, now time.Time) {
+	run.node.removeRun(run)
 	task := run.task
 	if task.run != run {
 		return
 	}
 	task.run = nil
-	if !run.startedAt.IsZero() || run.wantNode {
-		task.overAt = now
+	if !run.startedAt.IsZero() || run.unconfirmed {
+		task.lastRunEndedAt = now
 	}
 	job := task.step.job
 	if !job.state.Final() {
-		e.touch(job)
+		e.markDirty(job)
 		if !task.done {
-			e.note("run_over", job, run.node.entry.ID, task.key.String()+" "+why+" "+run.history(now))
+			e.logEvent("run_over", job, run.node.entry.ID, task.key.String()+" "+reason+" "+run.summary(now))
 		}
 	}
 	if task.step.spec.Gang && !task.done {
-		e.dissolve(task.step, "gang member over: "+why, now)
+		e.stopGang(task.step, "gang member over: "+reason, now)
 	}
 }
 
-// dissolve stops the members that are left of a gang that lost one.
-func (e *Engine) dissolve(step *step, why string, now time.Time) {
+// stopGang stops the remaining members of a gang that lost one.
+func (e *Engine) stopGang(step *step, reason string, now time.Time) {
 	for _, member := range step.tasks {
 		if member.run != nil {
-			e.stopRun(member.run, why, now)
+			e.stopRun(member.run, reason, now)
 		}
 	}
 }
 
-// chaseRuns repeats stops that went unanswered.
-func (e *Engine) chaseRuns(now time.Time) {
-	for _, known := range e.nodeOrder {
-		for _, run := range known.runs {
-			waits := !run.stopSentAt.IsZero() && run.stopDoneAt.IsZero()
-			if waits && now.Sub(run.stopSentAt) > stopAgain {
+// retryStops sends unanswered stops again.
+func (e *Engine) retryStops(now time.Time) {
+	for _, n := range e.nodeOrder {
+		for _, run := range n.runs {
+			unanswered := !run.stopSentAt.IsZero() && run.stopDoneAt.IsZero()
+			if unanswered && now.Sub(run.stopSentAt) > stopRetryInterval {
 				e.sendStop(run, now)
 			}
 		}
--- a/placing/speed.go
+++ b/placing/speed.go
@@ -6,146 +6,149 @@
 	"time"
 )
 
-// Workers of one kind differ in speed, and a gang is as slow as its slowest member. How fast
-// a worker is shows where the tasks of one step are at work on many: they are about equally
-// long, whatever the caller's estimate was.
+// Workers of one kind differ in speed, and a gang is as slow as its slowest member. The speed
+// of a worker is estimated from steps with tasks on many workers: the tasks of a step take
+// about equally long, whatever the caller's estimate was.
 const (
-	// speedAfter is how long a run has to be at work before its progress is compared: by
-	// then reports, which count hundredths, tell it well enough. All are looked at after the
-	// same time, as those that are looked at by their progress would be the fast ones.
-	speedAfter = 1500 * time.Millisecond
-	// speedSiblings is how many tasks of a step have to be compared at least.
-	speedSiblings = 6
-	// speedMemory is how many runs an estimate rests on at most: a worker may change.
-	speedMemory = 8
-	// slowestSpeed and fastestSpeed bound what counts: beyond them a worker stands still or
-	// is slow for some seconds, which its health tells.
-	slowestSpeed = 0.5
-	fastestSpeed = 2.0
-	// differOn and differOff are the variances of the logarithms of workers' speeds from which
-	// on, and below which no more, they count as different: about 8 and 5 in a hundred apart.
-	// Where all are alike, what is learned of each is chance, and worse to go by than nothing.
-	differOn  = 0.0064
-	differOff = 0.0025
-	// differLeast is how many pairs of runs have to be seen before, and differMemory how
-	// many the variance rests on at most.
-	differLeast  = 20
-	differMemory = 200
-	// speedWeight makes urgent work prefer fast workers to tight ones, whose weights lie
-	// within four; rackSpeedWeight, in cores, fast racks to those that it fills best.
+	// speedSampleAfter is how long a run has to be running before its progress is compared: by
+	// then the reports, in percent, are accurate enough. All runs are sampled after the same time,
+	// as sampling them at the same progress would select the fast ones.
+	speedSampleAfter = 1500 * time.Millisecond
+	// minSpeedSiblings is the minimum number of tasks of a step for a comparison.
+	minSpeedSiblings = 6
+	// maxSpeedSamples bounds the runs that an estimate is based on: a worker may change.
+	maxSpeedSamples = 8
+	// minCountedSpeed and maxCountedSpeed bound the samples that count: beyond them a worker is
+	// stalled or slow for some seconds, which its health tracks.
+	minCountedSpeed = 0.5
+	maxCountedSpeed = 2.0
+	// speedVarianceOn and speedVarianceOff are the variances of the logarithms of worker speeds
+	// above which workers start, and below which they stop, to count as different: about 8 and 5
+	// percent apart. If all are alike, the estimates are noise, and worse than none.
+	speedVarianceOn  = 0.0064
+	speedVarianceOff = 0.0025
+	// minSpeedPairs is the number of pairs of runs required first, and maxSpeedPairs bounds the
+	// number that the variance is based on.
+	minSpeedPairs = 20
+	maxSpeedPairs = 200
+	// speedWeight makes urgent work prefer fast workers to tightly filled ones, whose weights lie
+	// within four; rackSpeedWeight, in cores, makes it prefer fast racks to those that it fills
+	// best.
 	speedWeight     = 6
 	rackSpeedWeight = 1000
 )
 
-// speed is how fast a worker is against the usual one, by its own runs.
-type speed struct {
-	sum   float64 // of logarithms
-	count float64 // of runs they are of
+// speedEstimate is the speed of a worker relative to the usual one, estimated from its own
+// runs.
+type speedEstimate struct {
+	logSum float64 // of the logarithms of the samples
+	count  float64 // number of samples
 }
 
-// factor is the estimate, near one while little is known.
-func (s speed) factor() float64 { return math.Exp(s.sum / (s.count + 1)) }
+// factor returns the estimate, which stays near one while there are few samples.
+func (s speedEstimate) factor() float64 { return math.Exp(s.logSum / (s.count + 1)) }
 
-func (s *speed) take(seen float64) {
-	if s.count >= speedMemory {
-		s.sum -= s.sum / s.count
+func (s *speedEstimate) add(factor float64) {
+	if s.count >= maxSpeedSamples {
+		s.logSum -= s.logSum / s.count
 		s.count--
 	}
-	s.sum += math.Log(seen)
+	s.logSum += math.Log(factor)
 	s.count++
 }
 
-// differences is how much workers differ in speed: runs of one worker have its speed in
-// common and nothing else, so the mean product of their deviations is the variance of speeds.
-type differences struct {
-	variance float64
-	pairs    float64
-	matter   bool
+// speedVariance estimates how much workers differ in speed. Runs of one worker have its speed
+// in common and nothing else, so the mean product of their deviations is the variance of
+// speeds.
+type speedVariance struct {
+	variance    float64
+	pairs       float64
+	significant bool
 }
 
-func (d *differences) see(product float64) {
-	d.pairs = min(differMemory, d.pairs+1)
+func (d *speedVariance) add(product float64) {
+	d.pairs = min(maxSpeedPairs, d.pairs+1)
 	d.variance += (product - d.variance) / d.pairs
 	switch {
-	case d.pairs >= differLeast && d.variance > differOn:
-		d.matter = true
-	case d.variance < differOff:
-		d.matter = false
+	case d.pairs >= minSpeedPairs && d.variance > speedVarianceOn:
+		d.significant = true
+	case d.variance < speedVarianceOff:
+		d.significant = false
 	}
 }
 
-// learnSpeed takes how fast a node was in one run.
-func (e *Engine) learnSpeed(known *node, seen float64) {
-	if seen < slowestSpeed || seen > fastestSpeed {
+// recordSpeed adds the relative speed of a node in one run.
+func (e *Engine) recordSpeed(n *node, factor float64) {
+	if factor < minCountedSpeed || factor > maxCountedSpeed {
 		return
 	}
-	if known.speed.count > 0 {
-		e.differences.see(math.Log(seen) * known.speed.sum / known.speed.count)
+	if n.speed.count > 0 {
+		e.differences.add(math.Log(factor) * n.speed.logSum / n.speed.count)
 	}
-	known.speed.take(seen)
+	n.speed.add(factor)
 }
 
-// rate is the progress of one run.
-type rate struct {
-	node *node
-	each float64 // hundredths a second
+// progressRate is the rate of progress of one run.
+type progressRate struct {
+	node             *node
+	percentPerSecond float64 // percent per second
 }
 
-// compareSpeed takes the progress of a run that has been at work for a while, once, and
-// compares it with that of its siblings.
+// compareSpeed samples the progress of a run once, after it has run for a while, and compares
+// it with that of its siblings.
 func (e *Engine) compareSpeed(run *run, now time.Time) {
 	step := run.task.step
-	if run.compared || run.resumed || run.slowed || step.spec.Gang || step.spec.Lasting || step.spec.Fills || run.startedAt.IsZero() {
+	if run.speedCompared || run.resumed || run.throttled || step.spec.Gang || step.spec.Lasting || step.spec.Fills || run.startedAt.IsZero() {
 		return
 	}
 	worked := now.Sub(run.startedAt)
-	if worked < speedAfter || run.percent <= 0 {
+	if worked < speedSampleAfter || run.percent <= 0 {
 		return
 	}
-	run.compared = true
-	step.rates = append(step.rates, rate{node: run.node, each: float64(run.percent) / worked.Seconds()})
-	if len(step.rates) < speedSiblings {
+	run.speedCompared = true
+	step.rates = append(step.rates, progressRate{node: run.node, percentPerSecond: float64(run.percent) / worked.Seconds()})
+	if len(step.rates) < minSpeedSiblings {
 		return
 	}
-	usual := usualRate(step.rates)
-	fresh := step.rates[len(step.rates)-1:]
-	if len(step.rates) == speedSiblings {
-		fresh = step.rates
+	median := medianRate(step.rates)
+	added := step.rates[len(step.rates)-1:]
+	if len(step.rates) == minSpeedSiblings {
+		added = step.rates
 	}
-	for _, each := range fresh {
-		e.learnSpeed(each.node, each.each/usual)
+	for _, r := range added {
+		e.recordSpeed(r.node, r.percentPerSecond/median)
 	}
 }
 
-// usualRate is what a worker of the usual speed does: the middle of what was seen, each put
-// right by what is known of its worker.
-func usualRate(rates []rate) float64 {
-	each := make([]float64, len(rates))
-	for index, seen := range rates {
-		each[index] = seen.each / seen.node.speed.factor()
+// medianRate returns the rate of a worker of the usual speed: the median of the samples, each
+// divided by the speed of its worker.
+func medianRate(rates []progressRate) float64 {
+	normalized := make([]float64, len(rates))
+	for index, r := range rates {
+		normalized[index] = r.percentPerSecond / r.node.speed.factor()
 	}
-	slices.Sort(each)
-	return each[len(each)/2]
+	slices.Sort(normalized)
+	return normalized[len(normalized)/2]
 }
 
-// speedOf is what the speed of a node adds to its weight for a unit.
-func (v *view) speedOf(node *node, unit *unit) float64 {
-	if !v.speedsMatter || unit.tier != tierUrgent {
+// speedScore returns the share of a node's score for a unit that comes from its speed.
+func (v *view) speedScore(node *node, unit *unit) float64 {
+	if !v.speedsSignificant || unit.tier != tierUrgent {
 		return 0
 	}
 	return speedWeight * (1 - node.speed.factor())
 }
 
-// speedOfRack is what the speed of a gang's seats in a rack is worth, in cores.
-func (v *view) speedOfRack(seats []seat, unit *unit) float64 {
-	if !v.speedsMatter || unit.tier != tierUrgent {
+// rackSpeedScore returns the value of the speed of a gang's placements in a rack, in cores.
+func (v *view) rackSpeedScore(seats []placement, unit *unit) float64 {
+	if !v.speedsSignificant || unit.tier != tierUrgent {
 		return 0
 	}
-	return rackSpeedWeight * slowest(seats)
+	return rackSpeedWeight * slowestSpeedOf(seats)
 }
 
-// slowest is the speed of a gang on some seats.
-func slowest(seats []seat) float64 {
+// slowestSpeedOf returns the speed of a gang on the given placements.
+func slowestSpeedOf(seats []placement) float64 {
 	least := math.Inf(1)
 	for _, seat := range seats {
 		least = min(least, seat.node.speed.factor())
--- a/placing/speed_test.go
+++ b/placing/speed_test.go
@@ -11,20 +11,20 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// speedOfWorker is that of one of a fleet: a third each is slow, usual and fast, spread over the
-// racks.
+// speedOfWorker returns the speed of a worker of a fleet: a third each is slow, usual and fast,
+// spread over the racks.
 func speedOfWorker(number int) float64 { return []float64{0.8, 1, 1.25}[number%3] }
 
 const (
 	speedWorkers = 30
-	// batchTime is how long a task of the batch takes on a worker of the usual speed, and
-	// urgentTime a task of an urgent gang.
+	// batchTime is the run time of a task of the batch on a worker of the usual speed, and
+	// urgentTime that of a task of an urgent gang.
 	batchTime  = 8 * time.Second
 	urgentTime = 2 * time.Second
 )
 
-// mixedFleet runs a batch of two tasks on each of thirty workers for long enough to tell their
-// speeds apart, with reports at moments that differ. What a task takes differs by a little.
+// mixedFleet runs a batch of two tasks on each of thirty workers for long enough to estimate
+// their speeds, with reports at different times. The run times of tasks differ slightly.
 func mixedFleet(is *is.I, speedOf func(number int) float64) (e *Engine, now time.Time) {
 	step := testStep(2*speedWorkers, 1)
 	step.PerWorker = 2
@@ -46,11 +46,11 @@
 		runs[start.Worker] = append(runs[start.Worker], start)
 	}
 	for number, entry := range entries {
-		now = testStart.Add(speedAfter + time.Duration(number)*20*time.Millisecond)
+		now = testStart.Add(speedSampleAfter + time.Duration(number)*20*time.Millisecond)
 		var rows []RunningTask
 		for index, start := range runs[entry.ID] {
-			uneven := 1 + 0.1*math.Sin(float64(7*number+3*index)) // of the task, not of its worker
-			done := uneven * speedOf(number) * float64(now.Sub(testStart)) / float64(batchTime)
+			variation := 1 + 0.1*math.Sin(float64(7*number+3*index)) // of the task, not of its worker
+			done := variation * speedOf(number) * float64(now.Sub(testStart)) / float64(batchTime)
 			rows = append(rows, RunningTask{Task: start.Task, Run: 1, Percent: int(100 * done)})
 		}
 		e.Report(entry.ID, now, rows, nil, time.Time{}, now)
@@ -58,9 +58,9 @@
 	return e, now
 }
 
-// The load: a batch at work on workers of three speeds when an urgent gang comes that may
-// lie anywhere. Its caller gets it after the time of a fast worker; on any of those that are
-// free it would take that of a slow one.
+// A batch runs on workers of three speeds when an urgent gang arrives that may use any rack. It
+// gets fast workers; on an arbitrary choice of free workers it would take as long as on a slow
+// one.
 func TestUrgentGangGetsFastWorkers(t *testing.T) {
 	is := is.New(t)
 	e, now := mixedFleet(is, speedOfWorker)
@@ -79,37 +79,37 @@
 	is.True(time.Duration(float64(urgentTime)/slowest) < urgentTime)
 }
 
-// Work that is not urgent is placed as if all were alike.
+// Work that is not urgent is placed regardless of speeds.
 func TestOtherWorkTakesWorkersOfAnySpeed(t *testing.T) {
 	is := is.New(t)
 	e, now := mixedFleet(is, speedOfWorker)
-	is.True(e.differences.matter)
-	for _, known := range e.nodeOrder {
-		is.Equal(e.openView(now).speedOf(known, &unit{tier: tierOnTime}), 0.0)
+	is.True(e.differences.significant)
+	for _, n := range e.nodeOrder {
+		is.Equal(e.openView(now).speedScore(n, &unit{tier: tierOnTime}), 0.0)
 	}
 	is.True(e.nodeOrder[2].speed.factor() > 1.05)
 	is.True(e.nodeOrder[0].speed.factor() < 0.95)
 	is.True(now.After(testStart))
 }
 
-// One run on a worker that stands still for a moment says nothing of its speed; what is
-// known of a worker follows its newest runs, and ends with its life.
+// One run on a worker that stalls for a moment does not change the estimate of its speed. The
+// estimate follows the newest runs, and a new incarnation starts without one.
 func TestSpeedIsRobust(t *testing.T) {
 	is := is.New(t)
-	var s speed
+	var s speedEstimate
 	is.Equal(s.factor(), 1.0)
 	for range 20 {
-		s.take(1.25)
+		s.add(1.25)
 	}
 	is.True(math.Abs(s.factor()-1.25) < 0.04)
 	for range 20 {
-		s.take(0.8)
+		s.add(0.8)
 	}
 	is.True(math.Abs(s.factor()-0.8) < 0.05)
 	e, now := mixedFleet(is, speedOfWorker)
 	before := e.nodes["w02"].speed
-	e.learnSpeed(e.nodes["w02"], 0.1)
-	e.learnSpeed(e.nodes["w02"], 7)
+	e.recordSpeed(e.nodes["w02"], 0.1)
+	e.recordSpeed(e.nodes["w02"], 7)
 	is.Equal(e.nodes["w02"].speed, before)
 	entry := e.nodes["w02"].entry
 	entry.ID, entry.Name, entry.BornMS = LifeID("w02", 7), "w02", 7
@@ -117,34 +117,35 @@
 	is.Equal(e.nodes[entry.ID].speed.factor(), 1.0)
 }
 
-// A gang's members go on together, whatever their workers could do alone: they tell nothing.
+// The members of a gang advance together, whatever the speeds of their workers, so they give no
+// samples.
 func TestGangsTellNoSpeed(t *testing.T) {
 	is := is.New(t)
 	e := zonedEngine(testJob("0000000000000001", 1, spreadGang(4)))
 	for _, start := range startAll(e, testStart) {
-		later := testStart.Add(2 * speedAfter)
+		later := testStart.Add(2 * speedSampleAfter)
 		e.Report(start.Worker, later, []RunningTask{{Task: start.Task, Run: 1, Percent: 40}}, nil, time.Time{}, later)
 	}
-	for _, known := range e.nodeOrder {
-		is.Equal(known.speed, speed{})
+	for _, n := range e.nodeOrder {
+		is.Equal(n.speed, speedEstimate{})
 	}
 }
 
-// Where all workers are alike what is learned of each is chance: the tightest are taken, as
-// before. When the fleet is replaced by one of several speeds it shows, and the other way.
+// If all workers are alike, the estimates are noise and the tightest workers are taken. When a
+// fleet of several speeds replaces them, the speeds count, and the other way round.
 func TestSpeedsCountOnlyWhereWorkersDiffer(t *testing.T) {
 	is := is.New(t)
 	e, now := mixedFleet(is, func(int) float64 { return 1 })
-	is.True(!e.differences.matter)
-	is.Equal(e.openView(now).speedOf(e.nodeOrder[0], &unit{tier: tierUrgent}), 0.0)
+	is.True(!e.differences.significant)
+	is.Equal(e.openView(now).speedScore(e.nodeOrder[0], &unit{tier: tierUrgent}), 0.0)
 	e, _ = mixedFleet(is, speedOfWorker)
-	is.True(e.differences.matter)
-	for range 2 * differMemory {
-		e.differences.see(0)
+	is.True(e.differences.significant)
+	for range 2 * maxSpeedPairs {
+		e.differences.add(0)
 	}
-	is.True(!e.differences.matter)
-	for range 2 * differMemory {
-		e.differences.see(0.03)
+	is.True(!e.differences.significant)
+	for range 2 * maxSpeedPairs {
+		e.differences.add(0.03)
 	}
-	is.True(e.differences.matter)
+	is.True(e.differences.significant)
 }
--- a/placing/stall_test.go
+++ b/placing/stall_test.go
@@ -10,8 +10,7 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// report lets a worker list all runs that the engine has there, at a percentage
-// by job.
+// reportWorker reports all runs that the engine has on a worker, with a percentage by job.
 func (c *cluster) reportWorker(worker string, percent map[string]int) {
 	var rows []RunningTask
 	for _, run := range c.engine.nodes[worker].runs {
@@ -23,31 +22,31 @@
 }
 
 func (c *cluster) reportAll(percent map[string]int) {
-	for _, id := range c.ids {
+	for _, id := range c.workerIDs {
 		c.reportWorker(id, percent)
 	}
 }
 
-// stoppedWithin plays reports, two seconds apart as workers give them, and
-// returns after how long a job's first run was stopped.
+// stoppedWithin sends reports two seconds apart, as workers do, and returns the time until the
+// first run of a job was stopped.
 func (c *cluster) stoppedWithin(limit time.Duration, job string, percent func(passed time.Duration) map[string]int) (time.Duration, bool) {
-	begin := c.now
-	for c.now.Sub(begin) < limit {
-		if c.now.Sub(begin)%(2*time.Second) == 0 {
-			c.reportAll(percent(c.now.Sub(begin)))
+	start := c.now
+	for c.now.Sub(start) < limit {
+		if c.now.Sub(start)%(2*time.Second) == 0 {
+			c.reportAll(percent(c.now.Sub(start)))
 		}
 		for _, stop := range c.step().Stops {
 			if stop.Task.Job == job {
-				return c.now.Sub(begin), true
+				return c.now.Sub(start), true
 			}
 		}
 	}
 	return 0, false
 }
 
-// A worker on which everything stands still has its runs started elsewhere once
-// two reports have shown no progress, and gets nothing new. An urgent job of
-// 2.5 s has 1.5 s to spare; before, it waited 5.5 s.
+// If no run on a worker makes progress, two reports are enough to start its runs elsewhere,
+// and the worker gets nothing new. An urgent job of 2.5 s has 1.5 s of slack; it used to wait
+// 5.5 s.
 func TestRunThatStandsStillIsNoticedByTwoReports(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
@@ -58,9 +57,8 @@
 	is.True(after <= 2200*time.Millisecond)
 }
 
-// Work on a slow worker goes on: eight times slower than it was estimated to be,
-// by an estimate of 10 s that is three times too short, it makes no progress from
-// some reports to the next.
+// A run on a slow worker is not stopped: eight times slower than estimated, with an estimate
+// of 10 s that is three times too short, it shows no progress between some reports.
 func TestVerySlowRunGoesOn(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
@@ -74,19 +72,18 @@
 	})
 	is.True(!stopped)
 	for _, node := range c.engine.nodeOrder {
-		is.True(!node.health.wary)
+		is.True(!node.health.onProbation)
 	}
 }
 
-// The members of a gang wait for each other: until all are at work, none is held
-// to stand still.
+// Members of a gang wait for each other. Until all of them run, none counts as stalled.
 func TestGangThatIsNotWholeIsNotHeldToStandStill(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
 	c.submit(testJob(hexID(1), 1, gangStep(2, 8)))
 	c.steps(2)
 	runs := c.engine.jobs[hexID(1)].allTasks()
-	runs[1].run.phase = phasePlanned // its worker has not been told yet
+	runs[1].run.phase = phasePlanned // not sent to its worker yet
 	runs[1].run.seen = false
 	_, stopped := c.stoppedWithin(3*time.Second, hexID(1), func(passed time.Duration) map[string]int {
 		return map[string]int{hexID(1): 0}
@@ -94,8 +91,8 @@
 	is.True(!stopped)
 }
 
-// A gang stands still as a whole. The worker on which other work goes on is not
-// to blame for it, the other one is.
+// A gang stalls as a whole. A worker on which other work progresses is not blamed for it; the
+// other worker is.
 func TestWorkerThatProvesItselfIsNotBlamedForItsGang(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
@@ -110,19 +107,19 @@
 		return map[string]int{hexID(2): int(passed / time.Second)}
 	})
 	is.True(stopped)
-	is.True(!shared.health.wary)
+	is.True(!shared.health.onProbation)
 	blamed := 0
 	for _, node := range c.engine.nodeOrder {
-		if node.health.wary {
+		if node.health.onProbation {
 			blamed++
 		}
 	}
 	is.Equal(blamed, 1)
 }
 
-// A run that stands still is waited for as long as it had worked: its stop would
-// throw that away. Its worker gets nothing new meanwhile. Stopped at once, gangs
-// on days with workers that hang threw away 0.100 of worth in place of 0.067.
+// Stopping a stalled run discards its work, so it gets as long to recover as it had worked.
+// Its worker gets nothing new meanwhile. When stopped at once, gangs on days with hanging
+// workers lost 0.100 of the value instead of 0.067.
 func TestWorkThatWasDoneIsWaitedFor(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
@@ -131,7 +128,7 @@
 	node := c.engine.jobs[hexID(1)].allTasks()[0].run.node
 	after, stopped := c.stoppedWithin(20*time.Second, hexID(1), func(passed time.Duration) map[string]int {
 		if passed == 8*time.Second {
-			is.True(!node.open(c.now.Add(-50 * time.Millisecond)))
+			is.True(!node.schedulable(c.now.Add(-50 * time.Millisecond)))
 		}
 		return map[string]int{hexID(1): int(min(passed, 4*time.Second) / (100 * time.Millisecond))}
 	})
@@ -140,12 +137,11 @@
 	is.True(after < 9*time.Second)
 }
 
-// Seen: jobs whose tasks ran for longer than a few seconds were never done: the workers'
-// reports showed the same progress all along, and each run was stopped for it after a few
-// seconds, on one worker after the other (`run_stopped` with `no progress`, `run_over` with
-// `ended stopped`, `placed`, without end). Cause: what a report does not show was taken for
-// what does not go on, however often it had been. A program may tell its progress in jumps
-// or not at all.
+// Jobs whose tasks ran for more than a few seconds never finished: the reports showed the same
+// progress all along, so each run was stopped after a few seconds on one worker after the
+// other (`run_stopped` with `no progress`, `run_over` with `ended stopped`, `placed`, without
+// end). A run without reported progress was taken for a stalled one each time. A program may
+// report progress in jumps or not at all.
 func TestTasksThatShowNoProgressAreDoneAllTheSame(t *testing.T) {
 	steps := map[string]jobs.Step{"alone": testStep(1, 8), "gang": gangStep(2, 8)}
 	for _, c := range []struct {
@@ -154,7 +150,7 @@
 	}{
 		{0, 20 * time.Second},
 		{50, 20 * time.Second},
-		{100, 100 * time.Second}, // told by an estimate that is twelve times too short
+		{100, 100 * time.Second}, // progress from an estimate that is twelve times too short
 	} {
 		for name, step := range steps {
 			t.Run(fmt.Sprintf("%s at %d", name, c.percent), func(t *testing.T) {
@@ -170,11 +166,11 @@
 	}
 }
 
-// longestRun plays reports of a progress that stays the same for some time, and returns how
-// often tasks of a job were started and how long one of their runs lasted at most.
+// longestRun reports the same progress for some time, and returns the number of starts of a
+// job's tasks and the duration of their longest run.
 func (c *cluster) longestRun(job string, limit time.Duration, percent int) (starts int, longest time.Duration) {
-	for begin := c.now; c.now.Sub(begin) < limit; {
-		if c.now.Sub(begin)%time.Second == 0 {
+	for start := c.now; c.now.Sub(start) < limit; {
+		if c.now.Sub(start)%time.Second == 0 {
 			c.reportAll(map[string]int{job: percent})
 		}
 		starts += len(c.step().Starts)
--- a/placing/pause_test.go
+++ b/placing/start_backoff_test.go
@@ -7,39 +7,39 @@
 	"github.com/matryer/is"
 )
 
-// A start that every worker refuses says nothing of a worker, so nothing kept its task
-// from being placed again at once: a placement, a record and an order every 50 ms, and
-// as often as the log takes appends on a real site.
-func TestRefusedStartsAreTriedLessAndLessOften(t *testing.T) {
+// A start that every worker refuses does not count against any worker. Without a backoff the
+// task is placed, recorded and ordered again every 50 ms here, and as often as the log takes
+// appends on a real site.
+func TestRefusedStartsBackOff(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(2)
 	c.submit(testJob(hexID(1), 1, testStep(1, 1)))
 	refused := 0
 	for range 200 { // 10 s
-		for _, start := range c.stepRefusing(hexID(1)) {
+		for _, start := range c.stepRefusingStarts(hexID(1)) {
 			is.True(start.Task.Job == hexID(1))
 			refused++
 		}
 	}
-	is.True(refused >= 5)  // it goes on being tried
+	is.True(refused >= 5)  // it is still retried
 	is.True(refused <= 20) // twice a second on average
 
 	c.steps(50)
-	is.True(c.begun(hexID(1))) // and is accepted within the longest pause
+	is.True(c.allRunning(hexID(1))) // and is accepted within the maximum backoff
 }
 
-// A lasting task that fails as it starts is owed restarts, not a restart at once each
-// time.
-func TestLastingTaskThatFailsAtOnceIsStartedLessAndLessOften(t *testing.T) {
+// A long-running task that fails at its start is restarted, but with a backoff and not at once
+// each time.
+func TestLongRunningTaskThatFailsAtStartBacksOff(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(2)
-	c.submit(testJob(hexID(1), 1, lastingStep(1)))
+	c.submit(testJob(hexID(1), 1, longRunningStep(1)))
 	starts := 0
 	for range 200 {
 		for _, start := range c.step().Starts {
 			starts++
-			c.ends[start.Worker]++
-			end := EndedTask{Number: c.ends[start.Worker], Task: start.Task, Run: start.Run, How: EndFailed}
+			c.endNumbers[start.Worker]++
+			end := EndedTask{Number: c.endNumbers[start.Worker], Task: start.Task, Run: start.Run, How: EndFailed}
 			c.now = c.now.Add(10 * time.Millisecond)
 			c.engine.Report(start.Worker, c.now, nil, []EndedTask{end}, time.Time{}, c.now)
 		}
@@ -48,8 +48,8 @@
 	is.True(starts <= 20)
 }
 
-// stepRefusing is a step in which all starts of a job are refused.
-func (c *cluster) stepRefusing(id string) []Start {
+// stepRefusingStarts makes a step in which all starts of a job are refused.
+func (c *cluster) stepRefusingStarts(id string) []Start {
 	c.now = c.now.Add(50 * time.Millisecond)
 	c.engine.Decide(c.now)
 	c.engine.Recorded(c.now)
--- /dev/null
+++ b/placing/start_delay.go
@@ -0,0 +1,243 @@
+package placing
+
+import (
+	"math"
+	"time"
+)
+
+// A step that fits on usable workers may still wait, because other workers suit it better or
+// because the capacity is reserved for other work. This file logs which preferences delay a
+// step, for how long and with how much free capacity, and bounds the delay: in a pool that is
+// mostly idle, and for long-running tasks in any pool, a step that fits twice starts within
+// some seconds on any usable workers.
+
+const (
+	// delayCheckInterval is the time between two checks for delayed steps.
+	delayCheckInterval = 250 * time.Millisecond
+	// delayLogAfter is how long a step waits before the reason is logged, and delayLogInterval
+	// how often it is logged again. Each log line takes a search, so maxDelayLogs bounds their
+	// number for each check.
+	delayLogAfter    = time.Second
+	delayLogInterval = 2 * time.Second
+	maxDelayLogs     = 8
+	// overdueAfter is the time within which users expect a ready step to start in an idle pool
+	// with ample capacity.
+	overdueAfter = 3 * time.Second
+	// maxStartDelay is how long preferences may delay a step there. Up to two check intervals,
+	// the record and the start come on top.
+	maxStartDelay = 2 * time.Second
+	// firstReportTimeout is the time within which the workers of a pool report to a new leader.
+	firstReportTimeout = time.Second
+	// idlePoolUse is the share in use, in cores, below which a pool counts as idle. Reserved
+	// headroom depends instead on the resource with the highest use, see idleShare.
+	idlePoolUse = 0.5
+	// ampleFitFactor is how many times a gang, or a task that starts alone, must fit for the
+	// capacity to count as ample.
+	ampleFitFactor = 2
+)
+
+// delayCheck is one check for steps that preferences delay.
+type delayCheck struct {
+	engine    *Engine
+	now       time.Time
+	usable    *view                   // all usable nodes; nil until it is needed
+	headroom  [classes]map[*node]bool // nodes reserved as headroom against a class of work
+	poolUse   map[string]float64      // share in use, by pool
+	fitCounts map[fitKey]int          // by kind of task: how many fit
+	logged    int                     // steps that were logged
+}
+
+// startDelayed places units that preferences have delayed for long enough, and logs why others
+// wait although they fit. The pass must not use its own view afterwards, as nodes are
+// renumbered.
+func (e *Engine) startDelayed(units []*unit, open *view, now time.Time) {
+	if now.Sub(e.delaysCheckedAt) < delayCheckInterval {
+		return
+	}
+	e.delaysCheckedAt = now
+	check := &delayCheck{engine: e, now: now, poolUse: map[string]float64{}, fitCounts: map[fitKey]int{}}
+	check.trackIdlePools()
+	for _, unit := range units {
+		waiting := unit.unplaced()
+		if len(waiting.tasks) == 0 {
+			continue
+		}
+		if check.usable == nil && (check.poolIdle(unit) || check.shouldLog(unit)) {
+			check.headroom = open.headroomNodes()
+			check.usable = e.usableView(now)
+		}
+		check.checkUnit(waiting)
+	}
+}
+
+// unplaced returns the tasks of a unit that have no run, as a unit without preferences.
+func (u *unit) unplaced() *unit {
+	unplaced := *u
+	unplaced.tasks = nil
+	for _, task := range u.tasks {
+		if task.run == nil {
+			unplaced.tasks = append(unplaced.tasks, task)
+		}
+	}
+	unplaced.deferrable = false
+	unplaced.emptyOnly = false
+	unplaced.ignorePreferences = true
+	return &unplaced
+}
+
+// usableView returns a view of all usable nodes, including those in backoff or isolated. It
+// renumbers the nodes.
+func (e *Engine) usableView(now time.Time) *view {
+	var nodes []*node
+	for _, n := range e.nodeOrder {
+		if n.usable(now) && e.capacityTrusted(n, now) {
+			nodes = append(nodes, n)
+		}
+	}
+	return e.viewOf(nodes)
+}
+
+// checkUnit places the tasks of a unit that must start now, or logs what delays it.
+func (h *delayCheck) checkUnit(unit *unit) {
+	h.trackAmpleCapacity(unit)
+	mustStart := h.mustStart(unit)
+	if len(mustStart.tasks) == 0 && !h.shouldLog(unit) {
+		return
+	}
+	reservation := unit.releaseReservation(h.usable)
+	candidate := mustStart
+	if len(mustStart.tasks) == 0 {
+		candidate = unit
+	}
+	placements := h.usable.fit(candidate, false)
+	if len(placements) > 0 && (candidate == mustStart || h.shouldLog(unit)) {
+		h.logDelay(unit, placements)
+	}
+	if len(placements) > 0 && candidate == mustStart {
+		h.engine.assumeUnit(mustStart, placements, h.usable, h.now)
+		delete(h.poolUse, unit.job.queue.Pool)
+		clear(h.fitCounts)
+	} else if reservation != nil {
+		unit.reserve(reservation, h.usable)
+	}
+}
+
+// trackAmpleCapacity records since when the tasks of a unit have waited in an idle pool with
+// ample capacity while no task of their job was running. Long-running tasks are expected to
+// run each.
+func (h *delayCheck) trackAmpleCapacity(unit *unit) {
+	ample := unit.expectedToRun() && h.poolIdle(unit) && h.hasAmpleCapacity(unit)
+	for _, task := range unit.tasks {
+		if !ample {
+			task.capacitySince = time.Time{}
+		} else if task.capacitySince.IsZero() {
+			task.capacitySince = h.now
+		}
+	}
+}
+
+// expectedToRun reports whether users expect some of a unit's tasks to run: no task of its job
+// runs, or its tasks are long-running.
+func (u *unit) expectedToRun() bool { return u.step.spec.Lasting || !u.job.hasRunningTask() }
+
+// hasRunningTask reports whether a task of the job runs on a worker that answers.
+func (j *job) hasRunningTask() bool {
+	for _, occurrence := range j.occurrences {
+		for _, step := range occurrence.steps {
+			for _, task := range step.tasks {
+				if task.run != nil && task.run.phase == phaseRunning && task.run.node.answering {
+					return true
+				}
+			}
+		}
+	}
+	return false
+}
+
+// mustStart returns the tasks of a unit that preferences may delay no longer; of a gang all or
+// none.
+func (h *delayCheck) mustStart(unit *unit) *unit {
+	mustStart := *unit
+	mustStart.tasks = nil
+	if !h.workersReported(unit.step) {
+		return &mustStart
+	}
+	for _, task := range unit.tasks {
+		if !task.capacitySince.IsZero() && h.now.Sub(task.capacitySince) >= maxStartDelay {
+			mustStart.tasks = append(mustStart.tasks, task)
+		}
+	}
+	if unit.step.spec.Gang && len(mustStart.tasks) < len(unit.tasks) {
+		mustStart.tasks = nil
+	}
+	return &mustStart
+}
+
+// workersReported reports whether the workers of a step's pool have reported to this leader,
+// or have had the time to.
+func (h *delayCheck) workersReported(step *step) bool {
+	if h.now.Sub(step.observedReadyAt) >= firstReportTimeout {
+		return true
+	}
+	for _, n := range h.engine.nodeOrder {
+		if n.entry.Pool == step.job.queue.Pool && !n.reported && n.expectedUsable(h.now) {
+			return false
+		}
+	}
+	return true
+}
+
+// poolIdle reports whether a unit's pool is idle; for long-running tasks every pool counts as
+// idle.
+func (h *delayCheck) poolIdle(unit *unit) bool {
+	return unit.step.spec.Lasting || h.shareInUse(unit.job.queue.Pool) < idlePoolUse
+}
+
+// shareInUse returns the share in use, in cores, of the present workers of a pool; 1 if none
+// is present.
+func (h *delayCheck) shareInUse(pool string) float64 {
+	if n, seen := h.poolUse[pool]; seen {
+		return n
+	}
+	var used, total int64
+	for _, n := range h.engine.nodeOrder {
+		if n.entry.Pool == pool && n.listed && n.silentAt.IsZero() && !n.evacuated {
+			used += milliCoreEquivalents(n.used)
+			total += milliCoreEquivalents(n.entry.Capacity)
+		}
+	}
+	h.poolUse[pool] = 1
+	if total > 0 {
+		h.poolUse[pool] = ratio(used, total)
+	}
+	return h.poolUse[pool]
+}
+
+// hasAmpleCapacity reports whether a unit's gang, or a task of it that starts alone, fits
+// twice.
+func (h *delayCheck) hasAmpleCapacity(unit *unit) bool {
+	wanted := ampleFitFactor
+	if unit.step.spec.Gang {
+		wanted *= len(unit.tasks)
+	}
+	return h.fitCount(unit) >= wanted
+}
+
+// fitCount returns how many tasks like those of a unit fit on workers that may run them.
+func (h *delayCheck) fitCount(unit *unit) int {
+	key := h.usable.fitKeyOf(unit, false)
+	cacheable := unit.step.spec.PerWorker == 0 && !unit.job.queue.Advised
+	if known, seen := h.fitCounts[key]; seen && cacheable {
+		return known
+	}
+	count := 0
+	for _, node := range h.usable.nodes {
+		if unit.eligible(node) && unit.hasAnyTicket(node) {
+			count += h.usable.capacityFor(node, unit.step, unit.step.need(), math.MaxInt32)
+		}
+	}
+	if cacheable {
+		h.fitCounts[key] = count
+	}
+	return count
+}
--- a/placing/summary.go
+++ b/placing/summary.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// summaryEvery is how often the engine says how full the workers are. One line
-// a second is read easily and shows every burst, which last some seconds.
-const summaryEvery = time.Second
+// summaryInterval is the time between two log lines on how full the workers are. One line a
+// second is easy to read and shows every burst, as bursts last some seconds.
+const summaryInterval = time.Second
 
-// summarize notes what the workers have and what waits, by tier.
-func (e *Engine) summarize(units []*unit, open *view, now time.Time) {
-	if now.Sub(e.summedAt) < summaryEvery {
+// logSummary logs the capacity and usage of the workers and what waits, by tier.
+func (e *Engine) logSummary(units []*unit, open *view, now time.Time) {
+	if now.Sub(e.summarizedAt) < summaryInterval {
 		return
 	}
-	e.summedAt = now
-	var whole, usable, busy, stopping, evacuated int64
+	e.summarizedAt = now
+	var total, usable, busy, stopping, evacuated int64
 	for _, node := range e.nodeOrder {
-		whole += node.entry.Capacity.Accelerators
+		total += node.entry.Capacity.Accelerators
 		busy += node.used.Accelerators
 		if node.evacuated {
 			evacuated += node.entry.Capacity.Accelerators
@@ -31,10 +31,10 @@
 	for _, node := range open.nodes {
 		usable += node.entry.Capacity.Accelerators
 	}
-	var waiting [tierHopeless + 1]int64
+	var waiting [tierBestEffort + 1]int64
 	for _, unit := range units {
 		waiting[unit.tier] += int64(len(unit.tasks)) * unit.step.need().Accelerators
 	}
 	e.plan.Notes = append(e.plan.Notes, Note{Event: "load", Detail: fmt.Sprintf(
-		"accelerators %d usable %d evacuated %d busy %d stopping %d waiting_by_tier %v jobs %d", whole, usable, evacuated, busy, stopping, waiting, len(e.active))})
+		"accelerators %d usable %d evacuated %d busy %d stopping %d waiting_by_tier %v jobs %d", total, usable, evacuated, busy, stopping, waiting, len(e.active))})
 }
--- a/placing/urgent_test.go
+++ b/placing/urgent_test.go
@@ -10,28 +10,28 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// cluster drives an engine with workers that do as they are told at once.
+// cluster drives an engine with workers that carry out orders at once.
 type cluster struct {
-	engine *Engine
-	now    time.Time
-	ids    []string
-	ends   map[string]int64
+	engine     *Engine
+	now        time.Time
+	workerIDs  []string
+	endNumbers map[string]int64
 }
 
-// newCluster has racks of four workers with eight accelerators each.
+// newCluster returns a cluster with racks of four workers with eight accelerators each.
 func newCluster(racks int) *cluster { return newClusterOf(racks, 4) }
 
-func newClusterOf(racks, each int) *cluster {
-	c := &cluster{engine: testEngine(1), now: testStart, ends: map[string]int64{}}
+func newClusterOf(racks, perRack int) *cluster {
+	c := &cluster{engine: testEngine(1), now: testStart, endNumbers: map[string]int64{}}
 	c.engine.Load(nil, FormerHandedOver, c.now)
 	var entries []WorkerEntry
-	for index := range racks * each {
+	for index := range racks * perRack {
 		id := fmt.Sprintf("w%02d", index)
-		c.ids = append(c.ids, id)
-		entries = append(entries, testWorker(id, fmt.Sprintf("r1-%d", index/each)))
+		c.workerIDs = append(c.workerIDs, id)
+		entries = append(entries, testWorker(id, fmt.Sprintf("r1-%d", index/perRack)))
 	}
 	c.engine.List(entries, c.now)
-	for _, id := range c.ids {
+	for _, id := range c.workerIDs {
 		c.engine.Report(id, c.now, nil, nil, time.Time{}, c.now)
 	}
 	return c
@@ -41,8 +41,8 @@
 	c.engine.Learn(&jobs.Job{Submission: submission}, c.now)
 }
 
-// step lets 50 ms pass: records are durable, starts are accepted, and stops end
-// their runs with the next step.
+// step advances time by 50 ms: records are durable, starts are accepted, and stopped runs are
+// reported as ended at once.
 func (c *cluster) step() Plan {
 	c.now = c.now.Add(50 * time.Millisecond)
 	plan := c.engine.Decide(c.now)
@@ -54,15 +54,16 @@
 		c.engine.StartAnswered(start.Worker, start.Task, start.Run, StartAccepted, c.now)
 	}
 	for _, stop := range plan.Stops {
-		c.ends[stop.Worker]++
-		end := EndedTask{Number: c.ends[stop.Worker], Task: stop.Task, Run: stop.Run, How: EndStopped}
-		c.engine.Report(stop.Worker, c.now, c.running(stop), []EndedTask{end}, time.Time{}, c.now)
+		c.endNumbers[stop.Worker]++
+		end := EndedTask{Number: c.endNumbers[stop.Worker], Task: stop.Task, Run: stop.Run, How: EndStopped}
+		c.engine.Report(stop.Worker, c.now, c.runningTasks(stop), []EndedTask{end}, time.Time{}, c.now)
 	}
 	return plan
 }
 
-// running lists what the engine has at a worker but for a run that stops.
-func (c *cluster) running(stop Stop) []RunningTask {
+// runningTasks returns the runs that the engine has on a worker, without the one that is being
+// stopped.
+func (c *cluster) runningTasks(stop Stop) []RunningTask {
 	var rows []RunningTask
 	for _, run := range c.engine.nodes[stop.Worker].runs {
 		if run.phase != phasePlanned && (run.task.key != stop.Task || run.number != stop.Run) {
@@ -78,7 +79,7 @@
 	}
 }
 
-// racksOf returns the racks in which a job's tasks run.
+// racksOf returns the racks in which tasks of a job are placed.
 func (c *cluster) racksOf(id string) map[string]bool {
 	racks := map[string]bool{}
 	for _, task := range c.engine.jobs[id].allTasks() {
@@ -89,15 +90,15 @@
 	return racks
 }
 
-// fill gives every accelerator of some workers to work of low priority.
-func (c *cluster) fill(workers int) {
-	for index := range workers {
-		c.submit(testJob(hexID(index+1), 2, testStep(8, 1)))
+// fillWorkers fills every accelerator of some workers with low-priority tasks.
+func (c *cluster) fillWorkers(workers int) {
+	for i := range workers {
+		c.submit(testJob(hexID(i+1), 2, testStep(8, 1)))
 	}
 	c.steps(3)
 }
 
-func (c *cluster) begun(id string) bool {
+func (c *cluster) allRunning(id string) bool {
 	for _, task := range c.engine.jobs[id].allTasks() {
 		if task.run == nil || task.run.phase != phaseRunning {
 			return false
@@ -112,155 +113,153 @@
 	return step
 }
 
-// The load: every accelerator taken by low-priority tasks when an urgent gang
-// comes that needs half a rack. It begins in one rack, within the reclaim time,
-// and no more is stopped than what stands in its place.
+// Low-priority tasks use every accelerator when an urgent gang that needs half a rack arrives.
+// It starts in one rack within the reclaim time, and only the tasks in its place are stopped.
 func TestUrgentGangTakesRoomInOneRack(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(3)
-	c.fill(12)
+	c.fillWorkers(12)
 	urgent := testJob(hexID(99), 0, gangStep(2, 8))
 	c.submit(urgent)
 	stopped := 0
-	begin := c.now
-	for !c.begun(urgent.ID) && c.now.Sub(begin) < testLimits.Reclaim {
+	start := c.now
+	for !c.allRunning(urgent.ID) && c.now.Sub(start) < testLimits.Reclaim {
 		stopped += len(c.step().Stops)
 	}
-	is.True(c.begun(urgent.ID))
+	is.True(c.allRunning(urgent.ID))
 	is.Equal(len(c.racksOf(urgent.ID)), 1)
 	is.Equal(stopped, 16)
 }
 
-// A burst of urgent gangs on full workers: first-come first-fit would have them
-// wait for tasks of 4 s; here all that the racks hold begin at once.
-func TestBurstOfUrgentGangsBegins(t *testing.T) {
+// A burst of urgent gangs arrives at full workers. First-come first-fit would make them wait
+// for tasks of 4 s; all gangs that fit into the racks have to start at once.
+func TestBurstOfUrgentGangsStarts(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(3)
-	c.fill(12)
-	for index := range 6 {
-		c.submit(testJob(hexID(50+index), 0, gangStep(2, 8)))
+	c.fillWorkers(12)
+	for i := range 6 {
+		c.submit(testJob(hexID(50+i), 0, gangStep(2, 8)))
 	}
 	c.steps(int(testLimits.Reclaim / (50 * time.Millisecond)))
-	for index := range 6 {
-		is.True(c.begun(hexID(50 + index)))
-		is.Equal(len(c.racksOf(hexID(50+index))), 1)
+	for i := range 6 {
+		is.True(c.allRunning(hexID(50 + i)))
+		is.Equal(len(c.racksOf(hexID(50+i))), 1)
 	}
 }
 
-// While what stands in its place is being stopped, an urgent gang is not spread
-// over racks, where it would be three times as slow.
+// An urgent gang is not spread over racks, where it would be three times as slow, while the
+// tasks in its place are being stopped.
 func TestUrgentGangWaitsForItsRack(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(2)
-	for index := range 8 {
+	for i := range 8 {
 		filler := testStep(7, 1)
 		filler.PerWorker = 7
-		filler.Need.MilliCores = 9000 // a second job does not fit beside: one accelerator stays free
-		c.submit(testJob(hexID(index+1), 2, filler))
+		filler.Need.MilliCores = 9000 // no second job fits on the worker, so one accelerator stays free
+		c.submit(testJob(hexID(i+1), 2, filler))
 	}
 	c.steps(3)
 	urgent := testJob(hexID(99), 0, gangStep(6, 1))
 	c.submit(urgent)
-	c.engine.Decide(c.now.Add(50 * time.Millisecond)) // stops are sent, none has ended
+	c.engine.Decide(c.now.Add(50 * time.Millisecond)) // stops are sent, no run has ended
 	is.Equal(len(c.racksOf(urgent.ID)), 0)
 	c.steps(40)
 	is.Equal(len(c.racksOf(urgent.ID)), 1)
 }
 
-// No rack has room for an urgent gang, as urgent work that must not be stopped
-// takes most of each. Once its patience is over the gang is spread, and begins
-// as soon as what stood in its place has ended, though alike gangs wait too.
+// No rack has capacity for an urgent gang, because urgent work that must not be stopped takes
+// most of each. After its rack delay the gang is spread and starts as soon as the tasks in its
+// place have ended, though similar gangs wait too.
 func TestSpreadUrgentGangTakesTheRoomMadeForIt(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(3)
-	for index := range 3 {
-		c.submit(testJob(hexID(index+1), 0, gangStep(3, 8)))
+	for i := range 3 {
+		c.submit(testJob(hexID(i+1), 0, gangStep(3, 8)))
 	}
 	c.steps(3)
-	for index := range 3 {
-		c.submit(testJob(hexID(10+index), 2, testStep(8, 1)))
+	for i := range 3 {
+		c.submit(testJob(hexID(10+i), 2, testStep(8, 1)))
 	}
 	c.steps(3)
 	spread := testJob(hexID(98), 0, gangStep(3, 8))
 	c.submit(spread)
 	c.submit(testJob(hexID(99), 0, gangStep(4, 8)))
-	patience := time.Duration(urgentShare * float64(testLimits.Reclaim))
+	patience := time.Duration(urgentDelayShare * float64(testLimits.Reclaim))
 	c.steps(int(patience/(50*time.Millisecond)) + 4)
-	is.True(c.begun(spread.ID))
+	is.True(c.allRunning(spread.ID))
 	is.Equal(len(c.racksOf(spread.ID)), 3)
 }
 
-// Beyond its workspace's guarantee an urgent job does not cost more than it is
-// worth; inside, it begins whatever it costs.
+// Beyond the guarantee of its workspace an urgent job must not cost more than it is worth;
+// within it, the job starts at any cost.
 func TestLossIsBoundedBeyondTheGuarantee(t *testing.T) {
 	for _, guarantee := range []int64{0, 8} {
 		is := is.New(t)
 		c := newCluster(1)
 		c.engine.Configure(nil, map[string]int64{"manchester": guarantee}, nil)
 		c.submit(testJob(hexID(1), 1, gangStep(4, 8)))
-		c.steps(200) // ten seconds of work on every accelerator
+		c.steps(200) // ten seconds of work on each accelerator
 		small := testJob(hexID(2), 0, testStep(1, 1))
 		small.Steps[0].EstimateMS = 500
 		c.submit(small)
 		c.steps(10)
-		is.Equal(c.begun(small.ID), guarantee > 0)
+		is.Equal(c.allRunning(small.ID), guarantee > 0)
 	}
 }
 
-// Urgent work of a workspace beyond its guarantee fills the workers. A job
-// inside the guarantee of another begins within the reclaim time nevertheless,
-// and no more of that work is stopped than stands in its place.
+// Urgent work of a workspace beyond its guarantee fills the workers. A job within the
+// guarantee of another workspace still starts within the reclaim time, and only the tasks in
+// its place are stopped.
 func TestGuaranteeIsTakenBackFromUrgentWorkBeyondItsOwn(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(2)
 	c.engine.Configure(nil, map[string]int64{"manchester": 16, "nashua": 16}, nil)
-	for index := range 8 {
-		c.submit(testJob(hexID(index+1), 0, testStep(8, 1)))
+	for i := range 8 {
+		c.submit(testJob(hexID(i+1), 0, testStep(8, 1)))
 	}
 	c.steps(3)
 	owed := testJob(hexID(99), 0, gangStep(2, 8))
 	owed.Workspace = "nashua"
 	c.submit(owed)
 	begin, stopped := c.now, 0
-	for !c.begun(owed.ID) && c.now.Sub(begin) < testLimits.Reclaim {
+	for !c.allRunning(owed.ID) && c.now.Sub(begin) < testLimits.Reclaim {
 		stopped += len(c.step().Stops)
 	}
-	is.True(c.begun(owed.ID))
+	is.True(c.allRunning(owed.ID))
 	is.Equal(stopped, 16)
-	more := testJob(hexID(100), 0, gangStep(2, 8)) // beyond: it waits
+	more := testJob(hexID(100), 0, gangStep(2, 8)) // beyond the guarantee, so it waits
 	c.submit(more)
 	c.steps(int(testLimits.Reclaim / (50 * time.Millisecond)))
-	is.True(!c.begun(more.ID))
+	is.True(!c.allRunning(more.ID))
 }
 
-// A short urgent job is soon past three times its objective. It still has to
-// begin within the reclaim time, so it is not left behind for that.
+// A short urgent job soon exceeds three times its objective. It must not be given up for that,
+// because it still has to start within the reclaim time.
 func TestShortUrgentJobIsNotGivenUpWithinTheReclaimTime(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
-	c.fill(4)
+	c.fillWorkers(4)
 	short := testJob(hexID(9), 0, gangStep(1, 8))
 	short.Steps[0].EstimateMS = 100
 	short.Queue.TargetMS = 100
 	c.submit(short)
-	c.now = c.now.Add(1700 * time.Millisecond) // no decision for as long, as in a take-over
+	c.now = c.now.Add(1700 * time.Millisecond) // no pass for this long, as during a leader change
 	c.steps(4)
-	is.True(c.begun(short.ID))
+	is.True(c.allRunning(short.ID))
 }
 
-// A worker that fails rests, longer each time, and is forgiven by a run that is
-// done.
-func TestFailingWorkersRest(t *testing.T) {
+// The backoff of a failing worker grows with each failure and ends with a successful run.
+func TestFailingWorkersBackOff(t *testing.T) {
 	is := is.New(t)
 	var h health
-	h.failed(testStart)
-	is.Equal(h.until.Sub(testStart), restFirst)
-	h.failed(testStart)
-	is.Equal(h.until.Sub(testStart), 2*restFirst)
+	h.markFailed(testStart)
+	is.Equal(h.until.Sub(testStart), minWorkerBackoff)
+	h.markFailed(testStart)
+	is.Equal(h.until.Sub(testStart), 2*minWorkerBackoff)
 	for range 9 {
-		h.failed(testStart)
+		h.markFailed(testStart)
 	}
-	is.Equal(h.until.Sub(testStart), restMost)
-	h.good()
+	is.Equal(h.until.Sub(testStart), maxWorkerBackoff)
+	h.reset()
 	is.True(h.until.IsZero())
 }
--- a/placing/view.go
+++ b/placing/view.go
@@ -7,31 +7,30 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// view is the capacity that placements of one pass may count on. Nodes are
-// numbered by node.at; it is worked on and thrown away.
+// view is the free capacity that the placements of one pass may use. Nodes are numbered by
+// node.at. A view is modified during the pass and discarded afterwards.
 type view struct {
 	nodes  []*node
 	free   []jobs.Resources // by node.at
 	racks  [][]*node        // nodes by rack, racks in the order of their names
 	rackOf []int            // by node.at: position in racks
-	// failed holds, for kinds of steps that found no seats in this pass, the
-	// smallest number of tasks that failed. Capacity only shrinks in a pass.
-	failed       map[kind]int
-	rackRooms    map[kind]map[string]int // see roomsOfRacks
-	speedsMatter bool                    // workers differ in speed, and are known to
-	closed       [classes][]bool         // by class and node.at: kept clear of work that can wait
-	// rackFree and rackWhole are what the nodes of a rack have free and in all, by
-	// position in racks, as weighCores counts. Kept up to date, they need not be
-	// summed over all nodes for each step that is tried, and a rack with too little
-	// need not be looked through.
-	rackFree, rackWhole []int64
-	// rackMost is at least the most accelerators that a node of a rack has free, by
-	// position in racks: racks without a node that could seat a task are passed over.
-	rackMost []int64
+	// failed holds, by kind of step that could not be placed in this pass, the smallest number of
+	// tasks that failed. Capacity only shrinks in a pass.
+	failed            map[fitKey]int
+	rackFitCounts     map[fitKey]map[string]int // see rackFitCounts
+	speedsSignificant bool                      // the differences between worker speeds are significant
+	headroom          [classes][]bool           // by class and node.at: reserved headroom, withheld from deferrable work
+	// rackFree and rackCapacity are the free and total capacity of the nodes of a rack, by position
+	// in racks, in units of milliCoreEquivalents. They are updated incrementally, which saves a sum
+	// over all nodes for each step that is tried, and racks with too little are skipped.
+	rackFree, rackCapacity []int64
+	// rackMaxFree is an upper bound of the accelerators that are free on any one node of a rack, by
+	// position in racks: racks without a node that could hold a task are skipped.
+	rackMaxFree []int64
 }
 
 func newView(nodes []*node) *view {
-	v := &view{nodes: nodes, free: make([]jobs.Resources, len(nodes)), failed: map[kind]int{}, rackRooms: map[kind]map[string]int{}}
+	v := &view{nodes: nodes, free: make([]jobs.Resources, len(nodes)), failed: map[fitKey]int{}, rackFitCounts: map[fitKey]map[string]int{}}
 	byName := map[string]int{}
 	for at, node := range nodes {
 		node.at = at
@@ -57,58 +56,58 @@
 
 func (v *view) sumRacks() {
 	v.rackFree = make([]int64, len(v.racks))
-	v.rackWhole = make([]int64, len(v.racks))
-	v.rackMost = make([]int64, len(v.racks))
+	v.rackCapacity = make([]int64, len(v.racks))
+	v.rackMaxFree = make([]int64, len(v.racks))
 	for at, node := range v.nodes {
 		rack := v.rackOf[at]
-		v.rackMost[rack] = max(v.rackMost[rack], v.free[at].Accelerators)
-		v.rackFree[rack] += weighFree(v.free[at])
-		v.rackWhole[rack] += weighCores(node.entry.Capacity)
+		v.rackMaxFree[rack] = max(v.rackMaxFree[rack], v.free[at].Accelerators)
+		v.rackFree[rack] += freeMilliCoreEquivalents(v.free[at])
+		v.rackCapacity[rack] += milliCoreEquivalents(node.entry.Capacity)
 	}
 }
 
 func (v *view) copy() *view {
-	made := *v
-	made.free = append([]jobs.Resources(nil), v.free...)
-	made.rackFree = append([]int64(nil), v.rackFree...)
-	made.rackMost = append([]int64(nil), v.rackMost...)
-	made.failed = map[kind]int{}
-	return &made
+	c := *v
+	c.free = append([]jobs.Resources(nil), v.free...)
+	c.rackFree = append([]int64(nil), v.rackFree...)
+	c.rackMaxFree = append([]int64(nil), v.rackMaxFree...)
+	c.failed = map[fitKey]int{}
+	return &c
 }
 
-// counts reports whether a node is one of the view's.
-func (v *view) counts(node *node) bool {
+// contains reports whether a node belongs to the view.
+func (v *view) contains(node *node) bool {
 	return node.at < len(v.nodes) && v.nodes[node.at] == node
 }
 
-func (v *view) take(node *node, need jobs.Resources) {
-	if v.counts(node) {
+func (v *view) allocate(node *node, need jobs.Resources) {
+	if v.contains(node) {
 		v.setFree(node, v.free[node.at].Sub(need))
 	}
 }
 
-func (v *view) give(node *node, need jobs.Resources) {
-	if v.counts(node) {
+func (v *view) release(node *node, need jobs.Resources) {
+	if v.contains(node) {
 		v.setFree(node, v.free[node.at].Add(need))
 	}
 }
 
-// shut keeps a node from all other units of the pass.
-func (v *view) shut(node *node) {
-	if v.counts(node) {
+// exclude withholds a node from all other units of the pass.
+func (v *view) exclude(node *node) {
+	if v.contains(node) {
 		v.setFree(node, jobs.Resources{})
 	}
 }
 
-// fitToTry reports whether a suspected task can be told from what else may end its
-// worker: nothing runs on the node or is about to, and it is steady itself.
-func (v *view) fitToTry(node *node, now time.Time) bool {
-	return len(node.runs) == 0 && v.free[node.at] == node.entry.Capacity && !now.Before(node.unsteady)
+// suitsIsolation reports whether a loss of the node would show that a suspect task caused it:
+// nothing runs on the node or is about to, and it has not recently restarted.
+func (v *view) suitsIsolation(node *node, now time.Time) bool {
+	return len(node.runs) == 0 && v.free[node.at] == node.entry.Capacity && !now.Before(node.recentlyRestartedUntil)
 }
 
 func (v *view) setFree(node *node, free jobs.Resources) {
 	rack := v.rackOf[node.at]
-	v.rackFree[rack] += weighFree(free) - weighFree(v.free[node.at])
-	v.rackMost[rack] = max(v.rackMost[rack], free.Accelerators)
+	v.rackFree[rack] += freeMilliCoreEquivalents(free) - freeMilliCoreEquivalents(v.free[node.at])
+	v.rackMaxFree[rack] = max(v.rackMaxFree[rack], free.Accelerators)
 	v.free[node.at] = free
 }
--- a/placing/worker.go
+++ b/placing/worker.go
@@ -6,24 +6,24 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// WorkerEntry is one life of a worker as the platform lists it. A worker that
-// starts again may keep its name; each life has an ID of its own.
+// WorkerEntry is one incarnation of a worker as the platform lists it. A restarted worker may
+// keep its name; each incarnation has an ID of its own.
 type WorkerEntry struct {
-	ID        string // LifeID of the next two
-	Name      string // of the worker, by which the platform knows it
-	BornMS    int64  // Unix milliseconds of the start of this life; 0 if not said
+	ID        string // LifeID of Name and BornMS
+	Name      string // the platform's name of the worker
+	BornMS    int64  // Unix milliseconds of the start of this incarnation; 0 if unknown
 	Address   string // IP:PORT
 	Pool      string
-	Kind      string // label of what it is
+	Kind      string // label of the type of worker
 	Rack      string
 	Zone      string // availability zone; empty if unknown
 	Labels    []string
 	Capacity  jobs.Resources
 	Leaving   bool
-	Remaining time.Duration // least time left while Leaving
+	Remaining time.Duration // minimum time left while Leaving
 }
 
-// HasLabel reports whether the worker carries a label; the empty one always.
+// HasLabel reports whether the worker carries a label. It is true for the empty label.
 func (e *WorkerEntry) HasLabel(label string) bool {
 	if label == "" {
 		return true
@@ -36,31 +36,31 @@
 	return false
 }
 
-// RunningTask is a run that a worker says is there.
+// RunningTask is a run that a worker reports as present.
 type RunningTask struct {
 	Task       jobs.TaskKey
 	Run        int
 	Checkpoint string
-	Percent    int   // of the work done; 100 for a lasting task at work
-	Load       int64 // response tail in milliseconds, or thousandths of cores in use
+	Percent    int   // of the work done; 100 for a long-running task that runs
+	Load       int64 // tail latency in milliseconds, or thousandths of cores in use
 }
 
-// How says how a run ended.
+// How is the way in which a run ended.
 type How string
 
 // Ends of runs as workers report them.
 const (
 	EndDone    How = "done"
-	EndFailed  How = "failed"  // by the task's fault or the worker's
-	EndStopped How = "stopped" // on our order
+	EndFailed  How = "failed"  // through the task or the worker
+	EndStopped How = "stopped" // by a stop order
 	EndLapsed  How = "lapsed"  // its lease ran out
 	EndBroken  How = "broken"  // another member of its gang ended
-	EndAlone   How = "alone"   // the gang did not become whole in time
+	EndAlone   How = "alone"   // the gang was not complete in time
 )
 
-// EndedTask is an end that a worker keeps until it is acknowledged.
+// EndedTask is the end of a run, which a worker reports until it is acknowledged.
 type EndedTask struct {
-	Number     int64 // counts the ends of this life of the worker
+	Number     int64 // counts the ends of this incarnation of the worker
 	Task       jobs.TaskKey
 	Run        int
 	How        How
