--- a/placing/advice.go
+++ b/placing/advice.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// maxAdviceWorkers is how many workers one question names. Its answer takes longer
-	// with each, and the users count thirty in a step's objective.
+	// maxAdviceWorkers bounds the workers named in one request. The response time
+	// grows with each, and the objective of a step allows for thirty.
 	maxAdviceWorkers = 30
-	// ticketMargin is kept off a ticket's life for the record of a placement and
-	// the way of the start.
+	// ticketMargin is subtracted from the validity of a ticket. It covers recording
+	// the placement and delivering the start.
 	ticketMargin = 400 * time.Millisecond
-	// adviceRetryDelay is the pause after a question that was not answered.
+	// adviceRetryDelay is the delay after a request that failed.
 	adviceRetryDelay = 200 * time.Millisecond
 )
 
-// Ask is a question which of some workers may run a step, for the service that
-// knows. One is under way at a time, as the service answers an instance's
-// questions one after the other.
+// Ask is a request to the advice service: which of some workers may run a step.
+// One request is outstanding at a time, as the service answers the requests of an
+// instance one after the other.
 type Ask struct {
 	Job        string
 	Occurrence int
@@ -26,26 +26,26 @@
 	Workers    []AskedWorker
 }
 
-// AskedWorker is a worker that a question names, and the life that a ticket is for.
+// AskedWorker is a worker named in a request, and the incarnation that a ticket is for.
 type AskedWorker struct {
 	ID   string
 	Name string
 }
 
-// advice is what is known of the workers that a step may run on.
+// advice holds the answers of the advice service about the workers for a step.
 type advice struct {
 	tickets   map[string]ticket
-	forbidden map[string]bool // may never run it
+	forbidden map[string]bool // may never run the step
 }
 
-// ticket lets a worker run a step's tasks for some time.
+// ticket permits a worker to run the tasks of a step until it expires.
 type ticket struct {
 	text      string
 	expiresAt time.Time
 }
 
-// hasValidTicket reports whether the policy of the unit's queue lets a node run it
-// now, as far as is known.
+// hasValidTicket reports whether the policy of the unit's queue permits a node to run it
+// now. It is true for queues without advice.
 func (u *unit) hasValidTicket(node *node) bool {
 	if !u.job.queue.Advised {
 		return true
@@ -54,8 +54,8 @@
 	return advice != nil && u.now.Before(advice.tickets[node.entry.ID].expiresAt)
 }
 
-// hasAnyTicket reports whether the policy of the unit's queue lets a node run it, by any answer
-// so far; the ticket may have run out.
+// hasAnyTicket reports whether the policy of the unit's queue permits a node to run it by
+// any answer so far; the ticket may have expired.
 func (u *unit) hasAnyTicket(node *node) bool {
 	if !u.job.queue.Advised {
 		return true
@@ -64,21 +64,23 @@
 	return advice != nil && advice.tickets[node.entry.ID].text != ""
 }
 
-// forbiddenOn reports whether the policy of the unit's queue never lets a node run it.
+// forbiddenOn reports whether the policy of the unit's queue never permits a node to run it.
 func (u *unit) forbiddenOn(node *node) bool {
 	return u.job.queue.Advised && u.step.advice != nil && u.step.advice.forbidden[node.entry.ID]
 }
 
-// queueForAdvice notes a unit that has no seats, or not for all of its tasks.
+// queueForAdvice adds a unit that is not placed, or not completely, to the candidates of
+// the next advice request.
 func (e *Engine) queueForAdvice(unit *unit) {
 	if unit.job.queue.Advised {
 		e.adviceQueue = append(e.adviceQueue, unit)
 	}
 }
 
-// requestAdvice asks for one of the units that want advice: in turn for the first that there are
-// workers to ask about, and for the one of them that was not asked for the longest. So a
-// step that finds no seats whatever the answer does not take all questions.
+// requestAdvice plans a request for one of the queued units. It alternates between the
+// first unit with workers to request and the one that has waited longest since its last
+// request, so that a step that cannot be placed whatever the answer does not use up all
+// requests.
 func (e *Engine) requestAdvice(open *view, now time.Time) {
 	units := e.adviceQueue
 	e.adviceQueue = nil
@@ -102,13 +104,14 @@
 	}
 }
 
-// adviceWaitingSince is when the last question for a unit was sent, or else its turn came.
+// adviceWaitingSince returns when the last request for the unit was sent or, if there was
+// none, when its step became ready.
 func (u *unit) adviceWaitingSince() time.Time {
 	return laterTime(u.step.readyAt, u.step.adviceRequestedAt)
 }
 
-// adviceCandidates lists the nodes that would suit a unit and of which no ticket is known: emptiest
-// first, as they are the likeliest to seat it, and those that are better left alone last.
+// adviceCandidates lists the eligible nodes for which the unit has no valid ticket:
+// emptiest first, as they are the likeliest to take it, and those in backoff last.
 func (e *Engine) adviceCandidates(unit *unit, open *view, now time.Time) []AskedWorker {
 	var nodes, closed []*node
 	for _, node := range open.nodes {
@@ -132,15 +135,15 @@
 	return workers
 }
 
-// needsTicket reports whether it is to be asked if a unit may run on a node that suits it.
+// needsTicket reports whether a node is eligible for the unit but has no valid ticket.
 func (u *unit) needsTicket(node *node, now time.Time) bool {
 	advice := u.step.advice
 	return u.eligible(node) && (advice == nil || !now.Before(advice.tickets[node.entry.ID].expiresAt))
 }
 
-// Advised takes the answer to a question that was sent at sentAt: tickets by
-// worker, valid for some time. Workers without one may never run the step. ok
-// is false if no answer came.
+// Advised takes the response to a request that was sent at sentAt: tickets by worker,
+// and how long they are valid. Workers without a ticket may never run the step. ok is
+// false if the request failed.
 func (e *Engine) Advised(ask Ask, ok bool, tickets map[string]string, valid time.Duration, sentAt, now time.Time) {
 	step := e.adviceStep
 	e.adviceStep = nil
@@ -161,7 +164,7 @@
 	}
 }
 
-// ticketFor is what a start of a task on a worker carries.
+// ticketFor returns the ticket that the start of a task on a worker carries.
 func (s *step) ticketFor(worker string) string {
 	if s.advice == nil {
 		return ""
@@ -169,7 +172,7 @@
 	return s.advice.tickets[worker].text
 }
 
-// dropTicket forgets a ticket that the worker did not take.
+// dropTicket removes a ticket that the worker rejected.
 func (s *step) dropTicket(worker string) {
 	if s.advice != nil {
 		delete(s.advice.tickets, worker)
--- a/placing/bench_test.go
+++ b/placing/bench_test.go
@@ -66,7 +66,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if chosen, _ := e.selectVictims(unit, open, now); chosen == nil {
-					b.Fatal("no room found")
+					b.Fatal("no placement found")
 				}
 			}
 		})
@@ -90,7 +90,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if open.fit(unit, false) == nil {
-			b.Fatal("no seats")
+			b.Fatal("no placement found")
 		}
 	}
 }
--- a/placing/capacity.go
+++ b/placing/capacity.go
@@ -13,8 +13,9 @@
 // ListSeen records as of when the list of workers is known.
 func (e *Engine) ListSeen(at time.Time) { e.listReadAt = at }
 
-// noteResize logs that a worker offers more or less than before.
-func (e *Engine) noteResize(n *node, entry WorkerEntry) {
+// logResize logs a change of the capacity that a worker offers, and invalidates what was cached
+// for the former capacity.
+func (e *Engine) logResize(n *node, entry WorkerEntry) {
 	if n.entry.Capacity == entry.Capacity {
 		return
 	}
--- a/placing/capacity_search_test.go
+++ b/placing/capacity_search_test.go
@@ -26,7 +26,7 @@
 			select {
 			case <-decided:
 			case <-time.After(2 * time.Second):
-				t.Fatal("the engine has not decided for 2 s of real time")
+				t.Fatal("the pass did not end within 2 s of real time")
 			}
 		})
 	}
@@ -37,9 +37,9 @@
 func TestSearchOfCapacityEndsForLongRunningStepThatLostWorker(t *testing.T) {
 	is := is.New(t)
 	s := newDelaySim(t, 1, 3)
-	lasting := testStep(3, 1)
-	lasting.Lasting, lasting.PerWorker = true, 1
-	job := s.submit(testJob(hexID(1), 0, lasting))
+	step := testStep(3, 1)
+	step.Lasting, step.PerWorker = true, 1
+	job := s.submit(testJob(hexID(1), 0, step))
 	s.run(3 * time.Second)
 	is.Equal(s.countRunning(job, 0), 3)
 	decided := make(chan struct{})
@@ -54,6 +54,6 @@
 	select {
 	case <-decided:
 	case <-time.After(2 * time.Second):
-		t.Fatal("the engine has not decided for 2 s of real time")
+		t.Fatal("the pass did not end within 2 s of real time")
 	}
 }
--- a/placing/care.go
+++ b/placing/care.go
@@ -6,31 +6,32 @@
 )
 
 const (
-	// A run stands still if reports show no progress for stallAfter, or for
-	// stallPercentFactor times as long as one of its hundred parts has taken so far: slow
-	// workers are four to eight times slower for some seconds.
+	// A run is stalled if reports show no progress for stallAfter, or for
+	// stallPercentFactor times as long as one percent of its work has taken so far:
+	// slow workers are four to eight times slower for some seconds.
 	stallAfter         = 1500 * time.Millisecond
 	stallPercentFactor = 12
-	// A run that was never seen to make progress stands still after minStartStall, or
-	// startStallShare of its expected run time. That leaves room for estimates that are
-	// off by a factor of three on workers that are eight times slower: those show
-	// a hundredth after that.
+	// A run that has never made progress is stalled after minStartStall or, if longer,
+	// startStallShare of its expected run time. This tolerates estimates that are off by
+	// a factor of three on workers that are eight times slower: those show one percent
+	// by then.
 	minStartStall   = time.Second
 	startStallShare = 0.25
 	// overdueRuntimeFactor times the expected run time is when a run that reports all of
 	// its work as done is given up: reports count work at the speed of a sound
 	// worker, and slow ones are four to eight times slower for some seconds.
 	overdueRuntimeFactor = 8
-	// maxStallDoublings bound how often the patience with a task doubles.
+	// maxStallDoublings bounds how often the stall timeout of a task doubles.
 	maxStallDoublings = 10
-	// gangEndWindow is how far apart the ends of a gang's members may be listed.
+	// gangEndWindow is how far apart the ends of a gang's members may be reported.
 	gangEndWindow = time.Second
-	// leaveMargin is how long before a worker's leaving its tasks are stopped so
-	// that their saved states arrive.
+	// leaveMargin is how long before a worker leaves its tasks are stopped, beyond the time
+	// of a stop, so that their checkpoints arrive.
 	leaveMargin = 500 * time.Millisecond
 )
 
-// stopLeavingAndStalled moves what runs on leaving workers and what stands still.
+// stopLeavingAndStalled stops runs on leaving workers, stalled runs and runs that
+// outlive their job.
 func (e *Engine) stopLeavingAndStalled(now time.Time) {
 	for _, n := range e.nodeOrder {
 		for _, run := range append([]*run(nil), n.runs...) {
@@ -56,14 +57,14 @@
 	}
 }
 
-// outlivesJob reports whether a run goes on although its job has ended: a gang's
-// members end together, so the others need no order unless they are late.
+// outlivesJob reports whether a run goes on although its job has ended. The members of
+// a gang end together, so the remaining ones are stopped only if they are late.
 func (e *Engine) outlivesJob(run *run, now time.Time) bool {
 	job := run.task.step.job
 	return job.state.Final() && now.Sub(job.endedAt) > gangEndWindow
 }
 
-// stopRunOrGang stops a run and, if it is a gang's, all members.
+// stopRunOrGang stops a run or, if its step is a gang, all members.
 func (e *Engine) stopRunOrGang(run *run, reason string, now time.Time) {
 	if run.task.step.spec.Gang {
 		e.stopGang(run.task.step, reason, now)
@@ -72,7 +73,7 @@
 	e.stopRun(run, reason, now)
 }
 
-// stopStalled stops a run that stands still, and what stands still with it.
+// stopStalled stops a stalled run, with the other members of its gang, and counts the stall.
 func (e *Engine) stopStalled(run *run, now time.Time) {
 	idle := now.Sub(run.percentAt).Milliseconds()
 	counter := run.task.stallCounter()
@@ -82,7 +83,7 @@
 }
 
 // mustStopBeforeLeave reports whether a run on a leaving worker is to be stopped now: at
-// once if it cannot be finished and saves nothing, else just in time.
+// once if it cannot finish in time and saves no checkpoints, otherwise as late as possible.
 func (e *Engine) mustStopBeforeLeave(run *run, now time.Time) bool {
 	left := run.node.leaveAt.Sub(now)
 	if run.task.step.spec.Lasting {
@@ -97,8 +98,8 @@
 	return true
 }
 
-// disruptionAllowed reports whether one more task of a lasting step may be away, if run's
-// is one.
+// disruptionAllowed reports whether run may be stopped without more tasks of a
+// long-running step being unavailable than it tolerates.
 func (s *step) disruptionAllowed(run *run) bool {
 	unavailable := 0
 	for _, other := range s.tasks {
@@ -109,7 +110,7 @@
 	return unavailable < max(1, s.spec.MayMiss)
 }
 
-// remainingTime is how long a run still takes, by its own progress so far.
+// remainingTime estimates the remaining duration of a run from its progress so far.
 func (e *Engine) remainingTime(run *run, now time.Time) time.Duration {
 	expected := e.expectedRuntime(run.task.step.job, run.task.key.Step)
 	worked := now.Sub(run.startedAt)
@@ -119,8 +120,8 @@
 	return time.Duration(float64(worked) * float64(100-run.percent) / float64(run.percent))
 }
 
-// stalled reports whether a worker's reports show a run to stand still. What
-// was done since the newest report is not known.
+// stalled reports whether the reports of a worker show a run without progress. The time
+// since the newest report does not count, as progress in it is unknown.
 func (e *Engine) stalled(run *run, now time.Time) bool {
 	if run.task.step.spec.Lasting || run.task.step.spec.Fills || !run.seen {
 		return false
@@ -143,14 +144,14 @@
 	return run.reportedAt.Sub(run.percentAt) > run.task.stallTimeout(max(stallAfter, stallPercentFactor*part))
 }
 
-// stallTimeout is how long a task's run may stand still, where the first may for some time. A
-// program may tell its progress in jumps or not at all: without more patience each time it
-// would be stopped for ever.
+// stallTimeout returns how long a run of the task may show no progress: base, doubled
+// with each stall so far. A program may report its progress in jumps or not at all, and
+// with a fixed timeout it would be stopped for ever.
 func (t *task) stallTimeout(base time.Duration) time.Duration {
 	return base << min(t.stallCounter().stalls, maxStallDoublings)
 }
 
-// stallCounter is the task whose stalls count: a gang stands still as one.
+// stallCounter returns the task that counts the stalls: of a gang, the first member.
 func (t *task) stallCounter() *task {
 	if t.step.spec.Gang {
 		return t.step.tasks[0]
@@ -158,9 +159,9 @@
 	return t
 }
 
-// stopIsCheaper reports whether a run has stood still for as long as it had worked:
-// until then, waiting for it costs less than what its stop would throw away. Most
-// workers that stand still go on after five to seven seconds.
+// stopIsCheaper reports whether a run has been stalled for as long as it had worked.
+// Until then waiting costs less than the work that a stop discards. Most stalled workers
+// recover after five to seven seconds.
 func (e *Engine) stopIsCheaper(run *run, now time.Time) bool {
 	worked := run.task.stallTimeout(run.percentAt.Sub(run.startedAt))
 	if run.task.step.spec.Checkpoints {
@@ -169,9 +170,9 @@
 	return now.Sub(run.percentAt) > worked
 }
 
-// avoidStalledWorkers keeps new work off the workers on which a run may stand still. The
-// members of a gang stand still together, wherever the cause is: workers on which
-// other work goes on are not to blame.
+// avoidStalledWorkers puts the workers of a stalled run in backoff. The members of a gang
+// stall together wherever the cause is, so workers on which other work progresses are
+// left out.
 func (e *Engine) avoidStalledWorkers(run *run, now time.Time) {
 	for _, member := range run.task.step.tasks {
 		if member.run == nil || member.run != run && !run.task.step.spec.Gang {
@@ -183,8 +184,8 @@
 	}
 }
 
-// otherWorkProgressed reports whether the newest report of a node showed progress of work
-// other than a step's.
+// otherWorkProgressed reports whether the newest report of a node showed progress of
+// work of other steps.
 func (n *node) otherWorkProgressed(step *step) bool {
 	for _, run := range n.runs {
 		if run.task.step != step && run.seen && run.percent > run.basePercent && run.percentAt.Equal(run.reportedAt) {
@@ -194,8 +195,8 @@
 	return false
 }
 
-// workingSince is when a run began to work: the members of a gang wait for each
-// other. whole is false while members are missing.
+// workingSince returns when a run began to work: the members of a gang wait for each
+// other. complete is false while members are missing.
 func (s *step) workingSince(run *run) (begin time.Time, complete bool) {
 	if !s.spec.Gang {
 		return run.startedAt, true
--- a/placing/crash_sim_test.go
+++ b/placing/crash_sim_test.go
@@ -217,15 +217,15 @@
 	if !step.Gang || s.allMembers {
 		return true
 	}
-	present := 0
-	for _, life := range s.workers {
-		for other, candidate := range life.running {
-			if life.up && other.Job == key.Job && candidate.number == run.number {
-				present++
+	running := 0
+	for _, w := range s.workers {
+		for other, candidate := range w.running {
+			if w.up && other.Job == key.Job && candidate.number == run.number {
+				running++
 			}
 		}
 	}
-	return present == step.Tasks
+	return running == step.Tasks
 }
 
 func (s *crashSim) loseWorker(w *simWorker, under jobs.TaskKey) {
@@ -275,9 +275,9 @@
 	for _, stop := range plan.Stops {
 		s.stopRun(stop)
 	}
-	for _, life := range s.workers {
-		if number := plan.Acks[life.entry.ID]; number > 0 {
-			life.unackedEnds = life.unackedEnds[len(life.unackedEnds)-int(life.lastEnd-number):]
+	for _, w := range s.workers {
+		if number := plan.Acks[w.entry.ID]; number > 0 {
+			w.unackedEnds = w.unackedEnds[len(w.unackedEnds)-int(w.lastEnd-number):]
 		}
 	}
 	if s.leaderChanges && s.lostWorkers > before {
@@ -300,7 +300,7 @@
 		return
 	}
 	for _, other := range s.workers {
-		if _, there := other.running[start.Task]; there && other.up {
+		if _, ok := other.running[start.Task]; ok && other.up {
 			s.duplicateRuns = append(s.duplicateRuns, start.Task)
 		}
 	}
@@ -319,7 +319,7 @@
 	if !w.up {
 		return
 	}
-	if _, there := w.running[stop.Task]; there {
+	if _, ok := w.running[stop.Task]; ok {
 		delete(w.running, stop.Task)
 		w.lastEnd++
 		w.unackedEnds = append(w.unackedEnds, EndedTask{Number: w.lastEnd, Task: stop.Task, Run: stop.Run, How: EndStopped})
--- a/placing/crash_test.go
+++ b/placing/crash_test.go
@@ -32,36 +32,36 @@
 	gang.OneRack = false
 	cases := []crashCase{
 		{name: "alone on a worker", step: big},
-		{name: "beside sound work", step: small},
+		{name: "beside healthy work", step: small},
 		{name: "one task of several", step: several},
-		{name: "a gang's member", step: gang},
+		{name: "member of a gang", step: gang},
 		{name: "all members of a gang", step: gang, allMembers: true},
-		{name: "a lasting task", step: longRunningStep(1)},
+		{name: "long-running task", step: longRunningStep(1)},
 		{name: "urgent", step: big, urgent: true},
-		{name: "the term passes on after each loss", step: big, leaderChanges: true},
-		{name: "small, and the term passes on", step: small, leaderChanges: true},
+		{name: "the leader changes after each loss", step: big, leaderChanges: true},
+		{name: "small, and the leader changes", step: small, leaderChanges: true},
 		{name: "workers are lost for good", step: small, permanentLoss: true},
-		{name: "the loss shows late", step: big, detectionDelay: 2500 * time.Millisecond},
+		{name: "the loss is detected late", step: big, detectionDelay: 2500 * time.Millisecond},
 		{name: "workers are back at once", step: small, restartDelay: 60 * time.Millisecond},
-		{name: "it takes its worker after a while", step: small, crashDelay: 1500 * time.Millisecond},
+		{name: "it crashes its worker after a while", step: small, crashDelay: 1500 * time.Millisecond},
 		{name: "no answer to its starts", step: big, unanswered: true},
 		{name: "workers keep their names", step: small, keepsName: true},
-		{name: "workers keep their names, the term passes on", step: big, keepsName: true, leaderChanges: true},
+		{name: "workers keep their names, the leader changes", step: big, keepsName: true, leaderChanges: true},
 		{name: "workers keep their names, no answer to its starts", step: big, keepsName: true, unanswered: true},
 		{name: "workers keep their names and are back at once", step: gang, keepsName: true, restartDelay: 60 * time.Millisecond},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			site := newCrashSim(test)
-			site.run(60 * time.Second)
-			is.True(site.lostWorkers >= 2)                                       // the job is not given up without evidence
-			is.True(site.maxStartsAfterThirdLoss <= 2)                           // starts after three workers were lost under the task
-			is.Equal(site.table.Job(site.crashingJob).State(), jobs.StateFailed) // its caller gets a result
-			is.Equal(site.countStates()[jobs.StateFailed], 1)                    // no other job fails
-			is.Equal(site.countStates()[jobs.StateDone], len(site.submitted)-1)  // all healthy work is finished
-			is.True(site.healthyRunsLost <= 14)                                  // at most the runs of two full workers: a suspect is isolated afterwards
-			is.Equal(len(site.duplicateRuns), 0)                                 // nothing ran twice
+			sim := newCrashSim(test)
+			sim.run(60 * time.Second)
+			is.True(sim.lostWorkers >= 2)                                      // the job is not given up without evidence
+			is.True(sim.maxStartsAfterThirdLoss <= 2)                          // starts after three workers were lost under the task
+			is.Equal(sim.table.Job(sim.crashingJob).State(), jobs.StateFailed) // its caller gets a result
+			is.Equal(sim.countStates()[jobs.StateFailed], 1)                   // no other job fails
+			is.Equal(sim.countStates()[jobs.StateDone], len(sim.submitted)-1)  // all healthy work is finished
+			is.True(sim.healthyRunsLost <= 14)                                 // at most the runs of two full workers: a suspect is isolated afterwards
+			is.Equal(len(sim.duplicateRuns), 0)                                // nothing ran twice
 		})
 	}
 }
@@ -80,10 +80,10 @@
 				if s.now.Sub(testStart) > 20*time.Second || random.IntN(60) != 0 {
 					return // one loss in 0.6 s, among three of the eight workers
 				}
-				unsteady := []string{"w0", "w1", "w2"}[random.IntN(3)]
-				for _, life := range s.workers {
-					if life.up && life.entry.Address == unsteady {
-						s.loseWorker(life, jobs.TaskKey{})
+				address := []string{"w0", "w1", "w2"}[random.IntN(3)]
+				for _, w := range s.workers {
+					if w.up && w.entry.Address == address {
+						s.loseWorker(w, jobs.TaskKey{})
 						return
 					}
 				}
@@ -107,9 +107,9 @@
 			if passed%(5*time.Second) != 0 || passed > 20*time.Second {
 				return
 			}
-			for _, life := range s.workers {
-				if life.up {
-					s.loseWorker(life, jobs.TaskKey{})
+			for _, w := range s.workers {
+				if w.up {
+					s.loseWorker(w, jobs.TaskKey{})
 				}
 			}
 		}})
--- a/placing/delay_backoff_test.go
+++ b/placing/delay_backoff_test.go
@@ -31,8 +31,8 @@
 			for !s.allInBackoff() {
 				s.tick()
 			}
-			sound := s.submit(testJob(hexID(1), 1, testStep(1, 1)))
-			is.True(s.waitForStart(sound, 0) <= maxIdleDelay)
+			healthy := s.submit(testJob(hexID(1), 1, testStep(1, 1)))
+			is.True(s.waitForStart(healthy, 0) <= maxIdleDelay)
 		})
 	}
 }
--- a/placing/delay_cases_test.go
+++ b/placing/delay_cases_test.go
@@ -19,13 +19,13 @@
 
 // The start delay is bounded if one task fits twice; the whole step doesn't have to.
 func TestTasksStartWithoutCapacityForTheirWholeStepTwice(t *testing.T) {
-	for name, lasting := range map[string]bool{"tasks that end": false, "tasks that last": true} {
+	for name, longRunning := range map[string]bool{"finite tasks": false, "long-running tasks": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(3) // 12 workers
 			c.backOffAll()
 			step := testStep(7, 8)
-			step.Lasting = lasting
+			step.Lasting = longRunning
 			job := testJob(hexID(1), 1, step)
 			c.submit(job)
 			is.True(c.startsWithin(job.ID, overdueAfter))
@@ -35,7 +35,7 @@
 
 // A worker in backoff often refuses a start. The refusal must not reset the start delay.
 func TestRefusedStartDoesNotRestartIdleDelay(t *testing.T) {
-	for name, result := range map[string]StartResult{"busy": StartBusy, "no room": StartNoRoom} {
+	for name, result := range map[string]StartResult{"busy": StartBusy, "no capacity": StartNoRoom} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(3)
@@ -64,7 +64,7 @@
 // Every long-running task has to run: a suspect and a healthy task of one step share one start
 // delay instead of waiting one after the other.
 func TestLongRunningTasksOfOneStepDoNotDelayEachOther(t *testing.T) {
-	for name, tasks := range map[string]int{"one sound": 2, "eleven sound": 12} {
+	for name, tasks := range map[string]int{"one healthy": 2, "eleven healthy": 12} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(3)
@@ -99,7 +99,7 @@
 
 // Tickets that expire before the delay bound is reached must not reset the delay.
 func TestExpiringTicketsDoNotExtendRackDelayOfAdvisedGang(t *testing.T) {
-	for name, valid := range map[string]time.Duration{"of two seconds and a half": 2500 * time.Millisecond, "of three seconds": 3 * time.Second, "of a minute": time.Minute} {
+	for name, valid := range map[string]time.Duration{"valid for 2.5 s": 2500 * time.Millisecond, "valid for 3 s": 3 * time.Second, "valid for a minute": time.Minute} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := newDelaySim(t, 8, 6)
@@ -147,9 +147,9 @@
 			e.runPass(now)
 		})
 	}
-	one, many := allocations(1), allocations(300)
-	if more := (many - one) / 299; more > 8 {
-		t.Fatalf("each further gang takes %.1f allocations", more)
+	forOne, forMany := allocations(1), allocations(300)
+	if perGang := (forMany - forOne) / 299; perGang > 8 {
+		t.Fatalf("each further gang takes %.1f allocations", perGang)
 	}
 }
 
@@ -166,8 +166,8 @@
 // A suspect may crash its worker and everything that runs there, so it waits for an empty one.
 // Time waited earlier, under another leader, doesn't count towards that delay after a loss.
 func TestSuspectWaitsForEmptyWorkerAfterLeaderChange(t *testing.T) {
-	for _, changes := range []bool{false, true} {
-		t.Run(map[bool]string{false: "one holder", true: "next holder"}[changes], func(t *testing.T) {
+	for _, changeLeader := range []bool{false, true} {
+		t.Run(map[bool]string{false: "same leader", true: "next leader"}[changeLeader], func(t *testing.T) {
 			is := is.New(t)
 			s := newDelaySim(t, 2, 6)
 			s.run(time.Second)
@@ -176,7 +176,7 @@
 			}
 			job := s.submit(testJob(hexID(1), 1, testStep(1, 1)))
 			s.run(4 * time.Second)
-			if changes {
+			if changeLeader {
 				s.changeLeader()
 			}
 			for range minLossesToIsolate {
@@ -247,8 +247,8 @@
 			s.engine.Unreachable(w.entry.ID, time.Time{}, s.now)
 		}
 	}
-	for _, known := range s.engine.nodeOrder {
-		known.health.backOff(s.now, maxWorkerBackoff)
+	for _, node := range s.engine.nodeOrder {
+		node.health.backOff(s.now, maxWorkerBackoff)
 	}
 	job := s.submit(testJob(hexID(1), 1, testStep(1, 1)))
 	is.True(s.waitForStart(job, 0) <= maxIdleDelay)
@@ -270,8 +270,8 @@
 	is.True(c.engine.jobs[urgent.ID].reservation != nil)
 	c.engine.Complete()
 	entries := []WorkerEntry{testWorker("late", "r1-0")}
-	for _, known := range c.engine.nodeOrder {
-		entries = append(entries, known.entry)
+	for _, node := range c.engine.nodeOrder {
+		entries = append(entries, node.entry)
 	}
 	c.engine.List(entries, c.now)
 	row := RunningTask{Task: jobs.TaskKey{Job: urgent.ID}, Run: 1, Percent: 1}
--- a/placing/delay_data_rack_test.go
+++ b/placing/delay_data_rack_test.go
@@ -103,8 +103,8 @@
 		s.submit(bad)
 		s.run(1400 * time.Millisecond)
 		for worker := first; worker <= last; worker++ {
-			if rest := s.engine.nodes[s.workers[worker].entry.ID].health.until.Sub(s.now); rest < time.Second {
-				t.Fatalf("worker %d rests for %v only", worker, rest)
+			if backoff := s.engine.nodes[s.workers[worker].entry.ID].health.until.Sub(s.now); backoff < time.Second {
+				t.Fatalf("worker %d is in backoff for only %v", worker, backoff)
 			}
 		}
 	})
@@ -134,9 +134,9 @@
 			}
 			s.run(time.Second)
 			s.termLength = termLength
-			lasting := dataRackStep(2, 1)
-			lasting.Lasting, lasting.EstimateMS = true, 0
-			job := s.submit(testJob(hexID(1), 1, lasting))
+			step := dataRackStep(2, 1)
+			step.Lasting, step.EstimateMS = true, 0
+			job := s.submit(testJob(hexID(1), 1, step))
 			is.True(s.waitForStart(job, 0) <= maxIdleDelay)
 		})
 	}
--- a/placing/delay_headroom_test.go
+++ b/placing/delay_headroom_test.go
@@ -52,8 +52,8 @@
 	s.engine.reserveHeadroom(s.engine.waitingUnits(s.now), open, s.now)
 	idle := s.engine.nodes[s.workers[11].entry.ID]
 	is.True(open.headroom[classTask] != nil)
-	for at, closed := range open.headroom[classTask] {
-		if node := open.nodes[at]; node == idle || node.entry.Pool == "other" {
+	for i, closed := range open.headroom[classTask] {
+		if node := open.nodes[i]; node == idle || node.entry.Pool == "other" {
 			is.Equal(closed, node == idle)
 		}
 	}
@@ -76,9 +76,9 @@
 				s.submit(testJob(hexID(2), 1, gang))
 				s.run(time.Second)
 				s.termLength, s.termStart = termLength, s.now
-				lasting := testStep(2, 1)
-				lasting.Lasting, lasting.EstimateMS = true, estimate.Milliseconds()
-				job := s.submit(testJob(hexID(1), 1, lasting))
+				step := testStep(2, 1)
+				step.Lasting, step.EstimateMS = true, estimate.Milliseconds()
+				job := s.submit(testJob(hexID(1), 1, step))
 				is.True(s.waitForStart(job, 0) <= maxIdleDelay)
 			})
 		}
--- a/placing/delay_log_test.go
+++ b/placing/delay_log_test.go
@@ -55,8 +55,8 @@
 	job := testJob(hexID(1), 1, testStep(1, 1))
 	c.submit(job)
 	entries := []WorkerEntry{testWorker("unheard", "r1-0")}
-	for _, known := range c.engine.nodeOrder {
-		entries = append(entries, known.entry)
+	for _, node := range c.engine.nodeOrder {
+		entries = append(entries, node.entry)
 	}
 	c.engine.List(entries, c.now)
 	overdue := time.Duration(0)
@@ -82,9 +82,9 @@
 	is := is.New(t)
 	c := newCluster(3)
 	entries := []WorkerEntry{}
-	for index, known := range c.engine.nodeOrder {
-		entry := known.entry
-		if index >= 4 {
+	for i, node := range c.engine.nodeOrder {
+		entry := node.entry
+		if i >= 4 {
 			entry.Pool = "busy"
 		}
 		entries = append(entries, entry)
@@ -95,12 +95,12 @@
 	full.Queue.Pool = "busy"
 	c.submit(full)
 	c.step()
-	for _, known := range c.engine.nodeOrder[:4] {
-		known.health.backOff(c.now, time.Minute)
+	for _, node := range c.engine.nodeOrder[:4] {
+		node.health.backOff(c.now, time.Minute)
 	}
-	held := testJob(hexID(1), 1, testStep(1, 1))
-	c.submit(held)
-	is.True(c.startsWithin(held.ID, overdueAfter))
+	job := testJob(hexID(1), 1, testStep(1, 1))
+	c.submit(job)
+	is.True(c.startsWithin(job.ID, overdueAfter))
 }
 
 func TestGangThatFitsOnceWaitsForItsRackInIdlePool(t *testing.T) {
@@ -128,8 +128,8 @@
 	lost.running = map[jobs.TaskKey]simRun{}
 	s.changeLeader()
 	s.tick()
-	for _, known := range s.engine.nodeOrder {
-		known.health.backOff(s.now, time.Minute)
+	for _, node := range s.engine.nodeOrder {
+		node.health.backOff(s.now, time.Minute)
 	}
 	for s.countRunning(job, 0) == 0 && s.now.Sub(s.termStart) < delaySimTimeout {
 		s.tick()
@@ -148,8 +148,8 @@
 	s.engine.Evacuate([]string{"z1"}, s.now)
 	job := s.submit(testJob(hexID(1), 1, testStep(1, 1)))
 	s.run(2 * overdueAfter)
-	for _, known := range s.engine.nodeOrder {
-		known.health.backOff(s.now, time.Minute)
+	for _, node := range s.engine.nodeOrder {
+		node.health.backOff(s.now, time.Minute)
 	}
 	s.engine.Evacuate(nil, s.now)
 	is.True(s.waitForStart(job, 0) <= maxIdleDelay)
--- a/placing/delay_reservation_test.go
+++ b/placing/delay_reservation_test.go
@@ -29,12 +29,12 @@
 	small := testStep(1, 1)
 	small.EstimateMS = defaultRunTime.Milliseconds()
 	job := s.submit(testJob(hexID(1), 1, small))
-	begin := s.now
-	for s.countRunning(job, 0) == 0 && s.now.Sub(begin) < delaySimTimeout {
+	start := s.now
+	for s.countRunning(job, 0) == 0 && s.now.Sub(start) < delaySimTimeout {
 		s.tick()
 	}
-	t.Logf("the small task started after %v", s.now.Sub(begin))
-	return s.now.Sub(begin)
+	t.Logf("the small task started after %v", s.now.Sub(start))
+	return s.now.Sub(start)
 }
 
 // Capacity is reserved for urgent gangs while other tasks are stopped for them, for as long as
--- a/placing/delay_sim_test.go
+++ b/placing/delay_sim_test.go
@@ -117,8 +117,8 @@
 	if s.termLength > 0 && s.now.Sub(s.termStart) >= s.termLength {
 		s.changeLeader()
 	}
-	for _, life := range s.workers {
-		s.endRuns(life)
+	for _, w := range s.workers {
+		s.endRuns(w)
 	}
 	s.reportWorkers()
 	s.answerAdvice()
@@ -153,14 +153,14 @@
 func (s *delaySim) stepOf(key jobs.TaskKey) *jobs.Step { return &s.jobs[key.Job].Steps[key.Step] }
 
 func (s *delaySim) percentDone(key jobs.TaskKey, run simRun) int {
-	work := s.runTimes[key.Job]
-	if work == 0 {
-		work = defaultRunTime
+	runTime := s.runTimes[key.Job]
+	if runTime == 0 {
+		runTime = defaultRunTime
 	}
 	if s.stepOf(key).Lasting {
 		return 100
 	}
-	return min(100, int(100*s.now.Sub(run.startedAt)/work))
+	return min(100, int(100*s.now.Sub(run.startedAt)/runTime))
 }
 
 func (s *delaySim) reportWorkers() {
@@ -216,9 +216,9 @@
 		s.stopSentAt[stop.Task] = s.now
 		s.engine.StopAnswered(stop.Worker, stop.Task, stop.Run, s.now)
 	}
-	for _, life := range s.workers {
-		if number := plan.Acks[life.entry.ID]; number > 0 {
-			life.unackedEnds = life.unackedEnds[len(life.unackedEnds)-int(life.lastEnd-number):]
+	for _, w := range s.workers {
+		if number := plan.Acks[w.entry.ID]; number > 0 {
+			w.unackedEnds = w.unackedEnds[len(w.unackedEnds)-int(w.lastEnd-number):]
 		}
 	}
 }
@@ -247,14 +247,14 @@
 func (s *delaySim) poolUsage(id string, step int) (fitsTwice bool, usedPercent int) {
 	spec := &s.jobs[id].Steps[step]
 	var capacity int
-	var free, whole int64
+	var free, total int64
 	for _, w := range s.workers {
 		if !w.up || w.entry.Pool != s.jobs[id].Queue.Pool {
 			continue
 		}
 		left := s.freeCapacity(w)
 		free += left.Accelerators
-		whole += w.entry.Capacity.Accelerators
+		total += w.entry.Capacity.Accelerators
 		for w.entry.HasLabel(spec.RequiredLabel) && left.Fits(spec.Need) {
 			left = left.Sub(spec.Need)
 			capacity++
@@ -264,7 +264,7 @@
 	if spec.Gang {
 		wanted = spec.Tasks
 	}
-	return capacity >= 2*wanted, int(100 * (whole - free) / whole)
+	return capacity >= 2*wanted, int(100 * (total - free) / total)
 }
 
 // countRunning counts the running tasks of a step.
@@ -283,10 +283,10 @@
 // racksOf returns the racks in which tasks of a job run.
 func (s *delaySim) racksOf(id string) map[string]bool {
 	racks := map[string]bool{}
-	for _, life := range s.workers {
-		for key := range life.running {
-			if life.up && key.Job == id {
-				racks[life.entry.Rack] = true
+	for _, w := range s.workers {
+		for key := range w.running {
+			if w.up && key.Job == id {
+				racks[w.entry.Rack] = true
 			}
 		}
 	}
@@ -302,15 +302,15 @@
 	if spec.Lasting {
 		wanted = spec.Tasks
 	}
-	_, inUse := s.poolUsage(id, step)
+	_, usedPercent := s.poolUsage(id, step)
 	for s.countRunning(id, step) < wanted && s.now.Sub(start) < delaySimTimeout {
-		var twice bool
-		if twice, inUse = s.poolUsage(id, step); !twice || inUse >= 50 && !spec.Lasting {
-			s.t.Fatalf("the case is not what it says: room twice over %t, %d percent in use", twice, inUse)
+		var fitsTwice bool
+		if fitsTwice, usedPercent = s.poolUsage(id, step); !fitsTwice || usedPercent >= 50 && !spec.Lasting {
+			s.t.Fatalf("the test setup is wrong: fits twice %t, %d percent in use", fitsTwice, usedPercent)
 		}
 		s.tick()
 	}
 	waited := s.now.Sub(start)
-	s.t.Logf("step %d of job %s: %d of %d run after %v, %d percent of the pool were in use", step, id, s.countRunning(id, step), spec.Tasks, waited, inUse)
+	s.t.Logf("step %d of job %s: %d of %d tasks run after %v, %d percent of the pool in use", step, id, s.countRunning(id, step), spec.Tasks, waited, usedPercent)
 	return waited
 }
--- a/placing/delay_similar_step_test.go
+++ b/placing/delay_similar_step_test.go
@@ -53,8 +53,8 @@
 	s.adviceLatency = 10 * time.Second
 	s.submit(advisedJob(1, 1, short))
 	s.run(time.Second)
-	for _, life := range s.workers {
-		for _, key := range life.runningTasks() {
+	for _, w := range s.workers {
+		for _, key := range w.runningTasks() {
 			s.runTimes[key.Job] = time.Second
 		}
 	}
--- a/placing/engine.go
+++ b/placing/engine.go
@@ -8,59 +8,59 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// Engine is the state of the placing instance. Its methods are called by one
+// Engine is the scheduling state of the leader. Its methods are called by one
 // goroutine; now never runs backwards.
 type Engine struct {
 	limits              Limits
 	epoch               int64
-	wallMS              func(now time.Time) int64 // time of day at a moment of the steady clock
+	wallMS              func(now time.Time) int64 // time of day at a time of the monotonic clock
 	jobs                map[string]*job
 	active              []*job // jobs without a final state, in the order of acceptance
 	nodes               map[string]*node
 	incarnations        map[string][]*node // nodes by the name of their worker
-	newestAnswers       map[string]answer  // newest word of workers, by their names
-	nodeOrder           []*node            // by ID, for decisions that repeat
+	newestAnswers       map[string]answer  // newest answer of each worker, by name
+	nodeOrder           []*node            // by ID, for deterministic decisions
 	queues              map[string]jobs.Queue
 	guarantees          map[string]int64
-	uncheckedPools      map[string]bool       // pools whose workers start what they are told, room or not
-	listReadAt          time.Time             // as of when the list of workers is known
-	overGuarantee       map[string]bool       // see updateOverGuarantee
+	uncheckedPools      map[string]bool       // pools whose workers start what is ordered, whether or not it fits
+	listReadAt          time.Time             // when the list of workers was last read
+	overGuarantee       map[string]bool       // by workspace, see updateOverGuarantee
 	estimates           map[string]*estimate  // by queue
-	sizes               map[string]*queueWork // by queue
-	recentlyRestarted   map[string]time.Time  // by address: until when lives there count as unsteady
+	queueWork           map[string]*queueWork // by queue
+	recentlyRestarted   map[string]time.Time  // by address: until when incarnations there count as recently restarted
 	evacuations         evacuations
-	differences         speedVariance
-	unexplainedSilences []time.Time // when workers fell silent lately without a run that had just begun, in order
+	speedVariance       speedVariance
+	unexplainedSilences []time.Time // when workers without a run that had just begun recently fell silent, in order
 
 	demands map[string]*demands // by pool
 
 	plan                 Plan
 	pendingRuns          []*run    // placed, their record not yet sent
-	recordingRuns        []*run    // placed, their record on its way
-	changedJobs          []*job    // dirty, in order
+	recordingRuns        []*run    // placed, their record in flight
+	changedJobs          []*job    // dirty, in the order of their changes
 	groupLimit           int       // bytes of records that end a group
-	recordsInFlight      bool      // a batch of records is on its way
-	recordsSentAt        time.Time // since when
+	recordsInFlight      bool      // a group of records is in flight
+	recordsSentAt        time.Time // when it was sent
 	pendingAcks          map[*node]int64
 	acksInFlight         map[*node]int64
 	lastPassAt           time.Time
 	summarizedAt         time.Time // see summarize
 	delaysCheckedAt      time.Time // see relieve
 	idlePools            map[string]idlePool
-	adviceStep           *step   // for which a question is under way
-	oldestAdviceFirst    bool    // the next question is for the step that was not asked for the longest
+	adviceStep           *step   // of the outstanding advice request; nil if there is none
+	oldestAdviceFirst    bool    // the next request is for the unit that has waited longest since its last
 	adviceQueue          []*unit // of the present pass, see queueForAdvice
 	nextAdviceAt         time.Time
-	formerLeasesExpireAt time.Time       // when all leases that former holders granted have lapsed
+	formerLeasesExpireAt time.Time       // when all leases granted by former leaders have expired
 	jobsComplete         bool            // see Complete
-	decisions            int64           // counts decisions, for those that need not be taken each time
-	pathScratch          []time.Duration // scratch of chain
-	unitScratch          []unit          // scratch of waiting, as is units
+	decisions            int64           // calls of Decide, for work that is not needed in each
+	pathScratch          []time.Duration // buffer of criticalPath
+	unitScratch          []unit          // buffer of waiting, as is units
 	units                []*unit
 }
 
-// New returns an engine for one term. wallMS gives the time of day, in
-// milliseconds since 1970, at a moment of the clock that the other calls use.
+// New returns an engine for one term. wallMS converts a time of the clock that the
+// other calls use to the time of day, in milliseconds since 1970.
 func New(limits Limits, epoch int64, wallMS func(time.Time) int64) *Engine {
 	return &Engine{
 		limits:            limits,
@@ -74,7 +74,7 @@
 		queues:            map[string]jobs.Queue{},
 		guarantees:        map[string]int64{},
 		estimates:         map[string]*estimate{},
-		sizes:             map[string]*queueWork{},
+		queueWork:         map[string]*queueWork{},
 		recentlyRestarted: map[string]time.Time{},
 		demands:           map[string]*demands{},
 		idlePools:         map[string]idlePool{},
@@ -83,17 +83,17 @@
 	}
 }
 
-// SetLimits puts limits in force that changed during the term.
+// SetLimits replaces the limits during the term.
 func (e *Engine) SetLimits(limits Limits) { e.limits = limits }
 
-// Start is an order to start a run, sent once its placement is on record.
+// Start is an order to start a run, sent once its placement is recorded.
 type Start struct {
 	Task       jobs.TaskKey
 	Run        int
 	Worker     string
 	Spec       string
 	Checkpoint string
-	Ticket     string // of the service that knows who may run the step, if its queue has one
+	Ticket     string // of the advice service, if the step's queue uses it
 }
 
 // Stop is an order to stop a run.
@@ -112,26 +112,26 @@
 	Detail string
 }
 
-// Plan is what is to be done next.
+// Plan is the outcome of one decision: orders and records to be carried out.
 type Plan struct {
 	Records []jobs.Record // progress, to be appended as one group
 	States  []jobs.Record // states, to be appended after Records; then call Recorded
-	// EarlyStates are final states to be appended at once, though a group is on its
-	// way: a final state stands without its progress.
+	// EarlyStates are final states to be appended at once, though a group is in
+	// flight: a final state is valid without its progress.
 	EarlyStates []jobs.Record
 	Starts      []Start          // to be sent
 	Stops       []Stop           // to be sent
-	Acks        map[string]int64 // by worker: ends that may be forgotten
+	Acks        map[string]int64 // by worker: ends up to this number may be forgotten
 	Paces       []Pace           // to be sent; call PaceAnswered
-	Ask         *Ask             // to be asked; call Advised with the answer
-	Forget      []string         // workers that need not be watched any more
+	Ask         *Ask             // to be sent; call Advised with the response
+	Forget      []string         // workers that need not be polled any more
 	Expired     []string         // ended jobs whose records can be dropped
-	Notes       []Note           // what was decided and why
-	Again       time.Duration    // when to ask again although nothing happens; 0: no need
+	Notes       []Note           // decisions and their reasons, for the log
+	Again       time.Duration    // when to decide again even if nothing happens; 0: no need
 }
 
-// Configure takes the operators' queues and guarantees, and the pools whose workers do
-// not guard their room.
+// Configure sets the operators' queues and guarantees, and the pools whose workers
+// accept orders without checking their capacity.
 func (e *Engine) Configure(queues []jobs.Queue, guarantees map[string]int64, uncheckedPools map[string]bool) {
 	for _, queue := range queues {
 		e.queues[queue.Name] = queue
@@ -146,6 +146,7 @@
 	}
 }
 
+// queueOf returns the configured queue of a submission, or else the one recorded with it.
 func (e *Engine) queueOf(submission *jobs.Submission) jobs.Queue {
 	if queue, ok := e.queues[submission.Queue.Name]; ok {
 		return queue
@@ -153,9 +154,9 @@
 	return submission.Queue
 }
 
-// Load takes over the fold at the beginning of the term. Runs on record are
-// looked for at their workers; those at workers that nobody knows any more are waited
-// for until the leases of the former holder have lapsed.
+// Load takes over the jobs in the log at the beginning of the term. Recorded runs are
+// looked for at their workers. Those at workers that are not listed any more count as
+// running until the leases of the former leader have expired.
 func (e *Engine) Load(loaded []*jobs.Job, former Former, now time.Time) {
 	e.formerLeasesExpireAt = now.Add(LeaseLapse(e.limits.Lease) + e.limits.formerLeaderTimeout(former))
 	for _, job := range loaded {
@@ -163,8 +164,8 @@
 	}
 }
 
-// Learn takes a job from the log. Of one that is known already, only a
-// cancellation is news, as this engine alone writes its progress.
+// Learn applies a job from the log. Of a job that is already known only a cancellation
+// matters, as this engine alone writes its progress.
 func (e *Engine) Learn(stored *jobs.Job, now time.Time) {
 	id := stored.Submission.ID
 	if e.jobs[id] == nil {
@@ -176,9 +177,8 @@
 	}
 }
 
-// Complete says that every job that a former holder of the term may have
-// started was learned. Until then runs and ends of jobs that are not known are
-// left alone at their workers.
+// Complete marks that every job that a former leader may have started was learned.
+// Until then runs and ends of unknown jobs are left alone at their workers.
 func (e *Engine) Complete() { e.jobsComplete = true }
 
 func (e *Engine) addJob(submission *jobs.Submission, now time.Time) *job {
@@ -190,7 +190,8 @@
 	return job
 }
 
-// describeJob is what of a job decides when and where it is placed, for the log.
+// describeJob returns the properties of a job that decide when and where it is placed,
+// for the log.
 func (e *Engine) describeJob(job *job) string {
 	text := "queue " + job.queue.Name + " priority " + strconv.Itoa(job.queue.Priority) + " workspace " + job.submission.Workspace
 	for index := range job.submission.Steps {
@@ -201,7 +202,7 @@
 	return text
 }
 
-// Cancel ends a job that has no final state: what runs is stopped.
+// Cancel ends a job that has no final state and stops its runs.
 func (e *Engine) Cancel(id string, now time.Time) {
 	job := e.jobs[id]
 	if job == nil || job.state.Final() {
@@ -210,7 +211,7 @@
 	e.finish(job, jobs.StateCancelled, "", now)
 }
 
-// finish gives a job its final state, stops what runs of it and writes it down.
+// finish gives a job its final state, stops its runs and schedules its record.
 func (e *Engine) finish(job *job, state jobs.State, reason string, now time.Time) {
 	job.state = state
 	job.reason = reason
@@ -221,7 +222,7 @@
 	e.logEvent("job_ended", job, "", string(state)+" "+reason+" age_ms "+strconv.FormatInt(now.Sub(job.acceptedAt).Milliseconds(), 10)+
 		" objective_ms "+strconv.FormatInt(e.objective(job, job.occurrences[0]).Milliseconds(), 10))
 	if state == jobs.StateDone {
-		return // what still runs are members of gangs that are ending
+		return // runs that are left belong to gangs that are ending
 	}
 	for _, task := range job.allTasks() {
 		if task.run != nil {
@@ -230,6 +231,7 @@
 	}
 }
 
+// markDirty schedules a job's progress and state to be written.
 func (e *Engine) markDirty(job *job) {
 	if !job.dirty {
 		job.dirty = true
@@ -241,8 +243,7 @@
 	e.plan.Notes = append(e.plan.Notes, Note{Event: event, Job: job.submission.ID, Worker: worker, Detail: detail})
 }
 
-// Decide returns what is to be done at now. Orders and records of the plan are
-// each to be carried out once.
+// Decide returns the plan for now. Its orders and records are each to be carried out once.
 func (e *Engine) Decide(now time.Time) Plan {
 	e.decisions++
 	e.expireLeases(now)
@@ -257,7 +258,7 @@
 	return plan
 }
 
-// flushRecords sends one batch of records, if none is on its way.
+// flushRecords emits one group of records, unless one is in flight.
 func (e *Engine) flushRecords(now time.Time) {
 	if e.recordsInFlight && now.Sub(e.recordsSentAt) >= earlyStateDelay {
 		e.emitEarlyStates()
@@ -287,8 +288,8 @@
 	e.recordsSentAt = now
 }
 
-// emitEarlyStates writes down which jobs have ended while a group is on its way for
-// long: their callers wait.
+// emitEarlyStates emits the final states of ended jobs while a group has been in
+// flight for long: their callers wait for them.
 func (e *Engine) emitEarlyStates() {
 	for _, job := range e.changedJobs {
 		if job.state.Final() && job.state != job.recordedState {
@@ -298,7 +299,7 @@
 	}
 }
 
-// recordChangedJobs writes the changed jobs down, as many as one group may hold.
+// recordChangedJobs emits records of the changed jobs, as many as one group may hold.
 func (e *Engine) recordChangedJobs() {
 	bytes, count := 0, 0
 	for _, job := range e.changedJobs {
@@ -318,7 +319,7 @@
 	e.changedJobs = append([]*job(nil), e.changedJobs[count:]...)
 }
 
-// Recorded says that the records of the last plan that had some are durable.
+// Recorded reports that the records of the last plan that had any are durable.
 // The starts and acknowledgements that depend on them come with the next plan.
 func (e *Engine) Recorded(now time.Time) {
 	e.recordsInFlight = false
@@ -329,6 +330,7 @@
 	e.releaseAcks()
 }
 
+// releaseAcks adds the acknowledgements whose records are durable to the plan.
 func (e *Engine) releaseAcks() {
 	for node, number := range e.acksInFlight {
 		if e.plan.Acks == nil {
@@ -339,8 +341,8 @@
 	e.acksInFlight = map[*node]int64{}
 }
 
-// removeFinishedJobs takes jobs with a final state out of the active ones, and drops
-// those whose time of being known is over.
+// removeFinishedJobs removes jobs with a final state from the active ones, and drops
+// those whose retention time has passed.
 func (e *Engine) removeFinishedJobs(now time.Time) {
 	unfinished := e.active[:0]
 	for _, job := range e.active {
@@ -372,15 +374,15 @@
 }
 
 const (
-	// maxGroupBytes ends a group of records; with its last record it stays within what the
-	// store takes in one append.
+	// maxGroupBytes ends a group of records; with its last record it stays within the
+	// store's limit for one append.
 	maxGroupBytes = 1 << 20
-	// earlyStateDelay is how long a group may be on its way before final states go ahead
-	// of the next: longer than an append takes while the store is slow, as a state ahead
-	// would hold up the next group.
+	// earlyStateDelay is how long a group may be in flight before final states are
+	// appended ahead of the next one. It is longer than an append takes while the store is
+	// slow, as an early state would delay the next group.
 	earlyStateDelay = 600 * time.Millisecond
-	// decisionsPerExpiry is how many decisions lie between two looks for jobs to forget.
+	// decisionsPerExpiry is the number of decisions between two scans for expired jobs.
 	decisionsPerExpiry = 256
-	// retentionMargin is kept beyond the stated time, as clocks differ by seconds.
+	// retentionMargin is added to the stated retention time, as clocks differ by seconds.
 	retentionMargin = 30 * time.Second
 )
--- a/placing/estimate.go
+++ b/placing/estimate.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// estimateWeight is the weight of a new observation; ten runs settle it.
+	// estimateWeight is the weight of a new observation; the factor converges within ten runs.
 	estimateWeight = 0.2
-	// defaultRuntime stands for a task without an estimate.
+	// defaultRuntime is assumed for a task without an estimate.
 	defaultRuntime = 5 * time.Second
 	// minEstimateFactor and maxEstimateFactor bound the learned factor: callers'
 	// estimates are off by half, seldom by more.
@@ -13,11 +13,13 @@
 	maxEstimateFactor = 3.0
 )
 
-// estimate is the learned ratio of true to estimated run times of a queue.
+// estimate holds the learned ratio of actual to estimated run times of a queue.
 type estimate struct {
 	factor float64
 }
 
+// updateEstimate adjusts the factor of the run's queue by the duration of a run that
+// ended. Only first runs with an estimate count.
 func (e *Engine) updateEstimate(run *run, now time.Time) {
 	estimated := time.Duration(run.task.step.spec.EstimateMS) * time.Millisecond
 	if estimated <= 0 || run.startedAt.IsZero() || run.task.lastRun != 1 {
@@ -34,7 +36,7 @@
 	est.factor += estimateWeight * (observed - est.factor)
 }
 
-// expectedRuntime is the expected duration of one task of a step on a sound worker.
+// expectedRuntime returns the expected duration of one task of a step on a sound worker.
 func (e *Engine) expectedRuntime(job *job, spec int) time.Duration {
 	estimated := time.Duration(job.submission.Steps[spec].EstimateMS) * time.Millisecond
 	if estimated <= 0 {
@@ -46,8 +48,8 @@
 	return estimated
 }
 
-// criticalPath is the longest chain of expected work from the given steps on: those
-// that are not yet done, if left is true, or all.
+// criticalPath returns the length of the longest chain of steps in expected run time:
+// of the unfinished steps if unfinishedOnly is set, else of all.
 func (e *Engine) criticalPath(job *job, occurrence *occurrence, unfinishedOnly bool) time.Duration {
 	longest := time.Duration(0)
 	finish := e.pathScratch[:0]
--- a/placing/evacuation.go
+++ b/placing/evacuation.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Operators evacuate an availability zone when its workers are to get nothing new: ahead of
-// work on its power or its network. From the moment that this is known nothing is placed
-// there, and what was placed and not yet ordered is placed elsewhere. What runs there goes
-// on. The zone's room counts for nothing until it is taken back.
+// Operators evacuate an availability zone ahead of work on its power or its network. Once
+// an evacuation is known, nothing new is placed in the zone, and tasks that are placed but
+// not yet ordered are placed elsewhere. Running tasks go on. The capacity of the zone does
+// not count until the evacuation is revoked.
 
-// unansweredStartTimeout is how long a start that was sent before its zone was evacuated may go
-// unanswered: as long as its tries take. After it the run is stopped.
+// unansweredStartTimeout is how long a start that was sent before its zone was evacuated
+// may go unanswered: as long as its retries take. After that the run is stopped.
 const unansweredStartTimeout = time.Second
 
-// evacuations are the zones that get nothing new, and how far that is known.
+// evacuations holds the evacuated zones and how recent that information is.
 type evacuations struct {
-	since  map[string]time.Time // when each zone was known to be evacuated
-	readAt time.Time            // as of when the zones are known
-	stale  bool                 // that was too long ago at the last look
+	since  map[string]time.Time // by zone: when its evacuation was learned
+	readAt time.Time            // when the zones were last read
+	stale  bool                 // the last check found readAt too old
 }
 
-// Evacuate takes the availability zones that are evacuated, as they are known now.
+// Evacuate sets the availability zones that are evacuated.
 func (e *Engine) Evacuate(zones []string, now time.Time) {
 	former := e.evacuations.since
 	e.evacuations.since = make(map[string]time.Time, len(zones))
@@ -39,7 +39,7 @@
 	e.dropEvacuatedReservations()
 }
 
-// withdrawStarts takes orders out of the plan that has not been carried out yet.
+// withdrawStarts removes starts on evacuated nodes from a plan that is not carried out yet.
 func (e *Engine) withdrawStarts(now time.Time) {
 	orders := e.plan.Starts
 	e.plan.Starts = nil
@@ -55,10 +55,11 @@
 	}
 }
 
-// EvacuationsSeen says as of when the evacuated zones are known.
+// EvacuationsSeen sets the time as of which the evacuated zones were read.
 func (e *Engine) EvacuationsSeen(at time.Time) { e.evacuations.readAt = at }
 
-// updateEvacuated takes what is known of a node's zone into its books.
+// updateEvacuated applies the state of a node's zone to the node. Planned runs on a newly
+// evacuated node are withdrawn.
 func (e *Engine) updateEvacuated(n *node, now time.Time) {
 	_, evacuated := e.evacuations.since[n.entry.Zone]
 	if n.evacuated == evacuated {
@@ -75,12 +76,12 @@
 	}
 }
 
-// zoneEvacuatedReason is why something does not run on a node, for the log.
+// zoneEvacuatedReason returns the reason for the log why nothing runs on the node.
 func zoneEvacuatedReason(n *node) string {
 	return "availability zone " + strconv.Quote(n.entry.Zone) + " evacuated"
 }
 
-// dropEvacuatedReservations gives up room that is set aside where it may not be used.
+// dropEvacuatedReservations releases reservations on nodes that may not be used any more.
 func (e *Engine) dropEvacuatedReservations() {
 	for _, job := range e.active {
 		if job.reservation != nil && job.reservation.inEvacuatedZone() {
@@ -98,13 +99,14 @@
 	return false
 }
 
-// evacuationsFresh reports whether the evacuated zones are known well enough to start
-// something: half of the time that the operators allow is left for orders on their way.
+// evacuationsFresh reports whether the evacuated zones were read recently enough to start
+// something: half of the time that the operators allow is left for orders in transit.
 func (e *Engine) evacuationsFresh(now time.Time) bool {
 	return e.limits.Evacuate <= 0 || now.Sub(e.evacuations.readAt) <= e.limits.Evacuate/2
 }
 
-// logEvacuationsFreshness notes when nothing is placed for want of knowing the evacuated zones.
+// logEvacuationsFreshness logs when placement is suspended or resumed because the
+// evacuated zones are not known recently enough.
 func (e *Engine) logEvacuationsFreshness(now time.Time) {
 	stale := !e.evacuationsFresh(now)
 	if stale == e.evacuations.stale {
@@ -120,7 +122,7 @@
 }
 
 // stopUnansweredStarts stops runs whose starts have gone unanswered since their zone was
-// evacuated: such an order may wait somewhere on its way.
+// evacuated: such an order may still be delivered.
 func (e *Engine) stopUnansweredStarts(now time.Time) {
 	if len(e.evacuations.since) == 0 {
 		return
--- a/placing/evacuation_test.go
+++ b/placing/evacuation_test.go
@@ -183,7 +183,7 @@
 	e.StartAnswered(start.Worker, start.Task, start.Run, StartEvacuated, testStart) // a keeper knew before the holder
 	e.Evacuate([]string{"z1"}, testStart)
 	is.Equal(startedAt(decideUntil(e, testStart.Add(50*time.Millisecond), 200*time.Millisecond)), map[string]int{"b": 1})
-	is.Equal(e.jobs[start.Task.Job].occurrences[0].steps[0].tasks[0].pausing.failures, 0)
+	is.Equal(e.jobs[start.Task.Job].occurrences[0].steps[0].tasks[0].startBackoff.failures, 0)
 }
 
 // busyAll fills all workers with cheap work, one task each.
--- a/placing/fit.go
+++ b/placing/fit.go
@@ -33,7 +33,7 @@
 
 // accepts reports whether a node may run the unit's tasks.
 func (n *node) accepts(unit *unit) bool {
-	avoided := !unit.ignorePreferences && unit.avoid != "" && unit.avoid == n.entry.ID
+	avoided := !unit.ignorePreferences && unit.avoidWorker != "" && unit.avoidWorker == n.entry.ID
 	return !avoided && unit.eligible(n) && unit.hasValidTicket(n)
 }
 
@@ -117,7 +117,7 @@
 // pass for as many tasks or fewer of the same kind is not tried again, unless workers are
 // ruled out for the one step alone.
 func (v *view) fit(unit *unit, strict bool) []placement {
-	plain := unit.avoid == "" && unit.step.spec.PerWorker == 0 && !unit.isolated && !unit.job.queue.Advised
+	plain := unit.avoidWorker == "" && unit.step.spec.PerWorker == 0 && !unit.isolated && !unit.job.queue.Advised
 	key := v.fitKeyOf(unit, strict)
 	tasks := 1
 	if unit.step.spec.Gang {
@@ -281,7 +281,7 @@
 		if node.health.onProbation || unit.now.Before(node.recentlyRestartedUntil) {
 			weight += probationWeight
 		}
-		if unit.ignorePreferences && (!node.schedulable(unit.now) || node.entry.ID == unit.avoid) {
+		if unit.ignorePreferences && (!node.schedulable(unit.now) || node.entry.ID == unit.avoidWorker) {
 			weight += lastResortWeight
 		}
 		candidates = append(candidates, candidate{node: node, count: count, weight: weight + rackWeight})
--- a/placing/guarantee.go
+++ b/placing/guarantee.go
@@ -3,8 +3,8 @@
 import "time"
 
 // updateOverGuarantee finds the workspaces whose unfinished urgent jobs need more
-// accelerators than they are guaranteed. Jobs of the others must begin within
-// the reclaim time, whatever else has to go.
+// accelerators than they are guaranteed. Urgent jobs of all other workspaces must begin
+// within the reclaim time, whatever has to be preempted for them.
 func (e *Engine) updateOverGuarantee() {
 	required := map[string]int64{}
 	for _, job := range e.active {
@@ -25,7 +25,7 @@
 	return job.queue.Priority == 0 && !e.overGuarantee[job.submission.Workspace]
 }
 
-// accelerators is what all steps of a job need together.
+// accelerators returns the number of accelerators that all steps of a job need together.
 func (j *job) accelerators() int64 {
 	need := int64(0)
 	for index := range j.submission.Steps {
@@ -35,8 +35,8 @@
 	return need
 }
 
-// maxUrgentDelay is how long an urgent step waits for its rack, and for other
-// ways to make room than stopping urgent work.
+// maxUrgentDelay returns how long an urgent step may wait for capacity in one rack, and
+// for other ways to free capacity than preempting urgent work.
 func (e *Engine) maxUrgentDelay() time.Duration {
 	return time.Duration(urgentDelayShare * float64(e.limits.Reclaim))
 }
--- a/placing/headroom.go
+++ b/placing/headroom.go
@@ -8,33 +8,33 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// Room is kept for work that comes suddenly or needs much at once. Tasks that
-// start alone find room again and again; a gang needs many workers whole at the
-// same time, and urgent work cannot wait for others to end. Left to itself, the
-// first takes whatever comes free, so gangs wait and urgent work has to stop
-// others. So work with time to spare leaves the emptiest workers alone, up to
-// what the work that it yields to has asked for lately.
+// Headroom is reserved for work that arrives in bursts or needs much at once. Tasks that
+// start alone find capacity all the time; a gang needs many whole workers at the same
+// time, and urgent work cannot wait for others to end. Without headroom single tasks take
+// whatever becomes free, so gangs wait and urgent work has to preempt. So deferrable work
+// leaves the emptiest workers alone, up to the recent demand of the classes to which it
+// yields.
 const (
-	// demandHalfLife is the time in which a past peak of demand counts half.
-	// Bursts of the users' callers last four to six seconds.
+	// demandHalfLife is the half-life of a past peak of demand. Bursts of the users'
+	// callers last four to six seconds.
 	demandHalfLife = 5 * time.Second
-	// maxTaskHeadroomShare bounds the share of the workers that is kept clear of tasks
-	// that start alone: they find room on the rest as others of them end.
+	// maxTaskHeadroomShare bounds the share of the workers that is closed to tasks that
+	// start alone: they find capacity on the others as tasks there end.
 	maxTaskHeadroomShare = 0.5
-	// maxGangHeadroomShare bounds the same for gangs, which need whole workers
-	// themselves.
+	// maxGangHeadroomShare bounds the share that is closed to gangs, which need whole
+	// workers themselves.
 	maxGangHeadroomShare = 0.15
-	// minSpareShare of the work that is left is the time to spare below which a job
-	// takes any room that it finds, as does one that is late already: estimates are
-	// off by half. Late ones do not wait, as they would be late for good.
+	// minSpareShare of the remaining work is the time to spare below which a job may use any
+	// capacity, as may one that is already late: estimates are off by half. Late jobs do not
+	// wait, as they would never be placed.
 	minSpareShare = 1.5
-	// minUsedShare of the workers in use is the least at which anything is kept clear:
-	// with half of them free there is room for all.
+	// minUsedShare is the share of the workers in use below which no headroom is reserved:
+	// with half of them free there is capacity for all.
 	minUsedShare = 0.5
 )
 
-// demand follows what some kind of work asks for, in workers' worth of
-// capacity: what runs and what waits.
+// demand tracks the demand of a class of work, running and waiting, in workers' worth of
+// capacity.
 type demand struct {
 	peak float64
 	at   time.Time
@@ -50,10 +50,11 @@
 	return d.peak
 }
 
-// demands are those that room is kept for in a pool.
+// demands holds the demand of the classes for which headroom is reserved in a pool.
 type demands struct{ urgent, gang demand }
 
-// class is the kind of work that room is kept for or kept clear of.
+// class is a kind of work by its right to headroom: the urgent and gang classes have it
+// reserved, the gang and task classes yield it.
 type class int
 
 const (
@@ -73,20 +74,20 @@
 	return classTask
 }
 
-// dominantShare is what resources are of a capacity: the largest share of any kind.
+// dominantShare returns the largest share of a capacity that need takes of any resource.
 func dominantShare(need, capacity jobs.Resources) float64 {
 	dominant := ratio(need.Accelerators, capacity.Accelerators)
 	dominant = max(dominant, ratio(need.MilliCores, capacity.MilliCores))
 	return max(dominant, ratio(need.MemoryMB, capacity.MemoryMB))
 }
 
-// unusedShare is the share of a node that is free in every kind of resource.
+// unusedShare returns the share of a node that is free of every resource.
 func (v *view) unusedShare(node *node) float64 {
 	capacity := node.entry.Capacity
 	return max(0, 1-dominantShare(capacity.Sub(v.free[node.at]), capacity))
 }
 
-// load is what runs and what waits, by class, in workers' worth of capacity.
+// load holds running and waiting work by class, in workers' worth of capacity.
 type load struct {
 	running, waiting [classes]float64
 	used, whole      float64 // of the workers outside evacuated zones
@@ -94,14 +95,15 @@
 
 func (l *load) demand(by class) float64 { return l.running[by] + l.waiting[by] }
 
-// nodeShares are what runs on a node, in parts of its capacity. They are summed again only
-// after something there has changed, as most passes find most nodes as they were.
+// nodeShares holds the shares of a node's capacity that are in use. They are summed anew
+// only after a change on the node, as most passes find most nodes unchanged.
 type nodeShares struct {
 	valid bool
 	used  float64
 	by    [classes]float64
 }
 
+// currentShares returns the cached shares, summing them first if they are not valid.
 func (n *node) currentShares() *nodeShares {
 	if n.shares.valid {
 		return &n.shares
@@ -113,7 +115,7 @@
 	return &n.shares
 }
 
-// loads sums up what runs and waits, by pool.
+// loads sums up running and waiting work by pool.
 func (e *Engine) loads(units []*unit, open *view) map[string]*load {
 	byPool := map[string]*load{}
 	loadOf := func(pool string) *load {
@@ -148,7 +150,7 @@
 	return byPool
 }
 
-// referenceCapacities is what a worker of each pool offers, as its first does.
+// referenceCapacities returns, for each pool, the capacity of its first worker.
 func (v *view) referenceCapacities() map[string]jobs.Resources {
 	reference := map[string]jobs.Resources{}
 	pool := ""
@@ -171,8 +173,8 @@
 	return e.demands[pool]
 }
 
-// reserveHeadroom closes nodes of each pool to work that can wait, as far as the recent demand
-// there of what goes before it is above what of that runs now.
+// reserveHeadroom closes nodes of each pool to work that can wait, to the extent that the
+// recent demand of the classes with priority there exceeds what they run now.
 func (e *Engine) reserveHeadroom(units []*unit, open *view, now time.Time) {
 	for pool, load := range e.loads(units, open) {
 		demands := e.demandsOf(pool)
@@ -186,8 +188,8 @@
 	}
 }
 
-// closeNodes closes the emptiest nodes of the emptiest racks of a pool to a class of work, until
-// about wanted nodes' worth of capacity is free on them.
+// closeNodes closes the emptiest nodes of the emptiest racks of a pool to a class of work,
+// until about wanted nodes' worth of capacity is free on them.
 func (v *view) closeNodes(pool string, to class, wanted float64) {
 	if v.headroom[to] == nil {
 		v.headroom[to] = make([]bool, len(v.nodes))
@@ -220,12 +222,12 @@
 	}
 }
 
-// closedTo reports whether a node is kept clear of a unit.
+// closedTo reports whether a node is part of the headroom reserved against a unit.
 func (v *view) closedTo(unit *unit, node *node) bool {
 	return v.yieldsHeadroom(unit) && v.headroom[unit.step.class()][node.at]
 }
 
-// yieldsHeadroom reports whether a unit is kept from nodes that are kept clear.
+// yieldsHeadroom reports whether a unit must leave reserved headroom alone.
 func (v *view) yieldsHeadroom(unit *unit) bool {
 	return unit.deferrable && !unit.isolated && !unit.step.spec.Lasting && v.headroom[unit.step.class()] != nil
 }
--- a/placing/health.go
+++ b/placing/health.go
@@ -3,29 +3,30 @@
 import "time"
 
 const (
-	// failuresToBackoff is how many failed runs, without one that was done between,
-	// put a worker to rest. One is mostly the task's own fault, but a short rest of
-	// one worker in 48 costs little, and a bad worker fails all that it gets.
+	// failuresToBackoff is how many failed runs in a row put a worker in backoff. One
+	// failure is mostly the task's own fault, but a short backoff of one worker in 48 costs
+	// little, and a bad worker fails every task that it gets.
 	failuresToBackoff = 1
-	// minWorkerBackoff and maxWorkerBackoff bound how long a worker that fails gets no work;
-	// the rest doubles while its first run afterwards fails again. Bad times of
+	// minWorkerBackoff and maxWorkerBackoff bound how long a failing worker gets no work;
+	// the backoff doubles while its first run afterwards fails again. Bad phases of
 	// workers last five to seven seconds in the users' deployments.
 	minWorkerBackoff = 1 * time.Second
 	maxWorkerBackoff = 8 * time.Second
 	// busyBackoff follows an answer that says the worker is unhealthy.
 	busyBackoff = 700 * time.Millisecond
-	// silentBackoff follows an order without an answer.
+	// silentBackoff follows an order that was not answered.
 	silentBackoff = 300 * time.Millisecond
 )
 
-// health is what a worker's own results say of it.
+// health tracks the results of a worker.
 type health struct {
 	failures    int // in a row
 	backoff     time.Duration
-	until       time.Time // gets nothing new before
-	onProbation bool      // judged badly and not yet proved good again
+	until       time.Time // gets no new work before
+	onProbation bool      // found bad, with no success since
 }
 
+// backOff extends the backoff to at least length from now.
 func (h *health) backOff(now time.Time, length time.Duration) {
 	if until := now.Add(length); until.After(h.until) {
 		h.until = until
@@ -35,7 +36,7 @@
 func (h *health) markBusy(now time.Time)   { h.backOff(now, busyBackoff) }
 func (h *health) markSilent(now time.Time) { h.backOff(now, silentBackoff) }
 
-// markStalled keeps new work off until the next report, and leaves the worker wary.
+// markStalled backs off until the next report, and puts the worker on probation.
 func (h *health) markStalled(now time.Time) {
 	h.onProbation = true
 	h.backOff(now, minWorkerBackoff)
@@ -43,6 +44,8 @@
 
 func (h *health) reset() { *h = health{} }
 
+// markFailed counts a failed run, and backs off after failuresToBackoff in a row or on
+// probation.
 func (h *health) markFailed(now time.Time) {
 	h.failures++
 	if h.failures < failuresToBackoff && !h.onProbation {
@@ -53,7 +56,7 @@
 	h.backOff(now, h.backoff)
 }
 
-// updateHealth draws from an end what it says of the worker.
+// updateHealth updates the health of a node from the end of a run.
 func (e *Engine) updateHealth(n *node, run *run, end EndedTask, now time.Time) {
 	switch end.How {
 	case EndDone:
--- a/placing/idle_test.go
+++ b/placing/idle_test.go
@@ -137,7 +137,7 @@
 		cmd := exec.CommandContext(ctx, os.Args[0], "-test.run=^"+t.Name()+"$")
 		cmd.Env = append(os.Environ(), inOwnProcess+"=1")
 		if err := cmd.Run(); err != nil {
-			t.Fatalf("decisions did not end within 5 s: %v", err)
+			t.Fatalf("passes did not end within 5 s: %v", err)
 		}
 		return
 	}
--- a/placing/job.go
+++ b/placing/job.go
@@ -59,7 +59,7 @@
 	run            *run // nil unless a run may exist
 	avoidWorker    string
 	losses         losses
-	pausing        startBackoff
+	startBackoff   startBackoff
 	stalls         int       // runs that were stopped as they stood still
 	capacitySince  time.Time // since when it has waited beside plenty of room; zero: it does not
 	lastRunEndedAt time.Time // when its last run that had begun, or may have, was over
--- a/placing/limits.go
+++ b/placing/limits.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Limits are what the deployment states, and the instance passes on.
+// Limits holds the time limits that the deployment states.
 type Limits struct {
 	Lease      time.Duration // longest lease of what runs on a worker
 	StopWithin time.Duration // longest time a stop takes
 	Reclaim    time.Duration // within which guaranteed urgent jobs begin
-	KeepEnded  time.Duration // how long an ended job stays known
-	// Evacuate is within what time nothing starts any more in an evacuated zone; 0 where
+	KeepEnded  time.Duration // retention time of ended jobs
+	// Evacuate is the time after which nothing starts any more in an evacuated zone; 0 where
 	// the platform states none.
 	Evacuate time.Duration
-	// HolderGone is when a holder of the term that lost the store gives up for
-	// certain; leases it granted until then may run on.
+	// HolderGone is when a former leader that lost the store has certainly given up;
+	// leases that it granted until then may still be in use.
 	HolderGone time.Duration
-	// HandedOver is the same of a holder that opened the term to others.
+	// HandedOver is the same for a former leader that released the term.
 	HandedOver time.Duration
-	// HolderEnded is the same of a holder whose process is known to have ended: others
-	// may have driven workers for it, and go on for so long.
+	// HolderEnded is the same for a former leader whose process has ended: its delegates
+	// may go on for so long.
 	HolderEnded time.Duration
 }
 
-// Former says what became of the former holder of the term.
+// Former says how the former leader lost the term.
 type Former int
 
-// Fates of a former holder.
+// States of a former leader.
 const (
 	FormerUnknown    Former = iota // it may go on for a while, cut off from the store
-	FormerHandedOver               // it opened the term to others
+	FormerHandedOver               // it released the term
 	FormerEnded                    // its process has ended
 )
 
-// String is for logs.
+// String returns the name used in logs.
 func (f Former) String() string {
 	switch f {
 	case FormerHandedOver:
@@ -42,6 +42,7 @@
 	return "unknown"
 }
 
+// formerLeaderTimeout returns how long a former leader may go on granting leases.
 func (l *Limits) formerLeaderTimeout(former Former) time.Duration {
 	switch former {
 	case FormerHandedOver:
--- a/placing/long_running_test.go
+++ b/placing/long_running_test.go
@@ -49,8 +49,8 @@
 	}
 	is.True(c.allRunning(hexID(1)))
 	is.Equal(c.engine.jobs[hexID(1)].state, jobs.StateRunning)
-	for index := range 4 {
-		c.submit(testJob(hexID(10+index), 0, gangStep(1, 8)))
+	for i := range 4 {
+		c.submit(testJob(hexID(10+i), 0, gangStep(1, 8)))
 	}
 	c.steps(60)
 	is.True(c.allRunning(hexID(1)))
@@ -111,7 +111,7 @@
 	c.submit(testJob(hexID(2), 2, filler))
 	c.steps(2)
 	worker := c.engine.jobs[hexID(1)].allTasks()[0].run.node.entry.ID
-	paces := func(load int64) []int {
+	setPaces := func(load int64) []int {
 		var list []int
 		for _, pace := range c.reportLoad(worker, load).Paces {
 			list = append(list, pace.Percent)
@@ -119,16 +119,16 @@
 		}
 		return list
 	}
-	is.Equal(len(paces(90)), 0)
-	is.Equal(paces(120), []int{0, 0, 0})
-	is.Equal(len(paces(130)), 0) // they are paused already
+	is.Equal(len(setPaces(90)), 0)
+	is.Equal(setPaces(120), []int{0, 0, 0})
+	is.Equal(len(setPaces(130)), 0) // they are paused already
 	c.now = c.now.Add(paceRaiseInterval)
-	is.Equal(len(paces(90)), 0) // too close to the target
-	is.Equal(paces(50), []int{paceStep, paceStep, paceStep})
-	is.Equal(len(paces(50)), 0) // one step at a time
+	is.Equal(len(setPaces(90)), 0) // too close to the target
+	is.Equal(setPaces(50), []int{paceStep, paceStep, paceStep})
+	is.Equal(len(setPaces(50)), 0) // one step at a time
 	for range 20 {
 		c.now = c.now.Add(paceRaiseInterval)
-		paces(50)
+		setPaces(50)
 	}
-	is.Equal(c.engine.nodes[worker].pacing.allowedPercent(), fullPace)
+	is.Equal(c.engine.nodes[worker].paceControl.allowedPercent(), fullPace)
 }
--- a/placing/loss.go
+++ b/placing/loss.go
@@ -98,7 +98,7 @@
 	if worked, _ := run.workTime(now); worked > losses.longestWork {
 		losses.longestWork = worked
 	}
-	if run.isEarlyLoss() && e.unexplainedLossesNear(run.node.silentAt) <= maxUnexplainedLosses {
+	if run.isEarlyLoss() && e.unexplainedSilencesNear(run.node.silentAt) <= maxUnexplainedSilences {
 		losses.early++
 	}
 	task.setLosses(losses)
--- a/placing/node.go
+++ b/placing/node.go
@@ -41,7 +41,7 @@
 	health                 health
 	recentlyRestartedUntil time.Time // until then it counts as unsteady, see markRecentlyRestarted
 	isolatedRuns           int       // runs there of suspected tasks
-	pacing                 paceControl
+	paceControl            paceControl
 	speed                  speedEstimate
 	shares                 nodeShares
 }
@@ -131,7 +131,7 @@
 			n.leaveAt = now.Add(entry.Remaining)
 			e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_leaving", Worker: entry.ID, Detail: "remaining " + entry.Remaining.String()})
 		}
-		e.noteResize(n, entry)
+		e.logResize(n, entry)
 		n.entry = entry
 		n.listed = true
 		e.updateEvacuated(n, now)
--- a/placing/pace.go
+++ b/placing/pace.go
@@ -79,8 +79,8 @@
 	if !hasFiller {
 		return
 	}
-	n.pacing.observeRatio(ratio, now)
-	percent := n.pacing.allowedPercent()
+	n.paceControl.observeRatio(ratio, now)
+	percent := n.paceControl.allowedPercent()
 	for _, run := range n.runs {
 		if !run.task.step.spec.Fills || run.phase != phaseRunning || run.currentPace() == percent || now.Sub(run.paceSentAt) < paceRetryInterval {
 			continue
--- a/placing/pass.go
+++ b/placing/pass.go
@@ -63,7 +63,7 @@
 // expireReservations drops reservations that were held for longer than the stops may take.
 func (e *Engine) expireReservations(now time.Time) {
 	for _, job := range e.active {
-		if job.reservation != nil && !now.Before(job.reservation.until) {
+		if job.reservation != nil && !now.Before(job.reservation.expiresAt) {
 			job.reservation = nil
 		}
 	}
@@ -72,13 +72,13 @@
 // viewOf returns a view of what is free on the given nodes besides reserved capacity.
 func (e *Engine) viewOf(nodes []*node) *view {
 	v := newView(nodes)
-	v.speedsSignificant = e.differences.significant
+	v.speedsSignificant = e.speedVariance.significant
 	for _, job := range e.active {
 		if job.reservation == nil {
 			continue
 		}
-		for _, seat := range job.reservation.placements {
-			v.allocate(seat.node, seat.task.step.need())
+		for _, p := range job.reservation.placements {
+			v.allocate(p.node, p.task.step.need())
 		}
 	}
 	return v
@@ -86,8 +86,8 @@
 
 // usable reports whether a node can accept new work.
 func (n *node) usable(now time.Time) bool {
-	stays := n.listed && n.reported && n.answering && !n.entry.Leaving && !n.evacuated
-	return stays && n.unknownRuns == 0 && !now.Before(n.fullUntil)
+	present := n.listed && n.reported && n.answering && !n.entry.Leaving && !n.evacuated
+	return present && n.unknownRuns == 0 && !now.Before(n.fullUntil)
 }
 
 // schedulable reports whether a node can accept new work and is neither isolated nor in
@@ -123,8 +123,8 @@
 	if reservation == nil || reservation.step != u.step || u.isolated {
 		return nil
 	}
-	for _, seat := range reservation.placements {
-		open.release(seat.node, u.step.need())
+	for _, p := range reservation.placements {
+		open.release(p.node, u.step.need())
 	}
 	clear(open.failed) // the reserved capacity is free for this unit
 	u.job.reservation = nil
@@ -134,8 +134,8 @@
 // reserve withholds the capacity of a reservation from other units.
 func (u *unit) reserve(reservation *reservation, open *view) {
 	u.job.reservation = reservation
-	for _, seat := range reservation.placements {
-		open.allocate(seat.node, u.step.need())
+	for _, p := range reservation.placements {
+		open.allocate(p.node, u.step.need())
 	}
 }
 
@@ -145,8 +145,8 @@
 	if reservation == nil {
 		return e.preferredPlacements(unit, open, now)
 	}
-	if seats := open.fit(unit, true); seats != nil {
-		return seats
+	if placements := open.fit(unit, true); placements != nil {
+		return placements
 	}
 	return open.stillAvailable(unit, reservation.placements)
 }
@@ -159,17 +159,17 @@
 		}
 		number++
 	}
-	for _, seat := range placements {
+	for _, p := range placements {
 		runNumber := number
 		if runNumber == 0 {
-			runNumber = seat.task.lastRun + 1
+			runNumber = p.task.lastRun + 1
 		}
 		if unit.isolated {
-			open.exclude(seat.node)
+			open.exclude(p.node)
 		} else {
-			open.allocate(seat.node, unit.step.need())
+			open.allocate(p.node, unit.step.need())
 		}
-		e.assume(seat.task, seat.node, runNumber)
+		e.assume(p.task, p.node, runNumber)
 	}
 	e.logEvent("placed", unit.job, placements[0].node.entry.ID, "step "+strconv.Itoa(placements[0].task.key.Step)+
 		" tasks "+strconv.Itoa(len(placements))+" of "+strconv.Itoa(len(unit.step.tasks))+
--- a/placing/preempt.go
+++ b/placing/preempt.go
@@ -33,7 +33,7 @@
 type reservation struct {
 	step       *step
 	placements []placement
-	until      time.Time
+	expiresAt  time.Time
 }
 
 // victim is a set of runs that are stopped together: a gang's or a single one.
@@ -48,22 +48,22 @@
 	if now.Before(unit.step.nextSearchAt) {
 		return
 	}
-	coming := open.copy()
-	for _, node := range coming.nodes {
+	projected := open.copy()
+	for _, node := range projected.nodes {
 		for _, run := range node.runs {
 			if e.endsSoon(run, now) {
-				coming.release(node, run.need())
+				projected.release(node, run.need())
 			}
 		}
 	}
 	if unit.guaranteed && now.Sub(unit.step.readyAt) >= e.maxUrgentDelay() {
-		unit.overdrawn = e.overGuarantee
+		unit.overGuarantee = e.overGuarantee
 	}
-	if placements := coming.fit(unit, true); placements != nil {
+	if placements := projected.fit(unit, true); placements != nil {
 		e.reserve(unit, placements, open, now)
 		return
 	}
-	victims, placements := e.selectVictims(unit, coming, now)
+	victims, placements := e.selectVictims(unit, projected, now)
 	if placements == nil || !e.justifiesLoss(unit, victims) {
 		unit.step.nextSearchAt = now.Add(preemptionBackoff)
 		return
@@ -83,20 +83,20 @@
 }
 
 func (e *Engine) reserve(unit *unit, placements []placement, open *view, now time.Time) {
-	unit.reserve(&reservation{step: unit.step, placements: placements, until: now.Add(e.limits.StopWithin + reservationSlack)}, open)
+	unit.reserve(&reservation{step: unit.step, placements: placements, expiresAt: now.Add(e.limits.StopWithin + reservationSlack)}, open)
 }
 
 // selectVictims selects the runs to stop. A gang that is slow outside of one rack gets the rack
 // with the least loss. All nodes are searched together once no rack is worth waiting for, and
 // for any other step.
-func (e *Engine) selectVictims(unit *unit, coming *view, now time.Time) ([]victim, []placement) {
-	groups := [][]*node{coming.nodes}
+func (e *Engine) selectVictims(unit *unit, projected *view, now time.Time) ([]victim, []placement) {
+	groups := [][]*node{projected.nodes}
 	if unit.step.spec.Gang && unit.step.spec.OneRack {
-		groups = coming.racks
+		groups = projected.racks
 	}
-	best := e.cheapestPlan(unit, coming, groups, now)
-	if best == nil && len(groups) > 1 && !e.shouldWaitForRack(unit, coming, now) {
-		best = e.cheapestPlan(unit, coming, [][]*node{coming.nodes}, now)
+	best := e.cheapestPlan(unit, projected, groups, now)
+	if best == nil && len(groups) > 1 && !e.shouldWaitForRack(unit, projected, now) {
+		best = e.cheapestPlan(unit, projected, [][]*node{projected.nodes}, now)
 	}
 	if best == nil {
 		return nil, nil
@@ -111,13 +111,13 @@
 	loss       float64
 }
 
-func (e *Engine) cheapestPlan(unit *unit, coming *view, groups [][]*node, now time.Time) *preemptionPlan {
+func (e *Engine) cheapestPlan(unit *unit, projected *view, groups [][]*node, now time.Time) *preemptionPlan {
 	var best *preemptionPlan
 	for _, group := range groups {
 		if !enoughCapacity(unit, group) {
 			continue
 		}
-		plan := newVictimSearch(unit, coming, group, now).findPlan(best)
+		plan := newVictimSearch(unit, projected, group, now).findPlan(best)
 		if plan != nil {
 			best = plan
 		}
@@ -135,8 +135,8 @@
 	next    []*preemptionPlan // by position in nodes: the cheapest way to place one more task there
 }
 
-func newVictimSearch(unit *unit, coming *view, nodes []*node, now time.Time) *victimSearch {
-	s := &victimSearch{unit: unit, view: coming.copy(), nodes: nodes, now: now, stopped: map[*run]bool{}}
+func newVictimSearch(unit *unit, projected *view, nodes []*node, now time.Time) *victimSearch {
+	s := &victimSearch{unit: unit, view: projected.copy(), nodes: nodes, now: now, stopped: map[*run]bool{}}
 	s.next = make([]*preemptionPlan, len(nodes))
 	for index := range nodes {
 		s.refresh(index)
@@ -144,28 +144,28 @@
 	return s
 }
 
-func (f *victimSearch) refresh(index int) {
-	f.next[index] = nil
-	if f.nodes[index].accepts(f.unit) {
-		f.next[index] = f.planOneMore(f.nodes[index])
+func (s *victimSearch) refresh(index int) {
+	s.next[index] = nil
+	if s.nodes[index].accepts(s.unit) {
+		s.next[index] = s.planOneMore(s.nodes[index])
 	}
 }
 
 // findPlan adds the cheapest victims for one more task at a time until the unit fits. It gives
 // up once the loss reaches that of the best plan found so far.
-func (f *victimSearch) findPlan(best *preemptionPlan) *preemptionPlan {
+func (s *victimSearch) findPlan(best *preemptionPlan) *preemptionPlan {
 	plan := &preemptionPlan{}
-	wanted := len(f.unit.tasks)
-	if !f.unit.step.spec.Gang {
+	wanted := len(s.unit.tasks)
+	if !s.unit.step.spec.Gang {
 		wanted = 1
 	}
 	for {
-		_, count := f.view.candidates(f.unit, f.nodes)
+		_, count := s.view.candidates(s.unit, s.nodes)
 		if count >= wanted {
-			plan.placements = f.view.pack(f.unit, f.nodes)
+			plan.placements = s.view.pack(s.unit, s.nodes)
 			return plan
 		}
-		next := f.cheapestStep()
+		next := s.cheapestStep()
 		if next == nil {
 			return nil
 		}
@@ -174,13 +174,13 @@
 		if best != nil && plan.loss >= best.loss {
 			return nil
 		}
-		f.release(next)
+		s.release(next)
 	}
 }
 
-func (f *victimSearch) cheapestStep() *preemptionPlan {
+func (s *victimSearch) cheapestStep() *preemptionPlan {
 	var best *preemptionPlan
-	for _, plan := range f.next {
+	for _, plan := range s.next {
 		if plan != nil && (best == nil || plan.loss < best.loss) {
 			best = plan
 		}
@@ -189,18 +189,18 @@
 }
 
 // release frees the capacity of the victims on all of their nodes.
-func (f *victimSearch) release(plan *preemptionPlan) {
+func (s *victimSearch) release(plan *preemptionPlan) {
 	touched := map[*node]bool{}
 	for _, victim := range plan.victims {
 		for _, run := range victim.runs {
-			f.stopped[run] = true
-			f.view.release(run.node, run.need())
+			s.stopped[run] = true
+			s.view.release(run.node, run.need())
 			touched[run.node] = true
 		}
 	}
-	for index, node := range f.nodes {
+	for index, node := range s.nodes {
 		if touched[node] {
-			f.refresh(index)
+			s.refresh(index)
 		}
 	}
 }
@@ -220,17 +220,17 @@
 // planOneMore selects victims on one node, least loss first, until one more task fits, and
 // drops those that turn out not to be needed. It returns nil if no victims free enough
 // capacity, or if the step may have no more tasks on the node.
-func (f *victimSearch) planOneMore(node *node) *preemptionPlan {
-	need := f.unit.step.need()
-	fitting := f.view.capacityFor(node, f.unit.step, need, len(f.unit.tasks))
-	if limit := f.unit.step.spec.PerWorker; limit > 0 && node.countTasksOf(f.unit.step)+fitting >= limit {
+func (s *victimSearch) planOneMore(node *node) *preemptionPlan {
+	need := s.unit.step.need()
+	fitting := s.view.capacityFor(node, s.unit.step, need, len(s.unit.tasks))
+	if limit := s.unit.step.spec.PerWorker; limit > 0 && node.countTasksOf(s.unit.step)+fitting >= limit {
 		return nil
 	}
-	free := f.view.free[node.at]
+	free := s.view.free[node.at]
 	for range fitting {
 		free = free.Sub(need)
 	}
-	candidates := node.victimsFor(f.unit, f.stopped, f.now)
+	candidates := node.victimsFor(s.unit, s.stopped, s.now)
 	count := 0
 	for count < len(candidates) && !free.Fits(need) {
 		free = free.Add(candidates[count].usageOn(node))
@@ -300,8 +300,8 @@
 func (r *run) preemptibleFor(unit *unit) bool {
 	job := r.task.step.job
 	lowerPriority := job.queue.Priority > unit.job.queue.Priority
-	overdrawn := job.queue.Priority == 0 && unit.overdrawn[job.submission.Workspace]
-	return (lowerPriority || overdrawn) && !r.task.step.spec.Lasting && r.stopSentAt.IsZero() && r.task.run == r
+	overGuarantee := job.queue.Priority == 0 && unit.overGuarantee[job.submission.Workspace]
+	return (lowerPriority || overGuarantee) && !r.task.step.spec.Lasting && r.stopSentAt.IsZero() && r.task.run == r
 }
 
 func gangVictim(step *step, now time.Time) victim {
@@ -320,11 +320,11 @@
 	if r.startedAt.IsZero() {
 		return 0
 	}
-	worked := now.Sub(r.startedAt)
+	elapsed := now.Sub(r.startedAt)
 	if r.task.step.spec.Checkpoints {
-		worked = min(worked, checkpointLoss)
+		elapsed = min(elapsed, checkpointLoss)
 	}
-	return worked.Seconds() * coreEquivalents(r.task.step.spec.Need)
+	return elapsed.Seconds() * coreEquivalents(r.task.step.spec.Need)
 }
 
 // weightedLoss returns the loss of a stop, weighted for comparison with others.
@@ -338,11 +338,11 @@
 // justifiesLoss allows any loss within the workspace's guarantee, and beyond it as much as the
 // value of the job covers.
 func (e *Engine) justifiesLoss(unit *unit, victims []victim) bool {
-	lost := 0.0
+	loss := 0.0
 	for _, victim := range victims {
-		lost += victim.loss
+		loss += victim.loss
 	}
-	own := e.coreSeconds(unit.job, unit.occurrence, false)
-	worth := baseValue*e.meanWork(unit.job, own) + workValue*own
-	return lost <= maxLossFactor*worth || unit.guaranteed
+	work := e.coreSeconds(unit.job, unit.occurrence, false)
+	value := baseValue*e.meanWork(unit.job, work) + workValue*work
+	return loss <= maxLossFactor*value || unit.guaranteed
 }
--- a/placing/preference.go
+++ b/placing/preference.go
@@ -11,7 +11,7 @@
 	preferHeadroom                       // headroom reserved against deferrable work
 	preferOutOfBackoff                   // no worker in backoff after failures
 	preferNotIsolated                    // no worker that runs an isolated suspect task
-	preferEmpty                          // an empty worker that has not recently restarted, for a suspect task
+	preferEmptyWorker                    // an empty worker that has not recently restarted, for a suspect task
 	preferOtherWorker                    // not the worker on which it failed last
 	preferenceCount
 )
@@ -22,16 +22,16 @@
 // holds the nodes reserved against its class.
 func (u *unit) violatedPreferences(placements []placement, headroom map[*node]bool, now time.Time) []string {
 	var violated [preferenceCount]bool
-	for _, seat := range placements {
-		node := seat.node
+	for _, p := range placements {
+		node := p.node
 		for preference, violates := range [preferenceCount]bool{
 			preferOneRack:      u.step.spec.Gang && u.step.spec.OneRack && node.entry.Rack != placements[0].node.entry.Rack,
 			preferDataRack:     u.step.spec.DataRack != "" && node.entry.Rack != u.step.spec.DataRack,
 			preferHeadroom:     headroom[node],
 			preferOutOfBackoff: now.Before(node.health.until),
 			preferNotIsolated:  node.isolatedRuns > 0,
-			preferEmpty:        u.isolated && len(node.runs) > 0,
-			preferOtherWorker:  u.avoid == node.entry.ID,
+			preferEmptyWorker:  u.isolated && len(node.runs) > 0,
+			preferOtherWorker:  u.avoidWorker == node.entry.ID,
 		} {
 			violated[preference] = violated[preference] || violates
 		}
--- a/placing/property_test.go
+++ b/placing/property_test.go
@@ -47,7 +47,7 @@
 			t.Errorf("job %s is still %s", job.ID, state)
 		}
 		if state == jobs.StateFailed && !failedTooOften(s, job) && !lostTooOften(s, job) {
-			t.Errorf("job %s failed without %d failures of a task, and without %d lost workers", job.ID, job.Queue.MaxAttempts, minLossesToGiveUp)
+			t.Errorf("job %s failed without %d failures of a task and without %d lost workers", job.ID, job.Queue.MaxAttempts, minLossesToGiveUp)
 		}
 	}
 }
--- a/placing/rack_delay.go
+++ b/placing/rack_delay.go
@@ -28,13 +28,13 @@
 	if fitting == 0 {
 		return open.fit(unit, false)
 	}
-	near := open.fit(unit, true)
-	elsewhere := len(unit.tasks) - max(fitting, len(near))
-	if elsewhere == 0 {
-		return near
+	inRack := open.fit(unit, true)
+	outside := len(unit.tasks) - max(fitting, len(inRack))
+	if outside == 0 {
+		return inRack
 	}
 	all := open.fit(unit, false) // those in the rack come first
-	return all[:min(len(all), len(near)+elsewhere)]
+	return all[:min(len(all), len(inRack)+outside)]
 }
 
 // prefersRack reports whether the unit is slower outside of one rack.
@@ -75,13 +75,13 @@
 func (e *Engine) rackFitCounts(unit *unit, open *view, now time.Time) map[string]int {
 	key := open.fitKeyOf(unit, true)
 	cacheable := unit.step.spec.PerWorker == 0 && !unit.job.queue.Advised
-	if known := open.rackFitCounts[key]; known != nil && cacheable {
-		return known
+	if n := open.rackFitCounts[key]; n != nil && cacheable {
+		return n
 	}
 	counts := map[string]int{}
-	for _, known := range e.nodeOrder {
-		if known.expectedUsable(now) && unit.eligible(known) && unit.suitsRack(known.entry.Rack) {
-			counts[known.entry.Rack] += unit.fitCountOn(known)
+	for _, n := range e.nodeOrder {
+		if n.expectedUsable(now) && unit.eligible(n) && unit.suitsRack(n.entry.Rack) {
+			counts[n.entry.Rack] += unit.fitCountOn(n)
 		}
 	}
 	if cacheable {
@@ -112,8 +112,8 @@
 // or evacuated, and it answers, has not been reached in this term, or fell silent only just
 // now.
 func (n *node) expectedUsable(now time.Time) bool {
-	stays := n.listed && !n.entry.Leaving && !n.evacuated
-	return stays && (n.silentAt.IsZero() || now.Sub(n.silentAt) < reconnectTimeout)
+	present := n.listed && !n.entry.Leaving && !n.evacuated
+	return present && (n.silentAt.IsZero() || now.Sub(n.silentAt) < reconnectTimeout)
 }
 
 // suitsRack reports whether a unit may wait for a rack.
--- a/placing/rack_delay_test.go
+++ b/placing/rack_delay_test.go
@@ -30,9 +30,9 @@
 			c := racksOfSix()
 			gang := gangStep(tasks, 4) // a rack holds twelve
 			gang.EstimateMS = 117_907
-			held := testJob(hexID(1), 1, gang)
-			c.submit(held)
-			is.True(c.startsWithin(held.ID, overdueAfter)) // 48 idle workers
+			job := testJob(hexID(1), 1, gang)
+			c.submit(job)
+			is.True(c.startsWithin(job.ID, overdueAfter)) // 48 idle workers
 		})
 	}
 }
@@ -40,9 +40,9 @@
 func TestGangStartsElsewhereWhenEveryRackLacksAWorker(t *testing.T) {
 	occupy := map[string]func(c *cluster, rack string){
 		"away": func(c *cluster, rack string) {
-			for _, known := range c.engine.nodeOrder {
-				if known.entry.Rack == rack {
-					c.engine.Unreachable(known.entry.ID, time.Time{}, c.now.Add(-reconnectTimeout))
+			for _, n := range c.engine.nodeOrder {
+				if n.entry.Rack == rack {
+					c.engine.Unreachable(n.entry.ID, time.Time{}, c.now.Add(-reconnectTimeout))
 					return
 				}
 			}
@@ -52,7 +52,7 @@
 			small.RequiredLabel, small.EstimateMS = rack, 600_000
 			c.submit(testJob("long-"+rack, 2, small))
 		},
-		"in use by a lasting task": func(c *cluster, rack string) {
+		"in use by a long-running task": func(c *cluster, rack string) {
 			small := longRunningStep(1)
 			small.RequiredLabel = rack
 			c.submit(testJob("lasting-"+rack, 2, small))
@@ -68,9 +68,9 @@
 			c.steps(2)
 			gang := gangStep(12, 4) // a whole rack
 			gang.EstimateMS = 60_000
-			held := testJob(hexID(1), 1, gang)
-			c.submit(held)
-			is.True(c.startsWithin(held.ID, overdueAfter))
+			job := testJob(hexID(1), 1, gang)
+			c.submit(job)
+			is.True(c.startsWithin(job.ID, overdueAfter))
 		})
 	}
 }
@@ -101,11 +101,11 @@
 	c := newCluster(3)
 	step := testStep(6, 8) // the rack holds four
 	step.DataRack, step.EstimateMS = "r1-0", 60_000
-	held := testJob(hexID(1), 1, step)
-	c.submit(held)
+	job := testJob(hexID(1), 1, step)
+	c.submit(job)
 	c.steps(4)
-	is.Equal(len(c.racksOf(held.ID)), 2)
-	for _, task := range c.engine.jobs[held.ID].allTasks() {
+	is.Equal(len(c.racksOf(job.ID)), 2)
+	for _, task := range c.engine.jobs[job.ID].allTasks() {
 		is.True(task.run != nil)
 	}
 }
--- a/placing/rank.go
+++ b/placing/rank.go
@@ -54,9 +54,9 @@
 	guaranteed        bool            // must start within the reclaim time
 	isolated          bool            // suspected of ending workers; gets a worker to itself
 	emptyOnly         bool            // isolated, and may only start on an empty worker that has not recently restarted
-	avoid             string          // worker that is used only if no other fits
+	avoidWorker       string          // worker that is used only if no other fits
 	ignorePreferences bool            // placed without preferences, see start_delay.go
-	overdrawn         map[string]bool // workspaces whose urgent work may be stopped for it
+	overGuarantee     map[string]bool // workspaces whose urgent work may be stopped for it
 }
 
 // coreEquivalents returns the value of resources in cores.
@@ -78,11 +78,11 @@
 }
 
 // coreSeconds returns the work of an occurrence in core-seconds, all of it or the remainder.
-func (e *Engine) coreSeconds(job *job, occurrence *occurrence, left bool) float64 {
+func (e *Engine) coreSeconds(job *job, occurrence *occurrence, remaining bool) float64 {
 	total := 0.0
 	for index := range job.submission.Steps {
 		count := job.submission.Steps[index].Tasks
-		if left {
+		if remaining {
 			count = occurrence.steps[index].left
 		}
 		total += float64(count) * coreEquivalents(job.submission.Steps[index].Need) * e.expectedRuntime(job, index).Seconds()
@@ -171,7 +171,7 @@
 
 func (e *Engine) appendUnit(units []*unit, u unit) []*unit {
 	if avoided := u.tasks[0].avoidWorker; avoided != "" && e.fitsWithout(&u, avoided) {
-		u.avoid = avoided
+		u.avoidWorker = avoided
 	}
 	e.unitScratch = append(e.unitScratch, u)
 	return append(units, &e.unitScratch[len(e.unitScratch)-1])
@@ -179,24 +179,24 @@
 
 // appendSuspects moves the suspect tasks of a unit to units of their own. A gang is suspect as
 // a whole.
-func (e *Engine) appendSuspects(units []*unit, from *unit, now time.Time) []*unit {
-	var sound []*task
-	for index, task := range from.tasks {
+func (e *Engine) appendSuspects(units []*unit, source *unit, now time.Time) []*unit {
+	var unsuspected []*task
+	for index, task := range source.tasks {
 		if !task.losses.suspect() {
-			sound = append(sound, task)
+			unsuspected = append(unsuspected, task)
 			continue
 		}
-		u := *from
+		u := *source
 		u.isolated = true
 		u.emptyOnly = now.Sub(laterTime(task.losses.newestAt, task.step.observedReadyAt)) < maxIsolationDelay
-		if from.step.spec.Gang {
-			from.tasks = nil
+		if source.step.spec.Gang {
+			source.tasks = nil
 			return e.appendUnit(units, u)
 		}
-		u.tasks = from.tasks[index : index+1 : index+1]
+		u.tasks = source.tasks[index : index+1 : index+1]
 		units = e.appendUnit(units, u)
 	}
-	from.tasks = sound
+	source.tasks = unsuspected
 	return units
 }
 
@@ -219,7 +219,7 @@
 		if task.done {
 			continue
 		}
-		if task.run == nil && !now.Before(task.pausing.until) {
+		if task.run == nil && !now.Before(task.startBackoff.until) {
 			placeable = append(placeable, task)
 		} else if s.spec.Gang {
 			return nil
@@ -232,7 +232,7 @@
 // most waiting steps.
 func (s *step) allPlaceable() bool {
 	for _, task := range s.tasks {
-		if task.done || task.run != nil || task.pausing.failures > 0 {
+		if task.done || task.run != nil || task.startBackoff.failures > 0 {
 			return false
 		}
 	}
@@ -264,38 +264,38 @@
 
 // density returns the value of finishing an occurrence per core-second of remaining work.
 func (e *Engine) density(job *job, occurrence *occurrence) float64 {
-	whole := e.coreSeconds(job, occurrence, false)
-	left := max(1, e.coreSeconds(job, occurrence, true))
-	mean := e.meanWork(job, whole)
-	value := min(maxValue, baseValue+workValue*whole/mean)
+	total := e.coreSeconds(job, occurrence, false)
+	remaining := max(1, e.coreSeconds(job, occurrence, true))
+	mean := e.meanWork(job, total)
+	value := min(maxValue, baseValue+workValue*total/mean)
 	weight := 1.0
 	for range job.queue.Priority {
 		weight /= priorityWeight
 	}
-	return weight * value / left
+	return weight * value / remaining
 }
 
 // meanWork returns the mean work of the active jobs of a queue.
-func (e *Engine) meanWork(job *job, own float64) float64 {
-	size := e.sizes[job.queue.Name]
-	if size == nil || size.count == 0 {
-		return max(1, own)
+func (e *Engine) meanWork(job *job, jobWork float64) float64 {
+	size := e.queueWork[job.queue.Name]
+	if size == nil || size.jobs == 0 {
+		return max(1, jobWork)
 	}
-	return max(1, size.sum/float64(size.count))
+	return max(1, size.coreSeconds/float64(size.jobs))
 }
 
 // queueWork sums up the work of a queue's jobs, as submitted.
 type queueWork struct {
-	sum   float64
-	count int
+	coreSeconds float64
+	jobs        int
 }
 
 func (e *Engine) recordQueueWork(job *job) {
-	size := e.sizes[job.queue.Name]
+	size := e.queueWork[job.queue.Name]
 	if size == nil {
 		size = &queueWork{}
-		e.sizes[job.queue.Name] = size
+		e.queueWork[job.queue.Name] = size
 	}
-	size.sum += e.coreSeconds(job, job.occurrences[0], false)
-	size.count++
+	size.coreSeconds += e.coreSeconds(job, job.occurrences[0], false)
+	size.jobs++
 }
--- a/placing/recently_restarted.go
+++ b/placing/recently_restarted.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// maxUnexplainedLosses is how many workers without a run that had just started may fall silent
+	// maxUnexplainedSilences is how many workers without a run that had just started may fall silent
 	// within earlyLoss of a loss for the loss to count against a task. More point to a power
 	// failure of a data center room, or to this instance's own connections.
-	maxUnexplainedLosses = 3
+	maxUnexplainedSilences = 3
 	// recentRestartPeriod is how long a worker counts as recently restarted after a former
 	// incarnation at its address was lost: workers that crash repeatedly do so every few seconds.
 	recentRestartPeriod = 30 * time.Second
@@ -30,12 +30,12 @@
 	}
 }
 
-// unexplainedLossesNear returns how many workers without a run that had just started fell silent
+// unexplainedSilencesNear returns how many workers without a run that had just started fell silent
 // within earlyLoss of a moment.
-func (e *Engine) unexplainedLossesNear(at time.Time) int {
+func (e *Engine) unexplainedSilencesNear(at time.Time) int {
 	count := 0
-	for _, lossAt := range e.unexplainedSilences {
-		if lossAt.Sub(at).Abs() < earlyLoss {
+	for _, silentAt := range e.unexplainedSilences {
+		if silentAt.Sub(at).Abs() < earlyLoss {
 			count++
 		}
 	}
@@ -59,9 +59,9 @@
 	if address == "" {
 		return // of an incarnation known from the log alone
 	}
-	for other, until := range e.recentlyRestarted {
+	for a, until := range e.recentlyRestarted {
 		if now.After(until) {
-			delete(e.recentlyRestarted, other)
+			delete(e.recentlyRestarted, a)
 		}
 	}
 	e.recentlyRestarted[address] = now.Add(recentRestartPeriod)
--- a/placing/report.go
+++ b/placing/report.go
@@ -7,9 +7,9 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// Report handles a worker's answer to a hold that was sent at sentAt. lapseAt is when all
+// Report handles a worker's answer to a hold that was sent at sentAt. leasesExpireAt is when all
 // leases on the worker expire unless they are renewed later.
-func (e *Engine) Report(worker string, sentAt time.Time, running []RunningTask, ended []EndedTask, lapseAt, now time.Time) {
+func (e *Engine) Report(worker string, sentAt time.Time, running []RunningTask, ended []EndedTask, leasesExpireAt, now time.Time) {
 	n := e.nodes[worker]
 	if n == nil {
 		return
@@ -22,8 +22,8 @@
 	n.reported = true
 	n.answering = true
 	n.silentAt = time.Time{}
-	if !lapseAt.IsZero() {
-		n.leasesExpireAt = lapseAt
+	if !leasesExpireAt.IsZero() {
+		n.leasesExpireAt = leasesExpireAt
 	}
 	for _, end := range ended {
 		if e.jobs[end.Task.Job] == nil && !e.jobsComplete {
@@ -31,8 +31,8 @@
 		}
 		e.applyEnd(n, end, now)
 	}
-	listed := e.applyRunning(n, running, now)
-	e.reconcileMissing(n, listed, sentAt, now)
+	reported := e.applyRunning(n, running, now)
+	e.reconcileMissing(n, reported, sentAt, now)
 	e.paceFillers(n, running, now)
 	if len(ended) > 0 && n.lastEnd > 0 {
 		e.pendingAcks[n] = n.lastEnd
@@ -161,7 +161,7 @@
 // their numbers tell which are new.
 func (e *Engine) applyEnd(n *node, end EndedTask, now time.Time) {
 	if end.Number <= n.lastEnd {
-		e.noteSkippedEnd(n, end)
+		e.logSkippedEnd(n, end)
 		return
 	}
 	n.lastEnd = end.Number
@@ -186,9 +186,9 @@
 	}
 }
 
-// noteSkippedEnd logs an end that counts as handled although its run is still on the books of
+// logSkippedEnd logs an end that counts as handled although its run is still recorded at
 // the node.
-func (e *Engine) noteSkippedEnd(n *node, end EndedTask) {
+func (e *Engine) logSkippedEnd(n *node, end EndedTask) {
 	if run := n.findRun(end.Task, end.Run); run != nil {
 		e.logEvent("end_passed_over", run.task.step.job, n.entry.ID, end.Task.String()+" run "+strconv.Itoa(end.Run)+" "+string(end.How)+
 			" number "+strconv.FormatInt(end.Number, 10)+" seen "+strconv.FormatInt(n.lastEnd, 10))
--- a/placing/resize_test.go
+++ b/placing/resize_test.go
@@ -61,13 +61,13 @@
 			worker := c.engine.jobs[hexID(1)].allTasks()[0].run.node.entry.ID
 			c.resize(worker, 4)
 			c.engine.Recorded(c.now)
-			on := map[string]int64{}
+			acceleratorsOn := map[string]int64{}
 			for range 4 {
 				for _, start := range c.step().Starts {
-					on[start.Worker] += 4
+					acceleratorsOn[start.Worker] += 4
 				}
 			}
-			is.True(on[worker] <= 4)
+			is.True(acceleratorsOn[worker] <= 4)
 			is.True(c.allRunning(hexID(1)))
 		})
 	}
--- a/placing/runs.go
+++ b/placing/runs.go
@@ -100,7 +100,7 @@
 	run.percentAt = now
 	run.task.capacitySince = time.Time{}
 	if !run.task.step.spec.Lasting {
-		run.task.pausing = startBackoff{}
+		run.task.startBackoff = startBackoff{}
 	}
 }
 
--- a/placing/sim_evacuation_test.go
+++ b/placing/sim_evacuation_test.go
@@ -46,6 +46,6 @@
 // evacuation.
 func (s *simulation) checkEvacuation(l *modelLeader, start Start) {
 	if worker := s.findWorker(start.Worker); l.evacuated[worker.entry.Zone] {
-		s.violationf("%s run %d is ordered on %s, whose zone is evacuated", start.Task, start.Run, start.Worker)
+		s.violationf("%s run %d is started on %s, whose zone is evacuated", start.Task, start.Run, start.Worker)
 	}
 }
--- a/placing/sim_idle_test.go
+++ b/placing/sim_idle_test.go
@@ -92,8 +92,8 @@
 	}
 	var keys []jobs.TaskKey
 	for step, spec := range s.table.Job(id).Submission.Steps {
-		for index := range spec.Tasks {
-			keys = append(keys, jobs.TaskKey{Job: id, Step: step, Index: index})
+		for i := range spec.Tasks {
+			keys = append(keys, jobs.TaskKey{Job: id, Step: step, Index: i})
 		}
 	}
 	for flat, key := range keys {
@@ -212,14 +212,14 @@
 	}
 	spec := f.sim.stepOf(unit.step)
 	key := unit.step
-	for index := range spec.Tasks {
-		key.Index = index
-		if unit.index >= 0 && unit.index != index || f.taskDone(key) {
+	for i := range spec.Tasks {
+		key.Index = i
+		if unit.index >= 0 && unit.index != i || f.taskDone(key) {
 			continue
 		}
-		away := f.sim.isRemovedWithoutAnswer(f.sim.delayCheck.loggedPlacement[key])
-		if away == spec.Gang {
-			return away
+		removed := f.sim.isRemovedWithoutAnswer(f.sim.delayCheck.loggedPlacement[key])
+		if removed == spec.Gang {
+			return removed
 		}
 	}
 	return !spec.Gang
@@ -300,21 +300,21 @@
 		}
 	}
 	since := map[waitingUnit]time.Time{}
-	var known *fleet
-	for _, submission := range s.jobs {
-		if s.table.Job(submission.ID).State().Final() {
+	var f *fleet
+	for _, job := range s.jobs {
+		if s.table.Job(job.ID).State().Final() {
 			continue
 		}
-		if known == nil {
-			known = s.currentFleet()
+		if f == nil {
+			f = s.currentFleet()
 		}
-		for _, unit := range known.waitingUnits(submission) {
-			if !known.isUnderHalfUsed() || !known.fitsTwice(unit) || known.mayStillRun(unit) {
+		for _, unit := range f.waitingUnits(job) {
+			if !f.isUnderHalfUsed() || !f.fitsTwice(unit) || f.mayStillRun(unit) {
 				continue
 			}
 			since[unit] = s.now
-			if former, waited := s.delayCheck.waitingSince[unit]; waited {
-				since[unit] = former
+			if previous, waited := s.delayCheck.waitingSince[unit]; waited {
+				since[unit] = previous
 			}
 			s.checkDelay(unit, since[unit])
 		}
@@ -335,9 +335,9 @@
 		return
 	}
 	s.delayCheck.reported[unit] = true
-	what := fmt.Sprintf("step %d", unit.step.Step)
+	unitName := fmt.Sprintf("step %d", unit.step.Step)
 	if unit.index >= 0 {
-		what += fmt.Sprintf(" task %d, which lasts,", unit.index)
+		unitName += fmt.Sprintf(" long-running task %d", unit.index)
 	}
-	s.violationf("job %s %s waits beside idle room since %v: %+v", unit.step.Job, what, since.Sub(testStart), *s.stepOf(unit.step))
+	s.violationf("job %s %s waits beside idle capacity since %v: %+v", unit.step.Job, unitName, since.Sub(testStart), *s.stepOf(unit.step))
 }
--- a/placing/sim_mixed_test.go
+++ b/placing/sim_mixed_test.go
@@ -69,9 +69,9 @@
 			break
 		}
 	}
-	submission := testJob(id, priority, steps...)
-	submission.AcceptedMS = s.now.UnixMilli()
-	s.submitJob(submission)
+	job := testJob(id, priority, steps...)
+	job.AcceptedMS = s.now.UnixMilli()
+	s.submitJob(job)
 }
 
 // drawStep draws a step and the profile of its runs.
@@ -79,26 +79,26 @@
 	chance := func(percent int) bool { return s.rng.IntN(100) < percent }
 	accelerators := []int64{0, 1, 2, 4, 4, 8}[s.rng.IntN(6)]
 	step := testStep(1+s.rng.IntN(8), accelerators)
-	drawn := runProfile{runTime: time.Duration(400+s.rng.IntN(4000)) * time.Millisecond}
-	step.EstimateMS = int64(float64(drawn.runTime.Milliseconds()) * math.Pow(10, 2*s.rng.Float64()-1))
+	profile := runProfile{runTime: time.Duration(400+s.rng.IntN(4000)) * time.Millisecond}
+	step.EstimateMS = int64(float64(profile.runTime.Milliseconds()) * math.Pow(10, 2*s.rng.Float64()-1))
 	if chance(20) {
-		drawn.failPercent = 40
+		profile.failPercent = 40
 	}
 	if chance(30) {
 		step.DataRack = fmt.Sprintf("r1-%d", s.rng.IntN(s.rackCount))
 	}
 	step.Gang = chance(50)
-	holds := workers
+	workerCount := workers
 	switch {
 	case chance(15):
 		step.RequiredLabel = fmt.Sprintf("r1-%d", s.rng.IntN(s.rackCount))
-		holds = workers / s.rackCount
+		workerCount = workers / s.rackCount
 	case !step.Gang && chance(10):
 		step.RequiredLabel = soleLabel
 		step.Tasks = 1
 	case !step.Gang && chance(15):
-		step.Lasting, drawn.longRunning, drawn.runTime = true, true, time.Hour
-		drawn.failPercent /= 4
+		step.Lasting, profile.longRunning, profile.runTime = true, true, time.Hour
+		profile.failPercent /= 4
 		step.Tasks = min(3, step.Tasks)
 	case chance(10):
 		step.PerWorker = 1 + s.rng.IntN(2)
@@ -109,9 +109,9 @@
 		if step.PerWorker > 0 {
 			slots = min(slots, step.PerWorker)
 		}
-		step.Tasks = 1 + s.rng.IntN(max(1, slots*holds*45/100))
+		step.Tasks = 1 + s.rng.IntN(max(1, slots*workerCount*45/100))
 	}
-	return step, drawn
+	return step, profile
 }
 
 // Fault modes of the mixed workload.
--- a/placing/sim_orders_test.go
+++ b/placing/sim_orders_test.go
@@ -13,9 +13,9 @@
 	if lost {
 		s.recordFault()
 	}
-	late := time.Duration(0)
+	extraDelay := time.Duration(0)
 	if lost && s.chance(70) {
-		late = time.Duration(s.rng.IntN(4000)) * time.Millisecond
+		extraDelay = time.Duration(s.rng.IntN(4000)) * time.Millisecond
 	}
 	answered := false
 	reply := func(done, silent bool) {
@@ -26,8 +26,8 @@
 	}
 	s.schedule(s.networkDelay(), func() {
 		worker := s.currentIncarnation(name)
-		s.schedule(late, func() {
-			if late > 0 {
+		s.schedule(extraDelay, func() {
+			if extraDelay > 0 {
 				s.recordFault()
 			}
 			if !worker.up || s.now.Before(worker.partitionedUntil) {
@@ -91,7 +91,7 @@
 		return false
 	}
 	if s.ackedDone[start.Task] {
-		s.violationf("%s starts after its end was noted", start.Task)
+		s.violationf("%s starts after its end was acknowledged", start.Task)
 	}
 	step := s.stepOf(start.Task)
 	for _, earlier := range step.After {
--- a/placing/sim_test.go
+++ b/placing/sim_test.go
@@ -51,18 +51,18 @@
 // eventQueue is a heap ordered by time, and by sequence number at the same time.
 type eventQueue []event
 
-func (m eventQueue) Len() int { return len(m) }
-func (m eventQueue) Less(a, f int) bool {
-	if !m[a].at.Equal(m[f].at) {
-		return m[a].at.Before(m[f].at)
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	if !q[i].at.Equal(q[j].at) {
+		return q[i].at.Before(q[j].at)
 	}
-	return m[a].seq < m[f].seq
+	return q[i].seq < q[j].seq
 }
-func (m eventQueue) Swap(a, f int)     { m[a], m[f] = m[f], m[a] }
-func (m *eventQueue) Push(element any) { *m = append(*m, element.(event)) }
-func (m *eventQueue) Pop() any {
-	last := (*m)[len(*m)-1]
-	*m = (*m)[:len(*m)-1]
+func (q eventQueue) Swap(i, j int)     { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(element any) { *q = append(*q, element.(event)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
@@ -230,7 +230,7 @@
 	for _, record := range records {
 		s.offset++
 		if _, err := s.table.Apply(record, 0, s.offset); err != nil {
-			s.violationf("record cannot be folded: %v", err)
+			s.violationf("record cannot be applied: %v", err)
 		}
 		s.readProgress(record)
 	}
@@ -285,7 +285,7 @@
 		cached := *node.currentShares()
 		node.shares.valid = false
 		if fresh := *node.currentShares(); fresh != cached {
-			s.violationf("shares of %s are kept as %v and are %v", node.entry.ID, cached, fresh)
+			s.violationf("shares of %s are cached as %v and are %v", node.entry.ID, cached, fresh)
 		}
 	}
 }
--- a/placing/sim_workers_test.go
+++ b/placing/sim_workers_test.go
@@ -136,11 +136,11 @@
 func sortedRuns(worker *modelWorker) []*modelRun {
 	var list []*modelRun
 	for _, run := range worker.running {
-		at := len(list)
-		for at > 0 && list[at-1].key.String() > run.key.String() {
-			at--
+		i := len(list)
+		for i > 0 && list[i-1].key.String() > run.key.String() {
+			i--
 		}
-		list = append(list[:at], append([]*modelRun{run}, list[at:]...)...)
+		list = append(list[:i], append([]*modelRun{run}, list[i:]...)...)
 	}
 	return list
 }
@@ -152,12 +152,12 @@
 // run time, as broken if a member fails, and as alone if the members have not met within
 // gangJoinTimeout.
 func (s *simulation) advanceGang(worker *modelWorker, run *modelRun) {
-	present, latest := 0, time.Time{}
+	running, latest := 0, time.Time{}
 	var members []*modelWorker
 	for _, other := range s.workers {
 		for key, candidate := range other.running {
 			if other.up && key.Job == run.key.Job && key.Step == run.key.Step && candidate.number == run.number {
-				present++
+				running++
 				members = append(members, other)
 				if candidate.startedAt.After(latest) {
 					latest = candidate.startedAt
@@ -166,9 +166,9 @@
 		}
 	}
 	switch {
-	case present < run.gangSize && s.now.Sub(run.startedAt) > gangJoinTimeout:
+	case running < run.gangSize && s.now.Sub(run.startedAt) > gangJoinTimeout:
 		s.endRun(worker, run, EndAlone)
-	case present == run.gangSize && s.now.Sub(latest) > run.runTime:
+	case running == run.gangSize && s.now.Sub(latest) > run.runTime:
 		how := gangMemberEnd(members, run)
 		for _, member := range members {
 			for _, candidate := range sortedRuns(member) {
@@ -208,7 +208,7 @@
 			continue
 		}
 		for key := range worker.running {
-			if other, twice := seen[key]; twice {
+			if other, duplicate := seen[key]; duplicate {
 				s.violationf("%s runs on %s and on %s", key, other, worker.entry.ID)
 			}
 			seen[key] = worker.entry.ID
--- a/placing/speed.go
+++ b/placing/speed.go
@@ -48,12 +48,12 @@
 // factor returns the estimate, which stays near one while there are few samples.
 func (s speedEstimate) factor() float64 { return math.Exp(s.logSum / (s.count + 1)) }
 
-func (s *speedEstimate) add(factor float64) {
+func (s *speedEstimate) add(speed float64) {
 	if s.count >= maxSpeedSamples {
 		s.logSum -= s.logSum / s.count
 		s.count--
 	}
-	s.logSum += math.Log(factor)
+	s.logSum += math.Log(speed)
 	s.count++
 }
 
@@ -66,32 +66,32 @@
 	significant bool
 }
 
-func (d *speedVariance) add(product float64) {
-	d.pairs = min(maxSpeedPairs, d.pairs+1)
-	d.variance += (product - d.variance) / d.pairs
+func (v *speedVariance) add(product float64) {
+	v.pairs = min(maxSpeedPairs, v.pairs+1)
+	v.variance += (product - v.variance) / v.pairs
 	switch {
-	case d.pairs >= minSpeedPairs && d.variance > speedVarianceOn:
-		d.significant = true
-	case d.variance < speedVarianceOff:
-		d.significant = false
+	case v.pairs >= minSpeedPairs && v.variance > speedVarianceOn:
+		v.significant = true
+	case v.variance < speedVarianceOff:
+		v.significant = false
 	}
 }
 
 // recordSpeed adds the relative speed of a node in one run.
-func (e *Engine) recordSpeed(n *node, factor float64) {
-	if factor < minCountedSpeed || factor > maxCountedSpeed {
+func (e *Engine) recordSpeed(n *node, speed float64) {
+	if speed < minCountedSpeed || speed > maxCountedSpeed {
 		return
 	}
 	if n.speed.count > 0 {
-		e.differences.add(math.Log(factor) * n.speed.logSum / n.speed.count)
+		e.speedVariance.add(math.Log(speed) * n.speed.logSum / n.speed.count)
 	}
-	n.speed.add(factor)
+	n.speed.add(speed)
 }
 
 // progressRate is the rate of progress of one run.
 type progressRate struct {
 	node             *node
-	percentPerSecond float64 // percent per second
+	percentPerSecond float64
 }
 
 // compareSpeed samples the progress of a run once, after it has run for a while, and compares
@@ -101,12 +101,12 @@
 	if run.speedCompared || run.resumed || run.throttled || step.spec.Gang || step.spec.Lasting || step.spec.Fills || run.startedAt.IsZero() {
 		return
 	}
-	worked := now.Sub(run.startedAt)
-	if worked < speedSampleAfter || run.percent <= 0 {
+	elapsed := now.Sub(run.startedAt)
+	if elapsed < speedSampleAfter || run.percent <= 0 {
 		return
 	}
 	run.speedCompared = true
-	step.rates = append(step.rates, progressRate{node: run.node, percentPerSecond: float64(run.percent) / worked.Seconds()})
+	step.rates = append(step.rates, progressRate{node: run.node, percentPerSecond: float64(run.percent) / elapsed.Seconds()})
 	if len(step.rates) < minSpeedSiblings {
 		return
 	}
@@ -140,18 +140,18 @@
 }
 
 // rackSpeedScore returns the value of the speed of a gang's placements in a rack, in cores.
-func (v *view) rackSpeedScore(seats []placement, unit *unit) float64 {
+func (v *view) rackSpeedScore(placements []placement, unit *unit) float64 {
 	if !v.speedsSignificant || unit.tier != tierUrgent {
 		return 0
 	}
-	return rackSpeedWeight * slowestSpeedOf(seats)
+	return rackSpeedWeight * slowestSpeedOf(placements)
 }
 
 // slowestSpeedOf returns the speed of a gang on the given placements.
-func slowestSpeedOf(seats []placement) float64 {
-	least := math.Inf(1)
-	for _, seat := range seats {
-		least = min(least, seat.node.speed.factor())
+func slowestSpeedOf(placements []placement) float64 {
+	slowest := math.Inf(1)
+	for _, p := range placements {
+		slowest = min(slowest, p.node.speed.factor())
 	}
-	return least
+	return slowest
 }
--- a/placing/speed_test.go
+++ b/placing/speed_test.go
@@ -83,7 +83,7 @@
 func TestOtherWorkTakesWorkersOfAnySpeed(t *testing.T) {
 	is := is.New(t)
 	e, now := mixedFleet(is, speedOfWorker)
-	is.True(e.differences.significant)
+	is.True(e.speedVariance.significant)
 	for _, n := range e.nodeOrder {
 		is.Equal(e.openView(now).speedScore(n, &unit{tier: tierOnTime}), 0.0)
 	}
@@ -136,16 +136,16 @@
 func TestSpeedsCountOnlyWhereWorkersDiffer(t *testing.T) {
 	is := is.New(t)
 	e, now := mixedFleet(is, func(int) float64 { return 1 })
-	is.True(!e.differences.significant)
+	is.True(!e.speedVariance.significant)
 	is.Equal(e.openView(now).speedScore(e.nodeOrder[0], &unit{tier: tierUrgent}), 0.0)
 	e, _ = mixedFleet(is, speedOfWorker)
-	is.True(e.differences.significant)
+	is.True(e.speedVariance.significant)
 	for range 2 * maxSpeedPairs {
-		e.differences.add(0)
+		e.speedVariance.add(0)
 	}
-	is.True(!e.differences.significant)
+	is.True(!e.speedVariance.significant)
 	for range 2 * maxSpeedPairs {
-		e.differences.add(0.03)
+		e.speedVariance.add(0.03)
 	}
-	is.True(e.differences.significant)
+	is.True(e.speedVariance.significant)
 }
--- a/placing/start_backoff.go
+++ b/placing/start_backoff.go
@@ -38,7 +38,7 @@
 // as the log takes appends.
 func (t *task) startFailed(now time.Time) {
 	for _, member := range t.gangMembers() {
-		member.pausing.recordFailure(now)
+		member.startBackoff.recordFailure(now)
 	}
 }
 
@@ -52,5 +52,5 @@
 		t.startFailed(now)
 		return
 	}
-	t.pausing = startBackoff{}
+	t.startBackoff = startBackoff{}
 }
--- a/placing/start_delay.go
+++ b/placing/start_delay.go
@@ -98,40 +98,40 @@
 }
 
 // checkUnit places the tasks of a unit that must start now, or logs what delays it.
-func (h *delayCheck) checkUnit(unit *unit) {
-	h.trackAmpleCapacity(unit)
-	mustStart := h.mustStart(unit)
-	if len(mustStart.tasks) == 0 && !h.shouldLog(unit) {
+func (c *delayCheck) checkUnit(unit *unit) {
+	c.trackAmpleCapacity(unit)
+	mustStart := c.mustStart(unit)
+	if len(mustStart.tasks) == 0 && !c.shouldLog(unit) {
 		return
 	}
-	reservation := unit.releaseReservation(h.usable)
+	reservation := unit.releaseReservation(c.usable)
 	candidate := mustStart
 	if len(mustStart.tasks) == 0 {
 		candidate = unit
 	}
-	placements := h.usable.fit(candidate, false)
-	if len(placements) > 0 && (candidate == mustStart || h.shouldLog(unit)) {
-		h.logDelay(unit, placements)
+	placements := c.usable.fit(candidate, false)
+	if len(placements) > 0 && (candidate == mustStart || c.shouldLog(unit)) {
+		c.logDelay(unit, placements)
 	}
 	if len(placements) > 0 && candidate == mustStart {
-		h.engine.assumeUnit(mustStart, placements, h.usable, h.now)
-		delete(h.poolUse, unit.job.queue.Pool)
-		clear(h.fitCounts)
+		c.engine.assumeUnit(mustStart, placements, c.usable, c.now)
+		delete(c.poolUse, unit.job.queue.Pool)
+		clear(c.fitCounts)
 	} else if reservation != nil {
-		unit.reserve(reservation, h.usable)
+		unit.reserve(reservation, c.usable)
 	}
 }
 
 // trackAmpleCapacity records since when the tasks of a unit have waited in an idle pool with
 // ample capacity while no task of their job was running. Long-running tasks are expected to
 // run each.
-func (h *delayCheck) trackAmpleCapacity(unit *unit) {
-	ample := unit.expectedToRun() && h.poolIdle(unit) && h.hasAmpleCapacity(unit)
+func (c *delayCheck) trackAmpleCapacity(unit *unit) {
+	ample := unit.expectedToRun() && c.poolIdle(unit) && c.hasAmpleCapacity(unit)
 	for _, task := range unit.tasks {
 		if !ample {
 			task.capacitySince = time.Time{}
 		} else if task.capacitySince.IsZero() {
-			task.capacitySince = h.now
+			task.capacitySince = c.now
 		}
 	}
 }
@@ -156,14 +156,14 @@
 
 // mustStart returns the tasks of a unit that preferences may delay no longer; of a gang all or
 // none.
-func (h *delayCheck) mustStart(unit *unit) *unit {
+func (c *delayCheck) mustStart(unit *unit) *unit {
 	mustStart := *unit
 	mustStart.tasks = nil
-	if !h.workersReported(unit.step) {
+	if !c.workersReported(unit.step) {
 		return &mustStart
 	}
 	for _, task := range unit.tasks {
-		if !task.capacitySince.IsZero() && h.now.Sub(task.capacitySince) >= maxStartDelay {
+		if !task.capacitySince.IsZero() && c.now.Sub(task.capacitySince) >= maxStartDelay {
 			mustStart.tasks = append(mustStart.tasks, task)
 		}
 	}
@@ -175,12 +175,12 @@
 
 // workersReported reports whether the workers of a step's pool have reported to this leader,
 // or have had the time to.
-func (h *delayCheck) workersReported(step *step) bool {
-	if h.now.Sub(step.observedReadyAt) >= firstReportTimeout {
+func (c *delayCheck) workersReported(step *step) bool {
+	if c.now.Sub(step.observedReadyAt) >= firstReportTimeout {
 		return true
 	}
-	for _, n := range h.engine.nodeOrder {
-		if n.entry.Pool == step.job.queue.Pool && !n.reported && n.expectedUsable(h.now) {
+	for _, n := range c.engine.nodeOrder {
+		if n.entry.Pool == step.job.queue.Pool && !n.reported && n.expectedUsable(c.now) {
 			return false
 		}
 	}
@@ -189,55 +189,55 @@
 
 // poolIdle reports whether a unit's pool is idle; for long-running tasks every pool counts as
 // idle.
-func (h *delayCheck) poolIdle(unit *unit) bool {
-	return unit.step.spec.Lasting || h.shareInUse(unit.job.queue.Pool) < idlePoolUse
+func (c *delayCheck) poolIdle(unit *unit) bool {
+	return unit.step.spec.Lasting || c.shareInUse(unit.job.queue.Pool) < idlePoolUse
 }
 
 // shareInUse returns the share in use, in cores, of the present workers of a pool; 1 if none
 // is present.
-func (h *delayCheck) shareInUse(pool string) float64 {
-	if n, seen := h.poolUse[pool]; seen {
-		return n
+func (c *delayCheck) shareInUse(pool string) float64 {
+	if cached, ok := c.poolUse[pool]; ok {
+		return cached
 	}
 	var used, total int64
-	for _, n := range h.engine.nodeOrder {
+	for _, n := range c.engine.nodeOrder {
 		if n.entry.Pool == pool && n.listed && n.silentAt.IsZero() && !n.evacuated {
 			used += milliCoreEquivalents(n.used)
 			total += milliCoreEquivalents(n.entry.Capacity)
 		}
 	}
-	h.poolUse[pool] = 1
+	c.poolUse[pool] = 1
 	if total > 0 {
-		h.poolUse[pool] = ratio(used, total)
+		c.poolUse[pool] = ratio(used, total)
 	}
-	return h.poolUse[pool]
+	return c.poolUse[pool]
 }
 
 // hasAmpleCapacity reports whether a unit's gang, or a task of it that starts alone, fits
 // twice.
-func (h *delayCheck) hasAmpleCapacity(unit *unit) bool {
+func (c *delayCheck) hasAmpleCapacity(unit *unit) bool {
 	wanted := ampleFitFactor
 	if unit.step.spec.Gang {
 		wanted *= len(unit.tasks)
 	}
-	return h.fitCount(unit) >= wanted
+	return c.fitCount(unit) >= wanted
 }
 
 // fitCount returns how many tasks like those of a unit fit on workers that may run them.
-func (h *delayCheck) fitCount(unit *unit) int {
-	key := h.usable.fitKeyOf(unit, false)
+func (c *delayCheck) fitCount(unit *unit) int {
+	key := c.usable.fitKeyOf(unit, false)
 	cacheable := unit.step.spec.PerWorker == 0 && !unit.job.queue.Advised
-	if known, seen := h.fitCounts[key]; seen && cacheable {
-		return known
+	if cached, ok := c.fitCounts[key]; ok && cacheable {
+		return cached
 	}
 	count := 0
-	for _, node := range h.usable.nodes {
+	for _, node := range c.usable.nodes {
 		if unit.eligible(node) && unit.hasAnyTicket(node) {
-			count += h.usable.capacityFor(node, unit.step, unit.step.need(), math.MaxInt32)
+			count += c.usable.capacityFor(node, unit.step, unit.step.need(), math.MaxInt32)
 		}
 	}
 	if cacheable {
-		h.fitCounts[key] = count
+		c.fitCounts[key] = count
 	}
 	return count
 }
--- a/placing/start_delay_log.go
+++ b/placing/start_delay_log.go
@@ -14,32 +14,32 @@
 type idlePool struct{ since, sampledAt time.Time }
 
 // trackIdlePools records since when pools have been idle.
-func (h *delayCheck) trackIdlePools() {
-	pools := h.engine.idlePools
-	for _, n := range h.engine.nodeOrder {
+func (c *delayCheck) trackIdlePools() {
+	pools := c.engine.idlePools
+	for _, n := range c.engine.nodeOrder {
 		pool := n.entry.Pool
 		last := pools[pool]
 		switch {
-		case last.sampledAt.Equal(h.now):
-		case h.shareInUse(pool) >= idlePoolUse:
-			pools[pool] = idlePool{since: time.Time{}, sampledAt: h.now}
-		case last.since.IsZero() || h.now.Sub(last.sampledAt) > maxIdleSampleGap:
-			pools[pool] = idlePool{since: h.now, sampledAt: h.now}
+		case last.sampledAt.Equal(c.now):
+		case c.shareInUse(pool) >= idlePoolUse:
+			pools[pool] = idlePool{since: time.Time{}, sampledAt: c.now}
+		case last.since.IsZero() || c.now.Sub(last.sampledAt) > maxIdleSampleGap:
+			pools[pool] = idlePool{since: c.now, sampledAt: c.now}
 		default:
-			pools[pool] = idlePool{since: last.since, sampledAt: h.now}
+			pools[pool] = idlePool{since: last.since, sampledAt: c.now}
 		}
 	}
 }
 
 // shouldLog reports whether the reason that delays a unit is to be logged now.
-func (h *delayCheck) shouldLog(unit *unit) bool {
-	due := h.now.Sub(unit.step.readyAt) >= delayLogAfter && h.now.Sub(unit.step.delayLoggedAt) >= delayLogInterval
-	return due && h.logged < maxDelayLogs
+func (c *delayCheck) shouldLog(unit *unit) bool {
+	due := c.now.Sub(unit.step.readyAt) >= delayLogAfter && c.now.Sub(unit.step.delayLoggedAt) >= delayLogInterval
+	return due && c.logged < maxDelayLogs
 }
 
 // overdue reports whether a unit has waited for longer than users expect in an idle pool with
 // ample capacity, under this leader. It is independent of the rules that bound the delay.
-func (h *delayCheck) overdue(unit *unit) bool {
+func (c *delayCheck) overdue(unit *unit) bool {
 	if !unit.expectedToRun() {
 		return false
 	}
@@ -47,21 +47,21 @@
 	for _, task := range unit.tasks {
 		since = laterTime(since, task.lastRunEndedAt)
 	}
-	idle := h.engine.idlePools[unit.job.queue.Pool].since
-	return !idle.IsZero() && h.now.Sub(laterTime(idle, since)) >= overdueAfter && h.hasAmpleCapacity(unit)
+	idle := c.engine.idlePools[unit.job.queue.Pool].since
+	return !idle.IsZero() && c.now.Sub(laterTime(idle, since)) >= overdueAfter && c.hasAmpleCapacity(unit)
 }
 
 // logDelay logs the preferences that keep a unit from the given placements.
-func (h *delayCheck) logDelay(unit *unit, placements []placement) {
-	h.logged++
-	unit.step.delayLoggedAt = h.now
+func (c *delayCheck) logDelay(unit *unit, placements []placement) {
+	c.logged++
+	unit.step.delayLoggedAt = c.now
 	event := "start_held"
-	if h.overdue(unit) {
+	if c.overdue(unit) {
 		event = "start_overdue"
 	}
-	against := unit.violatedPreferences(placements, h.headroom[unit.step.class()], h.now)
-	h.engine.logEvent(event, unit.job, "", "step "+strconv.Itoa(unit.tasks[0].key.Step)+" tasks "+strconv.Itoa(len(unit.tasks))+
-		" tier "+strconv.Itoa(int(unit.tier))+" waited_ms "+strconv.FormatInt(h.now.Sub(unit.step.readyAt).Milliseconds(), 10)+
-		" for "+strings.Join(against, ",")+" room_for "+strconv.Itoa(h.fitCount(unit))+
-		" pool_used_percent "+strconv.Itoa(int(100*h.shareInUse(unit.job.queue.Pool))))
+	against := unit.violatedPreferences(placements, c.headroom[unit.step.class()], c.now)
+	c.engine.logEvent(event, unit.job, "", "step "+strconv.Itoa(unit.tasks[0].key.Step)+" tasks "+strconv.Itoa(len(unit.tasks))+
+		" tier "+strconv.Itoa(int(unit.tier))+" waited_ms "+strconv.FormatInt(c.now.Sub(unit.step.readyAt).Milliseconds(), 10)+
+		" for "+strings.Join(against, ",")+" room_for "+strconv.Itoa(c.fitCount(unit))+
+		" pool_used_percent "+strconv.Itoa(int(100*c.shareInUse(unit.job.queue.Pool))))
 }
--- a/placing/urgent_test.go
+++ b/placing/urgent_test.go
@@ -25,10 +25,10 @@
 	c := &cluster{engine: testEngine(1), now: testStart, endNumbers: map[string]int64{}}
 	c.engine.Load(nil, FormerHandedOver, c.now)
 	var entries []WorkerEntry
-	for index := range racks * perRack {
-		id := fmt.Sprintf("w%02d", index)
+	for i := range racks * perRack {
+		id := fmt.Sprintf("w%02d", i)
 		c.workerIDs = append(c.workerIDs, id)
-		entries = append(entries, testWorker(id, fmt.Sprintf("r1-%d", index/perRack)))
+		entries = append(entries, testWorker(id, fmt.Sprintf("r1-%d", i/perRack)))
 	}
 	c.engine.List(entries, c.now)
 	for _, id := range c.workerIDs {
@@ -184,8 +184,8 @@
 	spread := testJob(hexID(98), 0, gangStep(3, 8))
 	c.submit(spread)
 	c.submit(testJob(hexID(99), 0, gangStep(4, 8)))
-	patience := time.Duration(urgentDelayShare * float64(testLimits.Reclaim))
-	c.steps(int(patience/(50*time.Millisecond)) + 4)
+	rackDelay := time.Duration(urgentDelayShare * float64(testLimits.Reclaim))
+	c.steps(int(rackDelay/(50*time.Millisecond)) + 4)
 	is.True(c.allRunning(spread.ID))
 	is.Equal(len(c.racksOf(spread.ID)), 3)
 }
@@ -221,8 +221,8 @@
 	owed := testJob(hexID(99), 0, gangStep(2, 8))
 	owed.Workspace = "nashua"
 	c.submit(owed)
-	begin, stopped := c.now, 0
-	for !c.allRunning(owed.ID) && c.now.Sub(begin) < testLimits.Reclaim {
+	start, stopped := c.now, 0
+	for !c.allRunning(owed.ID) && c.now.Sub(start) < testLimits.Reclaim {
 		stopped += len(c.step().Stops)
 	}
 	is.True(c.allRunning(owed.ID))
--- a/placing/view.go
+++ b/placing/view.go
@@ -17,7 +17,7 @@
 	// failed holds, by kind of step that could not be placed in this pass, the smallest number of
 	// tasks that failed. Capacity only shrinks in a pass.
 	failed            map[fitKey]int
-	rackFitCounts     map[fitKey]map[string]int // see rackFitCounts
+	rackFitCounts     map[fitKey]map[string]int // see Engine.rackFitCounts
 	speedsSignificant bool                      // the differences between worker speeds are significant
 	headroom          [classes][]bool           // by class and node.at: reserved headroom, withheld from deferrable work
 	// rackFree and rackCapacity are the free and total capacity of the nodes of a rack, by position
@@ -35,8 +35,8 @@
 	for at, node := range nodes {
 		node.at = at
 		v.free[at] = node.entry.Capacity.Sub(node.used)
-		rack, known := byName[node.entry.Rack]
-		if !known {
+		rack, ok := byName[node.entry.Rack]
+		if !ok {
 			rack = len(v.racks)
 			byName[node.entry.Rack] = rack
 			v.racks = append(v.racks, nil)
