--- a/placing/crash_test.go
+++ b/placing/crash_test.go
@@ -124,7 +124,7 @@
 // where the least work would be lost with it.
 func TestSuspectRunsAloneOnWorker(t *testing.T) {
 	is := is.New(t)
-	c, suspect := clusterWithSuspect()
+	c, suspect := newClusterWithSuspect()
 	c.submit(testJob(hexID(2), 1, testStep(20, 1)))
 	c.steps(2)
 	is.Equal(len(suspect.run.node.runs), 1) // alone, though others would fit on its worker
@@ -139,7 +139,7 @@
 
 func TestSuspectWaitForEmptyWorkerIsBounded(t *testing.T) {
 	is := is.New(t)
-	c, suspect := clusterWithSuspect()
+	c, suspect := newClusterWithSuspect()
 	c.submit(testJob(hexID(2), 1, wideGang(3, 6))) // one task per worker
 	c.steps(1)
 	c.submit(testJob(hexID(3), 1, testStep(1, 1)))
@@ -156,21 +156,21 @@
 // The losses of a task that a leader knows are recorded with the next start of the task.
 func TestLossesSurviveLeaderChange(t *testing.T) {
 	is := is.New(t)
-	c, suspect := clusterWithSuspect()
+	c, suspect := newClusterWithSuspect()
 	job := suspect.step.job
 	record := job.progressRecord()
 
-	second := testEngine(2)
-	second.Load([]*jobs.Job{{Submission: job.submission, Progress: record.Value}}, FormerHandedOver, c.now)
-	restored := second.jobs[hexID(1)].allTasks()[0]
+	nextEngine := testEngine(2)
+	nextEngine.Load([]*jobs.Job{{Submission: job.submission, Progress: record.Value}}, FormerHandedOver, c.now)
+	restored := nextEngine.jobs[hexID(1)].allTasks()[0]
 	is.Equal(restored.losses.total, 1)
 	is.Equal(restored.losses.early, 1)
 	is.True(restored.losses.suspect())
 }
 
-// clusterWithSuspect returns a cluster of four workers and the task of job 1, which has just
+// newClusterWithSuspect returns a cluster of four workers and the task of job 1, which has just
 // lost its worker soon after its start.
-func clusterWithSuspect() (*cluster, *task) {
+func newClusterWithSuspect() (*cluster, *task) {
 	c := newCluster(1)
 	c.submit(testJob(hexID(1), 1, testStep(1, 1)))
 	c.steps(2)
--- a/placing/delay_advice_test.go
+++ b/placing/delay_advice_test.go
@@ -20,8 +20,8 @@
 	s.run(time.Second)
 	long := testStep(1, 1)
 	long.EstimateMS = 100 * defaultRunTime.Milliseconds()
-	behind := s.submit(advisedJob(2, 2, long))
+	longJob := s.submit(advisedJob(2, 2, long))
 	first := s.engine.waitingUnits(s.now)[0]
 	is.Equal(first.step.spec.Tasks, wide.Tasks)
-	is.True(s.waitForStart(behind, 0) <= maxIdleDelay)
+	is.True(s.waitForStart(longJob, 0) <= maxIdleDelay)
 }
--- a/placing/delay_similar_step_test.go
+++ b/placing/delay_similar_step_test.go
@@ -25,9 +25,9 @@
 			s := newDelaySim(t, 2, 6)
 			step := testStep(2, 4)
 			step.Gang, step.EstimateMS = gang, defaultRunTime.Milliseconds()
-			barred := advisedJob(1, 1, step)
-			s.allowed = func(job, _ string) bool { return job != barred.ID }
-			s.submit(barred)
+			unschedulable := advisedJob(1, 1, step)
+			s.allowed = func(job, _ string) bool { return job != unschedulable.ID }
+			s.submit(unschedulable)
 			s.run(time.Second)
 			behind := s.submit(advisedJob(2, 1, step))
 			is.True(s.waitForStart(behind, 0) <= maxIdleDelay)
--- a/placing/evacuation.go
+++ b/placing/evacuation.go
@@ -90,6 +90,7 @@
 	}
 }
 
+// inEvacuatedZone reports whether any reserved node is evacuated.
 func (c *reservation) inEvacuatedZone() bool {
 	for _, seat := range c.placements {
 		if seat.node.evacuated {
--- a/placing/fit.go
+++ b/placing/fit.go
@@ -7,22 +7,23 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// fitKey is what of a step decides whether it can be seated, but for the number
+// fitKey holds the properties of a step that decide whether it fits, except for the number
 // of its tasks.
 type fitKey struct {
 	pool, label, dataRack string
 	need                  jobs.Resources
 	gang, oneRack, strict bool
-	yieldsHeadroom        bool // to the work that room is kept clear for
+	yieldsHeadroom        bool
 }
 
-// placement is a place for one task.
+// placement assigns a task to a node.
 type placement struct {
 	task *task
 	node *node
 }
 
-// need is what a task of the step occupies.
+// need returns the resources that a task of the step occupies. Cores of fillers do not
+// count, as they use only what others leave.
 func (s *step) need() jobs.Resources {
 	need := s.spec.Need
 	if s.spec.Fills {
@@ -31,23 +32,23 @@
 	return need
 }
 
-// accepts reports whether a node may run the unit's tasks.
+// accepts reports whether a node may run the unit's tasks now.
 func (n *node) accepts(unit *unit) bool {
 	avoided := !unit.ignorePreferences && unit.avoidWorker != "" && unit.avoidWorker == n.entry.ID
 	return !avoided && unit.eligible(n) && unit.hasValidTicket(n)
 }
 
-// eligible reports whether a node is of the pool and kind that the unit's tasks ask for, and
-// not ruled out by the policy of their queue.
+// eligible reports whether a node is of the pool and kind that the unit's tasks require, and
+// not forbidden by the policy of their queue.
 func (u *unit) eligible(n *node) bool {
 	return !u.forbiddenOn(n) && n.entry.Pool == u.job.queue.Pool && n.entry.HasLabel(u.step.spec.RequiredLabel)
 }
 
-// capacityFor is how many tasks of a step fit on a node, up to most.
+// capacityFor returns how many tasks of a step fit on a node, up to limit.
 func (v *view) capacityFor(node *node, step *step, need jobs.Resources, limit int) int {
 	free := v.free[node.at]
 	if !free.Fits(need) {
-		return 0 // as on most nodes when they are full; three divisions saved
+		return 0 // the usual case on full nodes; saves three divisions
 	}
 	count := quotient(free.Accelerators, need.Accelerators, limit)
 	count = quotient(free.MilliCores, need.MilliCores, count)
@@ -58,8 +59,8 @@
 	return max(0, count)
 }
 
-// stillAvailable returns those of some seats that are free now and whose tasks still
-// wait; of a gang all or none.
+// stillAvailable returns those of some placements whose nodes are free now and whose
+// tasks still wait; of a gang all or none.
 func (v *view) stillAvailable(unit *unit, placements []placement) []placement {
 	need := unit.step.need()
 	var available []placement
@@ -79,7 +80,7 @@
 	return available
 }
 
-// quotient is how often need goes into free, at most most times.
+// quotient returns how often need fits into free, up to limit.
 func quotient(free, need int64, limit int) int {
 	if need <= 0 {
 		return limit
@@ -87,7 +88,7 @@
 	return min(limit, int(max(0, free)/need))
 }
 
-// countTasksOf is how many tasks of a step may be running on the node.
+// countTasksOf returns how many tasks of a step may be running on the node.
 func (n *node) countTasksOf(step *step) int {
 	count := 0
 	for _, run := range n.runs {
@@ -112,10 +113,10 @@
 	}
 }
 
-// fit finds seats for the tasks of a unit. A gang gets seats for all tasks or
-// none; strict asks for the rack that suits the step best. What failed in this
-// pass for as many tasks or fewer of the same kind is not tried again, unless workers are
-// ruled out for the one step alone.
+// fit finds placements for the tasks of a unit, for a gang all of them or none. strict
+// allows only the rack that suits the step best. A search that failed in this pass for as
+// many tasks or fewer with the same key is not repeated, unless workers are ruled out for
+// this one step.
 func (v *view) fit(unit *unit, strict bool) []placement {
 	plain := unit.avoidWorker == "" && unit.step.spec.PerWorker == 0 && !unit.isolated && !unit.job.queue.Advised
 	key := v.fitKeyOf(unit, strict)
@@ -133,6 +134,7 @@
 	return placements
 }
 
+// findPlacements searches the nodes that the topology constraints of the unit allow.
 func (v *view) findPlacements(unit *unit, strict bool) []placement {
 	spec := unit.step.spec
 	switch {
@@ -144,7 +146,7 @@
 	return v.pack(unit, v.nodes)
 }
 
-// searchDataRack prefers the rack where the data lies, and allows no other if
+// searchDataRack prefers the rack that holds the step's data, and allows no other if
 // strict.
 func (v *view) searchDataRack(unit *unit, strict bool) []placement {
 	var near []*node
@@ -172,8 +174,8 @@
 	return append(placements, more...)
 }
 
-// searchRacks seats a gang in the one rack that it fills best; if none holds it
-// and strict is false, anywhere.
+// searchRacks places a gang in the one rack where it leaves the least free; if it fits in
+// none and strict is false, anywhere.
 func (v *view) searchRacks(unit *unit, strict bool) []placement {
 	var best []placement
 	bestLeftover := 0.0
@@ -188,7 +190,7 @@
 		}
 		leftover := v.freeCores(rack) - v.rackSpeedScore(placements, unit)
 		if rack[0].entry.Rack == unit.step.spec.DataRack {
-			leftover = math.Inf(-1) // near its data goes before everything else
+			leftover = math.Inf(-1) // the rack of its data goes before all others
 		}
 		if best == nil || leftover < bestLeftover {
 			best, bestLeftover = placements, leftover
@@ -200,7 +202,7 @@
 	return best
 }
 
-// freeCores is what a set of nodes has free, in cores.
+// freeCores returns the free capacity of a set of nodes, in cores.
 func (v *view) freeCores(nodes []*node) float64 {
 	sum := 0.0
 	for _, node := range nodes {
@@ -209,14 +211,14 @@
 	return sum
 }
 
-// candidate is a node with room for some tasks.
+// candidate is a node with capacity for some tasks. Lower weights are preferred.
 type candidate struct {
 	node   *node
 	count  int
 	weight float64
 }
 
-// pack seats as many tasks as fit, tightest nodes first; of a gang all or none.
+// pack places as many tasks as fit, fullest nodes first; of a gang all or none.
 func (v *view) pack(unit *unit, nodes []*node) []placement {
 	candidates, capacity := v.candidates(unit, nodes)
 	wanted := len(unit.tasks)
@@ -241,7 +243,7 @@
 	return placements
 }
 
-// candidates lists the nodes with room, and how many tasks they hold in all.
+// candidates lists the nodes with capacity for the unit, and how many tasks they hold in all.
 func (v *view) candidates(unit *unit, nodes []*node) ([]candidate, int) {
 	need := unit.step.need()
 	if len(nodes) != len(v.nodes) {
@@ -249,7 +251,7 @@
 	}
 	var candidates []candidate
 	capacity := 0
-	weights := v.rackWeights(unit) // within one rack it makes no difference
+	weights := v.rackWeights(unit) // within one rack they make no difference
 	for index, rack := range v.racks {
 		if v.rackMaxFree[index] < need.Accelerators {
 			continue
@@ -265,8 +267,8 @@
 	return candidates, capacity
 }
 
-// addCandidates adds those of some nodes that have room, and returns how many tasks they
-// hold. spare is added to the weight of each.
+// addCandidates appends those of some nodes that have capacity for the unit, and returns
+// how many tasks they hold. rackWeight is added to the weight of each.
 func (v *view) addCandidates(candidates []candidate, unit *unit, need jobs.Resources, nodes []*node, rackWeight float64) ([]candidate, int) {
 	capacity := 0
 	for _, node := range nodes {
@@ -276,7 +278,7 @@
 		}
 		weight := node.freeShare(v.free[node.at]) + v.speedScore(node, unit)
 		if unit.isolated {
-			weight = -weight // where least would be lost with it
+			weight = -weight // prefers nodes where the loss of the worker costs least
 		}
 		if node.health.onProbation || unit.now.Before(node.recentlyRestartedUntil) {
 			weight += probationWeight
@@ -290,9 +292,8 @@
 	return candidates, capacity
 }
 
-// rackWeights makes work that is not urgent keep to racks that are in use, so
-// that an urgent gang mostly finds one where nothing has to be stopped for it.
-// It is nil for urgent work.
+// rackWeights makes work that is not urgent prefer racks that are in use, so that an
+// urgent gang mostly finds a rack without preemption. It is nil for urgent work.
 func (v *view) rackWeights(unit *unit) []float64 {
 	if unit.job.queue.Priority == 0 {
 		return nil
@@ -304,19 +305,19 @@
 	return weights
 }
 
-// unusedRackWeight is above every tightness of a node.
+// unusedRackWeight is above the highest freeShare of a node.
 const unusedRackWeight = 5
 
-// probationWeight is above every tightness, so that workers on probation and unsteady
-// ones are taken only where nothing else fits.
+// probationWeight is above the highest freeShare, so that workers on probation and
+// recently restarted ones are used only where nothing else fits.
 const probationWeight = 20
 
-// lastResortWeight is above these together: of workers that are better left alone.
+// lastResortWeight is above the sum of these: for workers that should get no work.
 const lastResortWeight = 100
 
-// freeShare is the free share of the node, accelerators counting twice as they
-// are what large tasks lack first. Least comes first, so that large holes stay
-// for large tasks.
+// freeShare returns the free share of the node. Accelerators count twice, as large tasks
+// run out of them first. The lowest share is preferred, so that large holes stay for
+// large tasks.
 func (n *node) freeShare(free jobs.Resources) float64 {
 	capacity := n.entry.Capacity
 	return 2*ratio(free.Accelerators, capacity.Accelerators) + ratio(free.MilliCores, capacity.MilliCores) + ratio(free.MemoryMB, capacity.MemoryMB)
--- a/placing/life.go
+++ b/placing/incarnation.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// A worker may start again under its name. The next life holds and knows nothing of the
-// one before, and what it counts begins anew: so all that is remembered of a worker is
-// remembered of one life, under an ID that names it. An order, however, names the worker
-// alone on its way: one that is sent while the next life is there, and not known of yet, is
-// carried out by that. One that had reached a life is gone with it.
+// A worker may restart under its name. Its next incarnation knows no run of the one before
+// and numbers the ends of runs anew, so all state about a worker belongs to one incarnation,
+// under an ID that names it. Orders, however, address the worker by name alone: an order sent
+// while the next incarnation is there but not known yet is carried out by that one. An order
+// that had reached an incarnation is lost with it.
 
-// LifeID names one life of a worker. Where the platform does not say when lives begin, as
-// each has a name of its own, that is the name.
+// LifeID returns the ID of one incarnation of a worker. Where the platform does not state
+// when incarnations begin, as each has a name of its own, it is the name.
 func LifeID(name string, bornMS int64) string {
 	if bornMS == 0 {
 		return name
@@ -20,18 +20,19 @@
 	return name + "@" + strconv.FormatInt(bornMS, 10)
 }
 
-// answerRetention is how long the word of a life keeps entries of earlier ones off. A worker's
-// own entry follows within seconds, so later than that it is its word that is out of date,
-// as when its time of day was put back.
+// answerRetention is how long the answer of an incarnation rules out list entries of
+// earlier ones. A worker's own entry follows within seconds; if it still names an earlier
+// incarnation after that, the answer is out of date, as when the worker's time of day was
+// put back.
 const answerRetention = 30 * time.Second
 
-// answer is the newest word of a worker.
+// answer records the newest answer of a worker.
 type answer struct {
-	bornMS int64 // of the life that answered
+	bornMS int64 // of the incarnation that answered
 	at     time.Time
 }
 
-// otherIncarnations are the nodes of other lives of a node's worker.
+// otherIncarnations returns the nodes of other incarnations of a node's worker.
 func (e *Engine) otherIncarnations(n *node) []*node {
 	if n.entry.Name == "" {
 		return nil
@@ -45,7 +46,7 @@
 	return list
 }
 
-// removeIncarnation takes a node that is dropped out of the lives of its worker.
+// removeIncarnation removes a node from the incarnations of its worker.
 func (e *Engine) removeIncarnation(n *node) {
 	name := n.entry.Name
 	remaining := e.otherIncarnations(n)
@@ -56,20 +57,20 @@
 	e.incarnations[name] = remaining
 }
 
-// outdated reports whether an entry is of a life before the one that answered last: the
-// list lags behind, or another writer has made the entry and said of no life.
+// outdated reports whether an entry is of an incarnation before the one that answered last:
+// the list is behind, or the entry is of another writer that states no incarnation.
 func (e *Engine) outdated(entry *WorkerEntry) bool {
 	return entry.BornMS < e.newestAnswers[entry.Name].bornMS
 }
 
-// recordAnswer keeps the word of a life, unless a later one has answered.
+// recordAnswer records the answer of an incarnation, unless a later one has answered.
 func (e *Engine) recordAnswer(name string, bornMS int64, now time.Time) {
 	if bornMS >= e.newestAnswers[name].bornMS {
 		e.newestAnswers[name] = answer{bornMS: bornMS, at: now}
 	}
 }
 
-// expireAnswers drops words that are out of date.
+// expireAnswers drops answers that are out of date.
 func (e *Engine) expireAnswers(now time.Time) {
 	for name, newest := range e.newestAnswers {
 		if now.Sub(newest.at) > answerRetention {
@@ -78,11 +79,11 @@
 	}
 }
 
-// Reborn says that a worker's life is over, as a later one answers that began at bornMS;
-// 0 stands for another worker at its address. What the later life may yet carry out is
-// settled there: next is then its entry, to be watched though it may not be listed. Where
-// the life that answers began earlier its word has come late, and proves nothing against
-// one that has reported.
+// Reborn reports that an incarnation of a worker has ended, as a later one answers that
+// began at bornMS; 0 stands for another worker at its address. Orders that the later
+// incarnation may yet carry out are stopped there: next is then its entry, to be polled
+// though it may not be listed. If the incarnation that answers began earlier, its answer
+// is late and proves nothing against one that has reported.
 func (e *Engine) Reborn(worker string, bornMS int64, now time.Time) (next WorkerEntry, mustWatch bool) {
 	former := e.nodes[worker]
 	if former == nil {
@@ -109,8 +110,8 @@
 	return later.entry, len(later.runs) > 0 && !later.listed
 }
 
-// handleAnswer takes that a life has answered: those of its worker that began before are
-// over. A later one is not: the answer may have come late.
+// handleAnswer replaces the incarnations of a worker that began before the one that has
+// answered. Later ones stay, as the answer may be late.
 func (e *Engine) handleAnswer(n *node, now time.Time) {
 	if n.entry.BornMS == 0 {
 		return
@@ -128,10 +129,10 @@
 	e.removeNodes()
 }
 
-// replaceIncarnation takes that a life is over and a later one of the same worker there. What ran
-// for certain in the former is lost with it. A start that may not have been carried out
-// yet may be by the later life, which knows of no earlier order: it is stopped there
-// before its task may run elsewhere.
+// replaceIncarnation ends an incarnation that a later one of the same worker has replaced.
+// Runs that were seen in the former are lost with it. A start that may not have been
+// carried out yet may be by the later one, which knows of no earlier order: it is stopped
+// there before its task may run elsewhere.
 func (e *Engine) replaceIncarnation(former, later *node, now time.Time) {
 	e.markSilent(former, now)
 	former.listed = false
@@ -159,7 +160,7 @@
 	}
 }
 
-// moveTo enters a run at a later life of its worker, where it may be or come.
+// moveTo moves a run to a later incarnation of its worker, where it may be or arrive.
 func (r *run) moveTo(later *node) {
 	r.node.removeRun(r)
 	r.node = later
@@ -167,7 +168,7 @@
 	later.addRun(r)
 }
 
-// stopUncertainRun has a run stopped at a node where it may be or come.
+// stopUncertainRun stops a run at a node where it may be or arrive.
 func (e *Engine) stopUncertainRun(run *run, now time.Time) {
 	run.phase = phaseUncertain
 	run.stopReason = "worker started again"
--- a/placing/job.go
+++ b/placing/job.go
@@ -6,24 +6,24 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// job is one job in the engine's memory.
+// job is the scheduling state of one job.
 type job struct {
 	submission    *jobs.Submission
 	queue         jobs.Queue
-	acceptedAt    time.Time // on the steady clock; earlier than the engine, perhaps
+	acceptedAt    time.Time // on the monotonic clock; may be before the engine was created
 	acceptedMS    int64     // time of day at acceptedAt
 	state         jobs.State
-	recordedState jobs.State // as the newest state record says
+	recordedState jobs.State // in the newest state record
 	reason        string
 	endedAt       time.Time
 	endedMS       int64
-	readyMS       int64 // time of day when the turn of the newest step came that waited for others
+	readyMS       int64 // time of day when the newest step became ready that had waited for other steps
 	dirty         bool
 	occurrences   []*occurrence
-	reservation   *reservation // capacity set aside while others are stopped for this job
+	reservation   *reservation // capacity set aside while others are preempted for this job
 }
 
-// occurrence is one run of the steps of a job.
+// occurrence is one execution of the steps of a job.
 type occurrence struct {
 	scheduledMS int64 // time of day; 0: at once
 	steps       []*step
@@ -37,42 +37,42 @@
 	spec              *jobs.Step
 	tasks             []*task
 	left              int            // tasks not done
-	readyAt           time.Time      // when its turn came, whoever held the term then; zero before
-	observedReadyAt   time.Time      // when this holder first saw that
-	nextSearchAt      time.Time      // no room is looked for before
-	delayLoggedAt     time.Time      // when it was last told what holds it back
-	advice            *advice        // nil until something is known
-	adviceRequestedAt time.Time      // when the last question for it was sent
+	readyAt           time.Time      // when it became ready, whoever was leader then; zero before
+	observedReadyAt   time.Time      // when this leader first found it ready
+	nextSearchAt      time.Time      // no search for capacity before
+	delayLoggedAt     time.Time      // when the reason of its start delay was last logged
+	advice            *advice        // nil until the first answer
+	adviceRequestedAt time.Time      // when its last advice request was sent
 	rates             []progressRate // of its runs so far
-	hasSuspects       bool           // a run of a task was once lost with its worker
+	hasSuspects       bool           // a run of one of its tasks was lost with the worker
 }
 
-// task is one task.
+// task is the scheduling state of one task.
 type task struct {
 	step           *step
 	key            jobs.TaskKey
 	done           bool
 	failed         int // runs that ended as failed
 	lastRun        int // highest run number given
-	lastEndedRun   int // highest run whose end was taken in; it is listed until acknowledged
+	lastEndedRun   int // highest run whose end was handled; ends are listed until acknowledged
 	checkpoint     string
 	run            *run // nil unless a run may exist
 	avoidWorker    string
 	losses         losses
 	startBackoff   startBackoff
-	stalls         int       // runs that were stopped as they stood still
-	capacitySince  time.Time // since when it has waited beside plenty of room; zero: it does not
-	lastRunEndedAt time.Time // when its last run that had begun, or may have, was over
+	stalls         int       // runs that were stopped as stalled
+	capacitySince  time.Time // since when it has waited despite ample free capacity; zero: it does not
+	lastRunEndedAt time.Time // when its last run that had begun, or may have, ended
 }
 
-// phase is how far a run got.
+// phase is the progress of a run.
 type phase int
 
 const (
 	phasePlanned   phase = iota // capacity is taken, nothing was sent
 	phaseOrdered                // the start was sent and not yet answered
 	phaseRunning                // the worker has it
-	phaseUncertain              // it may be there or come there; a stop settles it
+	phaseUncertain              // it may be at the worker or arrive there; a stop settles it
 	phaseStopping               // a stop was ordered
 )
 
@@ -88,21 +88,21 @@
 	percent         int
 	percentAt       time.Time // when percent last grew
 	reportedAt      time.Time // of the newest report that showed it
-	resumed         bool      // from a saved state, or under a former holder of the term
+	resumed         bool      // from a checkpoint, or under a former leader
 	basePercent     int       // of a resumed run, as first reported
 	baseAt          time.Time // when it was
 	stoppedAt       time.Time // when its stop was first sent
 	stopSentAt      time.Time // when its stop was last sent
-	stopDoneAt      time.Time // when the worker took the stop
-	stopReason      string    // of the stop
-	seen            bool      // a report of the worker has shown it
-	throttled       bool      // works at pacePercent, of a hundred
+	stopDoneAt      time.Time // when the worker acknowledged the stop
+	stopReason      string
+	seen            bool // listed in a report of the worker
+	throttled       bool // works at pacePercent, of a hundred
 	pacePercent     int
 	paceSentAt      time.Time
 	speedCompared   bool // its progress was compared with its siblings'
 	unconfirmed     bool // restored from the log; its worker has not reported yet
-	workerRestarted bool // restored from the log; its worker has started again since
-	isolated        bool // its worker gets nothing else, as the task may be what ends workers
+	workerRestarted bool // restored from the log; its worker has restarted since
+	isolated        bool // its worker gets nothing else, as the task is suspect
 }
 
 func newJob(submission *jobs.Submission, queue jobs.Queue, now time.Time, nowMS int64) *job {
@@ -157,9 +157,9 @@
 	return list
 }
 
-// progressRecord is the job's progress as it is kept in the log. Of an ended job only
-// the state is kept: nothing of it is placed again, and what still runs is
-// stopped wherever it is found.
+// progressRecord returns the job's progress as stored in the log. For an ended job only
+// the state is stored: nothing of it is placed again, and runs that are left are stopped
+// wherever they are found.
 func (j *job) progressRecord() jobs.Record {
 	progress := &jobs.Progress{State: j.state, Reason: j.reason}
 	if j.state.Final() {
@@ -193,9 +193,8 @@
 	}
 }
 
-// restoreJob takes what the log says of a job. A former holder of the term may
-// have written its progress and not its state, or its final state alone: then
-// the other is written too.
+// restoreJob restores a job from the log. A former leader may have written only its
+// progress or only its final state: then the other is written too.
 func (e *Engine) restoreJob(job *job, stored *jobs.Job, now time.Time) {
 	if stored.Shown != "" {
 		job.recordedState = stored.Shown
@@ -204,7 +203,7 @@
 		e.restoreProgress(job, stored.Progress)
 	}
 	if stored.Shown.Final() && !job.state.Final() {
-		// The former holder did not come to write its progress, or it was dropped.
+		// The former leader did not write its progress, or that was dropped.
 		e.finish(job, stored.Shown, "", now)
 	}
 	if job.state != job.recordedState {
@@ -212,12 +211,12 @@
 	}
 }
 
-// restoreProgress takes what the log says of a job.
+// restoreProgress decodes the progress of a job and applies it.
 func (e *Engine) restoreProgress(job *job, value []byte) {
 	progress, err := jobs.DecodeProgress(value)
 	if err != nil {
-		// The fold has read the state of this very record; a job whose tasks
-		// cannot be read must not run again.
+		// The state was read from this very record when the log was loaded; a job whose
+		// tasks cannot be decoded must not run again.
 		e.logEvent("progress_unreadable", job, "", err.Error())
 		job.state = jobs.StateFailed
 		job.reason = "its progress cannot be read"
@@ -226,8 +225,8 @@
 	e.applyProgress(job, progress, e.formerLeasesExpireAt)
 }
 
-// applyProgress takes over a job's progress. Runs on record are looked for at their
-// workers, until lapse.
+// applyProgress applies the progress of a job from the log. Recorded runs are looked for
+// at their workers until leaseExpiry.
 func (e *Engine) applyProgress(job *job, progress *jobs.Progress, leaseExpiry time.Time) {
 	job.state = progress.State
 	job.reason = progress.Reason
--- a/placing/loss.go
+++ b/placing/loss.go
@@ -8,52 +8,54 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// A worker that is lost reports nothing. What ran there has to be judged by the loss
-// itself, or a task that ends its workers is started again without a bound and takes a
-// worker, with all that runs there, every few seconds. One loss says little: workers are
-// lost without any task's fault. So a task is suspected by how soon after its start the
-// worker fell silent, tried again on a worker of its own, which tells it from its
-// neighbours and spares them, and given up after losses that chance does not explain.
+// A lost worker reports nothing, so its tasks are assessed by the loss itself. Otherwise a
+// task that ends its workers would be started again without bound and take down a worker,
+// with all that runs there, every few seconds. One loss means little, as workers are lost
+// without any task's fault. So a task becomes suspect by how soon after its start the worker
+// fell silent, is retried on a worker of its own, which distinguishes it from its neighbours
+// and protects them, and its job is failed after more losses than chance explains.
 const (
 	// earlyLoss is the time after a start within which the loss of the worker points
 	// at the task: a task that ends its worker does so as it begins, or once it has
-	// resumed from a saved state.
+	// resumed from a checkpoint.
 	earlyLoss = time.Second
-	// maxEarlyLosses is after how many early losses a task is given up: on the users'
+	// maxEarlyLosses is the number of early losses at which a job is failed: on the users'
 	// worst days two of them may still be chance.
 	maxEarlyLosses = 3
-	// maxLosses is after how many losses of any kind a task that ends is given up: the
-	// users allow two starts after the third worker was lost under it.
+	// maxLosses is the number of losses of any kind at which the job of a task that ends is
+	// failed: the users allow two starts after the third worker was lost under it.
 	maxLosses = 5
-	// minLossesToIsolate is from how many losses on a task is suspected though none was early.
+	// minLossesToIsolate is the number of losses from which a task is suspect though none
+	// was early.
 	minLossesToIsolate = 2
 	// clearLossesFactor times the longest time for which the task worked before a loss is
-	// when its next run has shown that it does not end its worker as the last one did.
+	// how long a run has to work to show that it does not end its worker as the last did.
 	clearLossesFactor = 2
-	// maxIsolationDelay is how long a suspected task waits for an empty worker. Users
-	// expect a task whose turn has come to run within three seconds if there is room.
+	// maxIsolationDelay is how long a suspect task waits for an empty worker. Users
+	// expect a ready task to run within three seconds if there is capacity.
 	maxIsolationDelay = 2 * time.Second
-	// longRunningProof is how long a lasting task has to be at work to be cleared of all
+	// longRunningProof is how long a long-running task has to work to be cleared of all
 	// losses: it outlives many workers by its nature.
 	longRunningProof = 30 * time.Second
 )
 
-// losses is what the loss of workers says of a task; a gang's tasks share it.
+// losses counts the workers lost under a task; a gang's tasks share the count.
 type losses struct {
-	total       int           // runs that were over with their worker
-	early       int           // of these, soon after their start, on a worker that was not unsteady itself
+	total       int           // runs that ended with their worker
+	early       int           // of these, soon after their start, on a worker that was not recently restarted
 	lastRun     int           // highest run whose loss was counted
-	newestAt    time.Time     // of the newest
-	longestWork time.Duration // the longest time at work before a loss
+	newestAt    time.Time     // of the newest loss
+	longestWork time.Duration // longest time at work before a loss
 }
 
-// suspect reports whether a task may be what ends its workers.
+// suspect reports whether the task may be the cause of the losses.
 func (l losses) suspect() bool { return l.early > 0 || l.total >= minLossesToIsolate }
 
+// exceeded reports whether there are too many losses to try the task again.
 func (l losses) exceeded() bool { return l.early >= maxEarlyLosses || l.total >= maxLosses }
 
-// loseWorker takes that a node's life is over, and with it all that may be there. One that said
-// that it leaves has kept its word: that is no loss to hold against anyone.
+// loseWorker ends an incarnation of a worker and all runs that may be there. The loss is
+// not counted against any task if the worker had announced that it leaves.
 func (e *Engine) loseWorker(n *node, reason string, now time.Time) {
 	runs := append([]*run(nil), n.runs...)
 	e.logLoss(n, reason, len(runs), now)
@@ -85,7 +87,7 @@
 }
 
 // countLoss counts the loss of a run's worker against its task. Each run counts once,
-// also if several workers of a gang were lost under it.
+// even if several workers of a gang were lost under it.
 func (e *Engine) countLoss(run *run, now time.Time) {
 	task := run.task
 	if run.phase == phasePlanned || task.run != run || task.done || task.step.job.state.Final() || run.number <= task.losses.lastRun {
@@ -114,15 +116,15 @@
 }
 
 // isEarlyLoss reports whether a run's worker fell silent soon after the run began. On a
-// worker whose former life was lost too, that says nothing of the task; nor does an
-// order that was sent after the worker had fallen silent.
+// recently restarted worker that does not point at the task, nor does it after an order
+// that was sent once the worker had fallen silent.
 func (r *run) isEarlyLoss() bool {
 	silentAt := r.node.silentAt
 	if silentAt.IsZero() || r.orderedAt.IsZero() {
-		return false // under a former holder of the term, which alone knows when
+		return false // started under a former leader, so the start time is unknown
 	}
 	if r.startedAt.IsZero() {
-		return false // the worker may have been gone before the order reached it
+		return false // the worker may have been gone before the order arrived
 	}
 	if silentAt.Before(r.node.recentlyRestartedUntil) || silentAt.Before(r.orderedAt) {
 		return false
@@ -130,8 +132,8 @@
 	return silentAt.Sub(r.workStartedAt()) < earlyLoss
 }
 
-// workStartedAt is when a run began to work at the earliest: the members of a gang wait for
-// each other.
+// workStartedAt returns when a run began to work at the earliest: the members of a gang
+// wait for each other.
 func (r *run) workStartedAt() time.Time {
 	begun := r.startOrOrder()
 	for _, member := range r.task.gangMembers() {
@@ -149,7 +151,7 @@
 	return r.startedAt
 }
 
-// failIfLossesExceeded ends the job of a task that has lost too many workers.
+// failIfLossesExceeded fails the job of a task that has lost too many workers.
 func (e *Engine) failIfLossesExceeded(task *task, now time.Time) {
 	job := task.step.job
 	if task.done || job.state.Final() || !task.losses.exceeded() {
@@ -158,8 +160,8 @@
 	e.finish(job, jobs.StateFailed, "task "+task.key.String()+" lost its worker in "+strconv.Itoa(task.losses.total)+" runs", now)
 }
 
-// clearLosses clears a task of what its run has outlived by being at work, and lets
-// others onto its worker again.
+// clearLosses clears a task of the losses that its run disproves by being at work, and
+// ends the isolation of its worker.
 func (e *Engine) clearLosses(run *run, row RunningTask, now time.Time) {
 	losses := run.task.losses
 	if losses.total == 0 || row.Percent == 0 || run.startedAt.IsZero() {
@@ -183,7 +185,8 @@
 	}
 }
 
-// gangMembers are the tasks that run, end and are lost as one with a task.
+// gangMembers returns the tasks that run, end and are lost together with a task: the
+// members of its gang, or itself alone.
 func (t *task) gangMembers() []*task {
 	if t.step.spec.Gang {
 		return t.step.tasks
@@ -198,7 +201,7 @@
 	}
 }
 
-// workTime is how long a run was at its worker before that fell silent, or until now.
+// workTime returns how long a run was at its worker before that fell silent, or until now.
 // started is false if the worker was never known to have it.
 func (r *run) workTime(now time.Time) (length time.Duration, started bool) {
 	if r.startedAt.IsZero() {
@@ -211,7 +214,7 @@
 	return max(0, end.Sub(r.startedAt)), true
 }
 
-// summary is what tells the ends of a task's runs apart, for the log.
+// summary describes how far a run came, for the log.
 func (r *run) summary(now time.Time) string {
 	worked, started := r.workTime(now)
 	return fmt.Sprintf("run %d started %t worked_ms %d percent %d", r.number, started, worked.Milliseconds(), r.percent)
--- a/placing/node.go
+++ b/placing/node.go
@@ -8,45 +8,45 @@
 )
 
 const (
-	// clockDrift is how slow a worker's clock may be, so how much longer its
-	// leases may last, as the platform states it.
+	// clockDrift is by how much a worker's clock may be slow, and its leases last longer,
+	// as the platform states it.
 	clockDrift = 0.02
-	// leaseMargin is added for the estimate of the worker's clock and for the
-	// way of an order.
+	// leaseMargin covers the error of the estimate of the worker's clock and the delivery
+	// of an order.
 	leaseMargin = 400 * time.Millisecond
 )
 
-// LeaseLapse is the time after which a lease of some length has certainly
-// lapsed, counted from the sending of the order that asked for it.
+// LeaseLapse returns the time after which a lease of some length has certainly
+// expired, counted from sending the order that requested it.
 func LeaseLapse(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)*(1+clockDrift)) + leaseMargin
 }
 
-// node is one life of a worker.
+// node is one incarnation of a worker.
 type node struct {
 	entry                  WorkerEntry
 	listed                 bool
-	reported               bool           // it has answered a hold of this term
-	answering              bool           // its last hold was answered
-	silentAt               time.Time      // since when holds are not answered; zero while they are
-	leasesExpireAt         time.Time      // when everything there has lapsed, unless renewed
+	reported               bool           // it has answered a poll of this term
+	answering              bool           // its last poll was answered
+	silentAt               time.Time      // since when polls are not answered; zero while they are
+	leasesExpireAt         time.Time      // when all leases there expire, unless renewed
 	runs                   []*run         // that may be there
-	used                   jobs.Resources // what they occupy
-	at                     int            // number in the view of the present pass
+	used                   jobs.Resources // by runs
+	at                     int            // index in the view of the present pass
 	unknownRuns            int            // runs there that this engine does not know
 	lastEnd                int64          // highest number of an end that was handled
-	fullUntil              time.Time      // it refused for room; its next report tells
+	fullUntil              time.Time      // it refused a start for lack of capacity; until its next report
 	leaveAt                time.Time      // when it may be gone, while leaving
 	evacuated              bool           // its availability zone gets nothing new
 	health                 health
-	recentlyRestartedUntil time.Time // until then it counts as unsteady, see markRecentlyRestarted
-	isolatedRuns           int       // runs there of suspected tasks
+	recentlyRestartedUntil time.Time
+	isolatedRuns           int // runs there of suspect tasks
 	paceControl            paceControl
 	speed                  speedEstimate
 	shares                 nodeShares
 }
 
-// addRun enters a run that may be there.
+// addRun adds a run that may be there.
 func (n *node) addRun(run *run) {
 	n.shares.valid = false
 	n.runs = append(n.runs, run)
@@ -57,8 +57,8 @@
 	}
 }
 
-// need is what the run occupies. Cores that are taken only while others leave
-// them do not count.
+// need returns the resources that the run occupies. Cores of fillers do not count, as
+// they use only what others leave.
 func (r *run) need() jobs.Resources {
 	need := r.task.step.spec.Need
 	if r.task.step.spec.Fills {
@@ -79,8 +79,8 @@
 	}
 }
 
-// recordedName names the worker and its life as the log has them. An instance of a version
-// that knows of no lives reads the name alone.
+// recordedName returns the worker's name and incarnation as stored in the log. Instances
+// of a version without incarnations read the name alone.
 func (n *node) recordedName() (name string, bornMS int64) {
 	if n.entry.Name == "" {
 		return n.entry.ID, 0
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// ensureNode returns the books of a worker's life, made anew if need be. lapse is when what
-// a former holder of the term started there has lapsed.
+// ensureNode returns the node of a worker's incarnation and creates it if needed.
+// leasesExpireAt is when leases that a former leader granted there have expired.
 func (e *Engine) ensureNode(entry WorkerEntry, leasesExpireAt time.Time) *node {
 	n := e.nodes[entry.ID]
 	if n == nil {
@@ -113,9 +113,9 @@
 	return n
 }
 
-// List takes the workers as the platform lists them now, and returns those that are
-// there as far as is known. Those that are not listed any more get nothing new; what runs
-// there goes on while they answer.
+// List sets the workers that the platform lists now, and returns those that are present as
+// far as known. Workers that are not listed any more get nothing new; their runs go on
+// while they answer.
 func (e *Engine) List(entries []WorkerEntry, now time.Time) []WorkerEntry {
 	for _, n := range e.nodeOrder {
 		n.listed = false
@@ -142,6 +142,7 @@
 	return present
 }
 
+// removeNodes removes nodes that are neither listed nor have runs.
 func (e *Engine) removeNodes() {
 	remaining := e.nodeOrder[:0]
 	for _, n := range e.nodeOrder {
@@ -159,8 +160,8 @@
 	e.nodeOrder = remaining
 }
 
-// Unreachable says that a hold was not answered. leasesExpireAt is when everything
-// there has lapsed if nothing is renewed.
+// Unreachable reports that a poll was not answered. leasesExpireAt is when all leases
+// there expire if none is renewed.
 func (e *Engine) Unreachable(worker string, leasesExpireAt, now time.Time) {
 	n := e.nodes[worker]
 	if n == nil {
@@ -172,7 +173,7 @@
 	}
 }
 
-// expireLeases gives up what ran on workers whose leases have lapsed.
+// expireLeases gives up runs on workers whose leases have expired.
 func (e *Engine) expireLeases(now time.Time) {
 	unlisted := false
 	for _, n := range e.nodeOrder {
--- a/placing/sim_idle_test.go
+++ b/placing/sim_idle_test.go
@@ -55,10 +55,10 @@
 	return key
 }
 
-func (s *simulation) enableDelayCheck(takeOvers bool) {
-	s.delayCheck = &idleDelayCheck{maxDelay: allowedIdleDelay, countLeaderChanges: takeOvers, lastFaultAt: s.now, loggedDone: map[jobs.TaskKey]bool{}, loggedPlacement: map[jobs.TaskKey]string{},
+func (s *simulation) enableDelayCheck(leaderChanges bool) {
+	s.delayCheck = &idleDelayCheck{maxDelay: allowedIdleDelay, countLeaderChanges: leaderChanges, lastFaultAt: s.now, loggedDone: map[jobs.TaskKey]bool{}, loggedPlacement: map[jobs.TaskKey]string{},
 		lastRunAt: map[jobs.TaskKey]time.Time{}, reported: map[waitingUnit]bool{}}
-	if takeOvers {
+	if leaderChanges {
 		s.delayCheck.maxDelay += maxLeaderChangesPerWait * leaderChangeTime
 	}
 }
@@ -179,9 +179,9 @@
 }
 
 func (f *fleet) dependenciesDone(job *jobs.Submission, spec *jobs.Step) bool {
-	for _, earlier := range spec.After {
-		key := jobs.TaskKey{Job: job.ID, Step: earlier}
-		if f.runningSteps[key] || !f.stepDone(key, &job.Steps[earlier]) {
+	for _, dependency := range spec.After {
+		key := jobs.TaskKey{Job: job.ID, Step: dependency}
+		if f.runningSteps[key] || !f.stepDone(key, &job.Steps[dependency]) {
 			return false
 		}
 	}
--- a/placing/sim_mixed_test.go
+++ b/placing/sim_mixed_test.go
@@ -48,7 +48,7 @@
 
 // These constants bound the number of workers and the rack width of the mixed workload.
 const (
-	minFleet, maxFleet         = 8, 24
+	minFleetSize, maxFleetSize = 8, 24
 	minRackWidth, maxRackWidth = 3, 6
 )
 
@@ -196,7 +196,7 @@
 // twice or end without cause.
 func TestNothingWaitsBesideIdleRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		workers := rapid.IntRange(minFleet, maxFleet).Draw(t, "workers")
+		workers := rapid.IntRange(minFleetSize, maxFleetSize).Draw(t, "workers")
 		width := rapid.IntRange(minRackWidth, maxRackWidth).Draw(t, "width")
 		s := newSimulationWithRacks(rapid.Uint64().Draw(t, "seed"), workers, (workers+width-1)/width, "w001")
 		runMixed(s, workers, rapid.IntRange(0, faultModes-1).Draw(t, "disturbance"))
--- a/placing/sim_orders_test.go
+++ b/placing/sim_orders_test.go
@@ -31,7 +31,7 @@
 				s.recordFault()
 			}
 			if !worker.up || s.now.Before(worker.partitionedUntil) {
-				return // the orders of an incarnation that ended are dropped
+				return // orders to an ended or partitioned incarnation are dropped
 			}
 			done := order(worker)
 			if !lost {
@@ -94,9 +94,9 @@
 		s.violationf("%s starts after its end was acknowledged", start.Task)
 	}
 	step := s.stepOf(start.Task)
-	for _, earlier := range step.After {
-		if !s.stepDone(start.Task, earlier) {
-			s.violationf("%s starts before step %d", start.Task, earlier)
+	for _, dependency := range step.After {
+		if !s.stepDone(start.Task, dependency) {
+			s.violationf("%s starts before step %d", start.Task, dependency)
 		}
 	}
 	members := 0
@@ -110,8 +110,8 @@
 // drawRun draws the duration and the outcome of a run.
 func (s *simulation) drawRun(start Start, members int) *modelRun {
 	run := &modelRun{key: start.Task, number: start.Run, startedAt: s.now, gangSize: members}
-	if plan, known := s.profiles[stepKey(start.Task)]; known {
-		plan.draw(s.rng, run)
+	if profile, ok := s.profiles[stepKey(start.Task)]; ok {
+		profile.draw(s.rng, run)
 		return run
 	}
 	run.runTime = time.Duration(500+s.rng.IntN(1500)) * time.Millisecond
--- a/placing/sim_test.go
+++ b/placing/sim_test.go
@@ -193,9 +193,9 @@
 	s.violations = append(s.violations, fmt.Sprintf("%v: ", s.now.Sub(testStart))+fmt.Sprintf(format, args...))
 }
 
-func (s *simulation) schedule(delay time.Duration, act func()) {
+func (s *simulation) schedule(delay time.Duration, action func()) {
 	s.lastSeq++
-	heap.Push(&s.events, event{at: s.now.Add(delay), seq: s.lastSeq, action: act})
+	heap.Push(&s.events, event{at: s.now.Add(delay), seq: s.lastSeq, action: action})
 }
 
 // networkDelay returns a random delay for one message.
