--- a/batch/commit.go
+++ b/batch/commit.go
@@ -111,7 +111,7 @@
 }
 
 // doubtful reports whether an append got no answer and the store has answered
-// nothing since; lastAnswerAt is when it last did. What is sent then would mostly be
+// nothing since; heardAt is when it last did. What is sent then would mostly be
 // open too, and callers cannot be told that it did not run.
 func (c *committer) doubtful(heardAt time.Time) bool {
 	return heardAt.UnixNano() <= c.lostAt.Load()
--- a/batch/config_test.go
+++ b/batch/config_test.go
@@ -16,7 +16,7 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// rapidSteps is rapid's usual number of steps; the property draws few.
+// propertySteps is rapid's usual number of steps; the property draws few.
 const propertySteps = "30"
 
 func TestMain(m *testing.M) { prooftest.Main(m, propertySteps) }
--- a/batch/election.go
+++ b/batch/election.go
@@ -79,7 +79,7 @@
 func (e *election) held() bool { return e.term.Holder == e.holder }
 
 // claim reports whether to claim the next term now. It is asked only while
-// this process does not lead. lastAnswerAt is when the newest read of the log was
+// this process does not lead. heardAt is when the newest read of the log was
 // answered: only until then is silence known to be the holder's.
 func (e *election) claim(heardAt, now time.Time) bool {
 	if now.Sub(e.claimedAt) < claimAgain {
--- a/batch/follow.go
+++ b/batch/follow.go
@@ -289,14 +289,14 @@
 	return f.clock.Now().Sub(f.contact)
 }
 
-// readAt is as of when the stream is known: when the last answered read was sent.
+// seenAt is as of when the stream is known: when the last answered read was sent.
 func (f *follower) seenAt() time.Time {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return f.contact
 }
 
-// lastAnswerAt is when the newest read was answered.
+// heardAt is when the newest read was answered.
 func (f *follower) heardAt() time.Time {
 	f.lock.Lock()
 	defer f.lock.Unlock()
--- a/batch/leader.go
+++ b/batch/leader.go
@@ -303,7 +303,7 @@
 	clear(i.fold.dirty)
 }
 
-// executePlan starts what a plan asks for.
+// carryOut starts what a plan asks for.
 func (l *leader) carryOut(ctx context.Context, plan placing.Plan) {
 	for _, note := range plan.Notes {
 		l.logNote(note)
--- a/command/zones.go
+++ b/command/zones.go
@@ -55,7 +55,7 @@
 	return ExitDone
 }
 
-// toggleEvacuation proposes targets that differ in one zone from those in force. Where others
+// changeZone proposes targets that differ in one zone from those in force. Where others
 // change them at the same time the proposal is refused as a conflict.
 func changeZone(address, zone string, evacuated bool, to output) int {
 	document, err := fetchTargets(address)
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// releaseReservation ends an evacuation.
+// takeBack ends an evacuation.
 func (f *fleet) takeBack(zone string) {
 	if f.ledger != nil {
 		f.ledger.Return(zone)
--- a/e2e/stormcalls_test.go
+++ b/e2e/stormcalls_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// submitJob hands a job in, and again elsewhere while it is not known what became of it. A
+// handIn hands a job in, and again elsewhere while it is not known what became of it. A
 // refusal says that this very try does nothing, not that an earlier one did not.
 func (s *storm) handIn(id, body string, random *rand.Rand) fate {
 	for try := range 4 {
--- a/e2e/stormidle_test.go
+++ b/e2e/stormidle_test.go
@@ -17,7 +17,7 @@
 	idleLook  = 50 * time.Millisecond
 )
 
-// idleDelayCheck looks for accepted jobs of which nothing runs though there is capacity for each
+// idleWatch looks for accepted jobs of which nothing runs though there is capacity for each
 // of their steps twice over, while under half of the workers' room is in use.
 type idleWatch struct {
 	*storm
@@ -29,7 +29,7 @@
 	late    map[string]time.Duration
 }
 
-// enableDelayCheck watches until the test is over, and then holds what was seen against the bound.
+// watchIdle watches until the test is over, and then holds what was seen against the bound.
 func (s *storm) watchIdle() {
 	w := &idleWatch{storm: s, random: rand.New(rand.NewPCG(*stormSeed, 97)), since: map[string]time.Time{}, ended: map[string]bool{}, late: map[string]time.Duration{}}
 	stop, stopped := make(chan struct{}), make(chan struct{})
--- a/instance/dispatch.go
+++ b/instance/dispatch.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// failIfLossesExceeded withdraws a waiting request, returning a slot that was granted meanwhile.
+// giveUp withdraws a waiting request, returning a slot that was granted meanwhile.
 func (d *dispatcher) giveUp(id balancer.Waiter, waiter chan balancer.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/jobs/jobs_test.go
+++ b/jobs/jobs_test.go
@@ -10,7 +10,7 @@
 	"github.com/teaselcleat/teaselcleat/internal/prooftest"
 )
 
-// rapidSteps is rapid's usual number of steps; these properties draw few.
+// propertySteps is rapid's usual number of steps; these properties draw few.
 const propertySteps = "30"
 
 func TestMain(m *testing.M) { prooftest.Main(m, propertySteps) }
--- a/placing/advice_test.go
+++ b/placing/advice_test.go
@@ -8,25 +8,26 @@
 	"github.com/matryer/is"
 )
 
-// answerAsk answers the question of a plan: the workers named may run the step.
-func (c *cluster) answerAsk(plan Plan, valid time.Duration, good ...string) []string {
+// answerAdvice responds to the advice request of a plan: the named workers may run the step.
+// It returns the workers that were requested.
+func (c *cluster) answerAdvice(plan Plan, validity time.Duration, permitted ...string) []string {
 	if plan.Ask == nil {
 		return nil
 	}
 	tickets := map[string]string{}
-	var asked []string
+	var requested []string
 	for _, worker := range plan.Ask.Workers {
-		asked = append(asked, worker.ID)
-		if slices.Contains(good, worker.ID) {
+		requested = append(requested, worker.ID)
+		if slices.Contains(permitted, worker.ID) {
 			tickets[worker.ID] = "ticket of " + worker.ID
 		}
 	}
-	c.engine.Advised(*plan.Ask, true, tickets, valid, c.now, c.now)
-	return asked
+	c.engine.Advised(*plan.Ask, true, tickets, validity, c.now, c.now)
+	return requested
 }
 
-// A step of an advised queue starts only where a ticket says so, with that
-// ticket, and workers that may not run it are asked about once.
+// A step of an advised queue starts only on workers with a ticket, and carries that
+// ticket. Workers that may not run it are requested once.
 func TestAdvisedStepsStartWithTickets(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
@@ -35,23 +36,22 @@
 	c.submit(job)
 	plan := c.step()
 	is.Equal(len(plan.Starts), 0)
-	is.Equal(len(c.answerAsk(plan, 3*time.Second, "w01", "w02")), 4)
+	is.Equal(len(c.answerAdvice(plan, 3*time.Second, "w01", "w02")), 4)
 	plan = c.step()
 	is.Equal(len(plan.Starts), 2)
 	for _, start := range plan.Starts {
 		is.Equal(start.Ticket, "ticket of "+start.Worker)
 	}
-	for range 100 { // the tickets run out; the other two are not asked about again
+	for range 100 { // the tickets expire; the other two are not requested again
 		plan = c.step()
 		is.Equal(len(plan.Starts), 0)
-		for _, worker := range c.answerAsk(plan, 3*time.Second) {
+		for _, worker := range c.answerAdvice(plan, 3*time.Second) {
 			is.True(worker != "w00" && worker != "w03")
 		}
 	}
 }
 
-// An unanswered question is asked again, and a ticket that its worker refuses
-// is not used again.
+// A failed request is repeated, and a ticket that its worker rejected is not used again.
 func TestAdviceIsAskedForAgain(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
@@ -60,14 +60,14 @@
 	c.submit(job)
 	plan := c.step()
 	c.engine.Advised(*plan.Ask, false, nil, 0, c.now, c.now)
-	is.True(c.step().Ask == nil) // a pause
-	asked := Plan{}
+	is.True(c.step().Ask == nil) // delayed by adviceRetryDelay
+	repeated := Plan{}
 	for range 10 {
 		if plan = c.step(); plan.Ask != nil {
-			asked = plan
+			repeated = plan
 		}
 	}
-	c.answerAsk(asked, 3*time.Second, "w01")
+	c.answerAdvice(repeated, 3*time.Second, "w01")
 	c.now = c.now.Add(50 * time.Millisecond)
 	c.engine.Decide(c.now)
 	c.engine.Recorded(c.now)
--- a/placing/cancel_test.go
+++ b/placing/cancel_test.go
@@ -22,7 +22,7 @@
 
 // A worker leaves a start unanswered and carries it out seconds later, when the
 // job was cancelled and even the stop was lost. As soon as a report lists the
-// task it is stopped, and again until the worker takes the stop.
+// task it is stopped, and again until the worker acknowledges the stop.
 func TestCancelledTaskThatStartsLateIsStopped(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
@@ -47,14 +47,14 @@
 	is.Equal(stopsOf(c.engine.Decide(c.now), key), 0)
 }
 
-// The instance that ordered the start is gone. The next holder has the job as
-// cancelled, or has dropped it by then: what a worker lists of it is stopped.
+// The instance that ordered the start is gone. The next leader has the job as
+// cancelled, or has dropped it by then: a run of it that a worker lists is stopped.
 func TestTaskOfACancelledJobIsStoppedByTheNextHolder(t *testing.T) {
-	for _, known := range []bool{true, false} {
+	for _, inLog := range []bool{true, false} {
 		is := is.New(t)
 		c := newCluster(1)
 		submission := testJob(hexID(1), 1, testStep(1, 1))
-		if known {
+		if inLog {
 			c.engine.Learn(&jobs.Job{Submission: submission, Cancelled: true}, c.now)
 		}
 		c.engine.Complete()
--- a/placing/crash_test.go
+++ b/placing/crash_test.go
@@ -74,13 +74,13 @@
 	is := is.New(t)
 	lost := 0
 	for seed := range uint64(20) {
-		random := rand.New(rand.NewPCG(seed, 3))
+		rng := rand.New(rand.NewPCG(seed, 3))
 		sim := newCrashSim(crashCase{step: testStep(6, 1), harmless: true, restartDelay: 700 * time.Millisecond,
 			injectFault: func(s *crashSim) {
-				if s.now.Sub(testStart) > 20*time.Second || random.IntN(60) != 0 {
+				if s.now.Sub(testStart) > 20*time.Second || rng.IntN(60) != 0 {
 					return // one loss in 0.6 s, among three of the eight workers
 				}
-				address := []string{"w0", "w1", "w2"}[random.IntN(3)]
+				address := []string{"w0", "w1", "w2"}[rng.IntN(3)]
 				for _, w := range s.workers {
 					if w.up && w.entry.Address == address {
 						s.loseWorker(w, jobs.TaskKey{})
--- a/placing/delay_advice_test.go
+++ b/placing/delay_advice_test.go
@@ -7,9 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// The first step is never placed because its tickets expire before all workers have been
-// requested, so its advice is requested again and again. Every worker suits the step behind
-// it.
+// The first step is never placed because its tickets expire before advice on all workers is
+// there, so its advice is requested again and again. Every worker suits the step behind it.
 func TestExpiringTicketsDoNotStarveAdviceForOtherSteps(t *testing.T) {
 	is := is.New(t)
 	s := newDelaySim(t, 16, 6)
--- a/placing/delay_cases_test.go
+++ b/placing/delay_cases_test.go
@@ -99,11 +99,11 @@
 
 // Tickets that expire before the delay bound is reached must not reset the delay.
 func TestExpiringTicketsDoNotExtendRackDelayOfAdvisedGang(t *testing.T) {
-	for name, valid := range map[string]time.Duration{"valid for 2.5 s": 2500 * time.Millisecond, "valid for 3 s": 3 * time.Second, "valid for a minute": time.Minute} {
+	for name, ticketLifetime := range map[string]time.Duration{"valid for 2.5 s": 2500 * time.Millisecond, "valid for 3 s": 3 * time.Second, "valid for a minute": time.Minute} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := newDelaySim(t, 8, 6)
-			s.adviceLatency, s.ticketLifetime = 500*time.Millisecond, valid
+			s.adviceLatency, s.ticketLifetime = 500*time.Millisecond, ticketLifetime
 			s.run(time.Second)
 			for rack := range 8 {
 				s.occupy(6*rack, 8)
--- a/placing/delay_headroom_test.go
+++ b/placing/delay_headroom_test.go
@@ -52,9 +52,9 @@
 	s.engine.reserveHeadroom(s.engine.waitingUnits(s.now), open, s.now)
 	idle := s.engine.nodes[s.workers[11].entry.ID]
 	is.True(open.headroom[classTask] != nil)
-	for i, closed := range open.headroom[classTask] {
+	for i, reserved := range open.headroom[classTask] {
 		if node := open.nodes[i]; node == idle || node.entry.Pool == "other" {
-			is.Equal(closed, node == idle)
+			is.Equal(reserved, node == idle)
 		}
 	}
 }
--- a/placing/delay_reservation_test.go
+++ b/placing/delay_reservation_test.go
@@ -10,9 +10,9 @@
 
 // reservationDelay runs tasks on ten of 24 workers, submits urgent gangs that need more than
 // the idle capacity and then a small task, and returns the start delay of that task.
-func reservationDelay(t *testing.T, gangs, tasks int, stopTime time.Duration) time.Duration {
+func reservationDelay(t *testing.T, gangs, tasks int, stopDelay time.Duration) time.Duration {
 	s := newDelaySim(t, 4, 6)
-	s.stopDelay = stopTime
+	s.stopDelay = stopDelay
 	s.run(time.Second)
 	for worker := range 10 {
 		s.occupy(worker, 8)
--- a/placing/engine_test.go
+++ b/placing/engine_test.go
@@ -43,7 +43,7 @@
 	return jobs.Step{Tasks: tasks, Need: jobs.Resources{MilliCores: 8000, MemoryMB: 1000, Accelerators: accelerators}, EstimateMS: 4000}
 }
 
-// startAll lets an engine place, write and start what it can.
+// startAll lets an engine place, record and start what it can.
 func startAll(e *Engine, now time.Time) []Start {
 	e.Decide(now)
 	e.Recorded(now)
@@ -54,8 +54,8 @@
 	return starts
 }
 
-// A worker lists an end until it is acknowledged. If the term passes on after
-// the end was written and before it was acknowledged, the next holder meets it
+// A worker lists an end until it is acknowledged. If the leader changes after
+// the end was recorded and before it was acknowledged, the next leader receives it
 // again, and must not count the failure twice.
 func TestFailureListedAgainAfterTakeOverCountsOnce(t *testing.T) {
 	is := is.New(t)
@@ -85,8 +85,8 @@
 	is.Equal(second.jobs[submission.ID].state, jobs.StateRunning) // one failure of two allowed
 }
 
-// The parts of the log are read apart, so a new holder of the term may meet a
-// job's progress, and its runs at workers, before the submission itself.
+// The parts of the log are read separately, so a new leader may learn a job's
+// progress, and its runs at workers, before the submission itself.
 func TestLateSubmissionKeepsItsProgress(t *testing.T) {
 	is := is.New(t)
 	submission := testJob("0000000000000002", 1, testStep(1, 1))
@@ -97,10 +97,10 @@
 	row := RunningTask{Task: task, Run: 1, Percent: 10}
 	end := EndedTask{Number: 1, Task: task, Run: 1, How: EndDone}
 	e.Report("w1", testStart, []RunningTask{row}, nil, time.Time{}, testStart)
-	is.Equal(len(e.Decide(testStart).Stops), 0) // the run may be a job's that is not read yet
+	is.Equal(len(e.Decide(testStart).Stops), 0) // the run may belong to a job that is not read yet
 	later := testStart.Add(time.Second)
 	e.Report("w1", later, nil, []EndedTask{end}, time.Time{}, later)
-	is.Equal(len(e.Decide(later).Acks), 0) // nor may its end be forgotten
+	is.Equal(len(e.Decide(later).Acks), 0) // nor may its end be acknowledged
 	record, err := jobs.ProgressRecord(submission.ID, &jobs.Progress{
 		State: jobs.StateRunning,
 		Tasks: []jobs.TaskProgress{{Run: 1, Worker: "w1"}},
@@ -108,12 +108,12 @@
 	is.NoErr(err)
 	e.Learn(&jobs.Job{Submission: submission, Progress: record.Value}, later)
 	e.Complete()
-	is.Equal(len(startAll(e, later)), 0) // run 1 is on record at w1
+	is.Equal(len(startAll(e, later)), 0) // run 1 is recorded at w1
 	e.Report("w1", later, nil, []EndedTask{end}, time.Time{}, later)
 	is.Equal(e.jobs[submission.ID].state, jobs.StateDone)
 }
 
-// A group of records has a limit; what does not fit comes with the next one,
+// A group of records has a size limit; records that do not fit come with the next one,
 // and no run starts before its own record is durable.
 func TestStartsWaitForTheirOwnRecord(t *testing.T) {
 	is := is.New(t)
@@ -141,9 +141,9 @@
 	is.Equal(len(started), 3)
 }
 
-// A former holder may have shown a job as done and lost the term before its
-// progress was written: the job is done, what is listed of it is stopped, and
-// its progress is written. The other way round its state is written.
+// A former leader may have recorded a job as done and lost the term before its
+// progress was written: the job is done, its listed runs are stopped, and
+// its progress is written. In the opposite case its state is written.
 func TestStateAndProgressAreMadeToAgree(t *testing.T) {
 	is := is.New(t)
 	submission := testJob(hexID(1), 1, testStep(1, 1))
@@ -152,13 +152,13 @@
 	is.NoErr(err)
 	done, err := jobs.ProgressRecord(submission.ID, &jobs.Progress{State: jobs.StateDone})
 	is.NoErr(err)
-	for _, known := range []*jobs.Job{
+	for _, stored := range []*jobs.Job{
 		{Submission: submission, Progress: running.Value, Shown: jobs.StateDone},
 		{Submission: submission, Progress: done.Value, Shown: jobs.StateRunning},
 		{Submission: submission, Shown: jobs.StateDone},
 	} {
 		e := testEngine(2)
-		e.Load([]*jobs.Job{known}, FormerHandedOver, testStart)
+		e.Load([]*jobs.Job{stored}, FormerHandedOver, testStart)
 		e.Complete()
 		e.List([]WorkerEntry{testWorker("w", "r1-0")}, testStart)
 		listed := RunningTask{Task: jobs.TaskKey{Job: submission.ID}, Run: 1}
@@ -167,12 +167,12 @@
 		is.Equal(len(plan.Starts), 0)
 		is.True(len(plan.Stops) > 0)
 		is.Equal(string(plan.Records[0].Value[:1]), "d")
-		is.Equal(len(plan.States) == 1, known.Shown != jobs.StateDone)
+		is.Equal(len(plan.States) == 1, stored.Shown != jobs.StateDone)
 	}
 }
 
-// While a group of records is on its way for long, ends do not wait for it: the
-// final state goes ahead, once, and the progress follows with the next group.
+// Ends do not wait while a group of records is in flight for long: the final state
+// is written ahead, once, and the progress follows with the next group.
 func TestFinalStateDoesNotWaitForAGroupThatIsStuck(t *testing.T) {
 	is := is.New(t)
 	e := testEngine(1)
@@ -184,7 +184,7 @@
 	startAll(e, testStart)
 	e.Learn(&jobs.Job{Submission: testJob(hexID(2), 1, testStep(1, 1))}, testStart)
 	now := testStart.Add(time.Second)
-	is.Equal(len(e.Decide(now).Records), 1) // on its way from now on
+	is.Equal(len(e.Decide(now).Records), 1) // in flight from now on
 	key := jobs.TaskKey{Job: first.ID}
 	e.Report("w1", now, nil, []EndedTask{{Number: 1, Task: key, Run: 1, How: EndDone}}, time.Time{}, now)
 	is.Equal(len(e.Decide(now.Add(earlyStateDelay/2)).EarlyStates), 0)
@@ -197,9 +197,9 @@
 	is.Equal(len(plan.States), 0)
 }
 
-// A worker that left while the term passed on is known to nobody, so what ran there is
-// waited for until every lease that the former holder may have granted has lapsed. One
-// whose process has ended grants none.
+// A worker that left during a change of leader is not listed, so its runs count as
+// running until every lease that the former leader may have granted has expired. A
+// leader whose process has ended grants none.
 func TestRunsAtUnknownWorkersWaitAsLongAsTheFormerHolderMayGoOn(t *testing.T) {
 	for former, wait := range map[Former]time.Duration{
 		FormerUnknown: testLimits.HolderGone, FormerHandedOver: testLimits.HandedOver, FormerEnded: testLimits.HolderEnded,
--- a/placing/evacuation_test.go
+++ b/placing/evacuation_test.go
@@ -10,15 +10,15 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-func workerIn(id, zone string) WorkerEntry {
+func testWorkerInZone(id, zone string) WorkerEntry {
 	entry := testWorker(id, "r-"+zone)
 	entry.Zone = zone
 	return entry
 }
 
-// zonedEngine has two workers of eight accelerators in each of the zones z1 and z2, all of
-// which have reported.
-func zonedEngine(submissions ...*jobs.Submission) *Engine {
+// newZonedEngine returns an engine with two workers of eight accelerators in each of the
+// zones z1 and z2, all of which have reported.
+func newZonedEngine(submissions ...*jobs.Submission) *Engine {
 	e := testEngine(1)
 	var list []*jobs.Job
 	for _, submission := range submissions {
@@ -26,7 +26,7 @@
 	}
 	e.Load(list, FormerHandedOver, testStart)
 	e.Complete()
-	entries := []WorkerEntry{workerIn("a1", "z1"), workerIn("a2", "z1"), workerIn("b1", "z2"), workerIn("b2", "z2")}
+	entries := []WorkerEntry{testWorkerInZone("a1", "z1"), testWorkerInZone("a2", "z1"), testWorkerInZone("b1", "z2"), testWorkerInZone("b2", "z2")}
 	e.List(entries, testStart)
 	for _, entry := range entries {
 		e.Report(entry.ID, testStart, nil, nil, time.Time{}, testStart)
@@ -34,14 +34,14 @@
 	return e
 }
 
-// spreadGang is a gang of whole workers that may lie in several racks.
+// spreadGang returns a gang of whole workers that may span several racks.
 func spreadGang(tasks int) jobs.Step {
 	step := gangStep(tasks, 8)
 	step.OneRack = false
 	return step
 }
 
-func startedAt(starts []Start) map[string]int {
+func startsByZone(starts []Start) map[string]int {
 	count := map[string]int{}
 	for _, start := range starts {
 		count[start.Worker[:1]]++
@@ -49,8 +49,8 @@
 	return count
 }
 
-// decideUntil goes on for a time, in steps, and returns all starts that were ordered.
-func decideUntil(e *Engine, from time.Time, length time.Duration) []Start {
+// decideFor decides every 50 ms for a time and returns all starts that were ordered.
+func decideFor(e *Engine, from time.Time, length time.Duration) []Start {
 	var starts []Start
 	for now := from; now.Before(from.Add(length)); now = now.Add(50 * time.Millisecond) {
 		starts = append(starts, e.Decide(now).Starts...)
@@ -59,88 +59,89 @@
 	return starts
 }
 
-// Work goes to the zones that are left, and to an evacuated one again as soon as it is
-// taken back.
-func TestEvacuatedZoneGetsNothingUntilItIsTakenBack(t *testing.T) {
+// Work goes to the remaining zones, and to an evacuated one again as soon as its
+// evacuation is revoked.
+func TestNothingStartsInEvacuatedZoneUntilRevoked(t *testing.T) {
 	is := is.New(t)
-	e := zonedEngine(testJob("0000000000000001", 1, testStep(4, 8)))
+	e := newZonedEngine(testJob("0000000000000001", 1, testStep(4, 8)))
 	e.Evacuate([]string{"z1"}, testStart)
-	is.Equal(startedAt(decideUntil(e, testStart, time.Second)), map[string]int{"b": 2})
+	is.Equal(startsByZone(decideFor(e, testStart, time.Second)), map[string]int{"b": 2})
 	back := testStart.Add(time.Second)
 	e.Evacuate(nil, back)
-	is.Equal(startedAt(decideUntil(e, back, 100*time.Millisecond)), map[string]int{"a": 2})
+	is.Equal(startsByZone(decideFor(e, back, 100*time.Millisecond)), map[string]int{"a": 2})
 }
 
-// The same record may be written again, and another zone be evacuated meanwhile.
+// The same evacuation may be set again while another zone is evacuated too.
 func TestSeveralZonesAreEvacuated(t *testing.T) {
 	is := is.New(t)
-	e := zonedEngine(testJob("0000000000000001", 1, testStep(4, 8)))
+	e := newZonedEngine(testJob("0000000000000001", 1, testStep(4, 8)))
 	e.Evacuate([]string{"z1"}, testStart)
 	e.Evacuate([]string{"nowhere", "z1", "z2"}, testStart)
-	is.Equal(len(decideUntil(e, testStart, time.Second)), 0)
+	is.Equal(len(decideFor(e, testStart, time.Second)), 0)
 	e.Evacuate([]string{"z1"}, testStart.Add(time.Second))
-	is.Equal(startedAt(decideUntil(e, testStart.Add(time.Second), time.Second)), map[string]int{"b": 2})
+	is.Equal(startsByZone(decideFor(e, testStart.Add(time.Second), time.Second)), map[string]int{"b": 2})
 }
 
-// A worker that is listed while its zone is evacuated gets nothing either, nor does one of
-// a holder that learns of the evacuation before the workers.
+// A worker that is first listed while its zone is evacuated gets nothing either, nor does
+// one of a leader that learns of the evacuation before the workers.
 func TestWorkerListedInAnEvacuatedZoneGetsNothing(t *testing.T) {
 	is := is.New(t)
 	e := testEngine(2)
 	e.Evacuate([]string{"z1"}, testStart)
 	e.Load([]*jobs.Job{{Submission: testJob("0000000000000001", 0, testStep(2, 8))}}, FormerUnknown, testStart)
 	e.Complete()
-	e.List([]WorkerEntry{workerIn("a1", "z1"), workerIn("b1", "z2")}, testStart)
+	e.List([]WorkerEntry{testWorkerInZone("a1", "z1"), testWorkerInZone("b1", "z2")}, testStart)
 	e.Report("a1", testStart, nil, nil, time.Time{}, testStart)
 	e.Report("b1", testStart, nil, nil, time.Time{}, testStart)
-	is.Equal(startedAt(decideUntil(e, testStart, time.Second)), map[string]int{"b": 1})
+	is.Equal(startsByZone(decideFor(e, testStart, time.Second)), map[string]int{"b": 1})
 }
 
-// What was placed and is not on record yet is not started there, nor what is on record
-// since a moment: a gang is placed anew as a whole.
-func TestPlannedRunsLeaveAnEvacuatedZone(t *testing.T) {
+// Runs that are placed but not recorded yet, or were recorded just now, do not start in an
+// evacuated zone: their gang is placed anew as a whole.
+func TestPlannedRunsAreMovedFromEvacuatedZone(t *testing.T) {
 	is := is.New(t)
-	e := zonedEngine(testJob("0000000000000001", 1, gangStep(2, 8)), testJob("0000000000000002", 1, gangStep(2, 8)))
-	e.Decide(testStart) // both gangs are placed, their records under way
+	e := newZonedEngine(testJob("0000000000000001", 1, gangStep(2, 8)), testJob("0000000000000002", 1, gangStep(2, 8)))
+	e.Decide(testStart) // both gangs are placed, their records in flight
 	e.Evacuate([]string{"z1"}, testStart)
 	e.Recorded(testStart)
 	starts := e.Decide(testStart.Add(time.Millisecond)).Starts
-	is.Equal(startedAt(starts), map[string]int{"b": 2})
+	is.Equal(startsByZone(starts), map[string]int{"b": 2})
 	is.Equal(starts[0].Task.Job, starts[1].Task.Job)
-	is.Equal(len(decideUntil(e, testStart.Add(time.Second), time.Second)), 0) // the other waits for room
+	is.Equal(len(decideFor(e, testStart.Add(time.Second), time.Second)), 0) // the other waits for capacity
 }
 
-// Starts whose records are durable, and which are about to be sent, are taken out of the plan:
-// the random model found them in it (seed 0xf42d7e, 6 workers).
+// Starts whose records are durable, and which are about to be sent, are removed from the
+// plan: the random model found them in it (seed 0xf42d7e, 6 workers).
 func TestStartsAboutToBeSentLeaveAnEvacuatedZone(t *testing.T) {
 	is := is.New(t)
-	e := zonedEngine(testJob("0000000000000001", 1, testStep(4, 8)))
+	e := newZonedEngine(testJob("0000000000000001", 1, testStep(4, 8)))
 	e.Decide(testStart)
 	e.Recorded(testStart)
 	e.Evacuate([]string{"z1"}, testStart)
-	is.Equal(startedAt(e.Decide(testStart.Add(time.Millisecond)).Starts), map[string]int{"b": 2})
-	for _, known := range e.nodeOrder {
-		is.True(!known.evacuated || len(known.runs) == 0)
+	is.Equal(startsByZone(e.Decide(testStart.Add(time.Millisecond)).Starts), map[string]int{"b": 2})
+	for _, n := range e.nodeOrder {
+		is.True(!n.evacuated || len(n.runs) == 0)
 	}
 }
 
-// A gang that lies in both zones is dropped as a whole, and none of it stays claimed.
+// A planned gang that spans both zones is withdrawn as a whole and leaves no capacity
+// reserved.
 func TestPlannedGangIsNotSplitByAnEvacuation(t *testing.T) {
 	is := is.New(t)
-	e := zonedEngine(testJob("0000000000000001", 1, spreadGang(3)))
+	e := newZonedEngine(testJob("0000000000000001", 1, spreadGang(3)))
 	e.Decide(testStart)
 	e.Evacuate([]string{"z1"}, testStart)
 	e.Recorded(testStart)
-	is.Equal(len(decideUntil(e, testStart, time.Second)), 0) // three do not fit into z2
-	for _, known := range e.nodeOrder {
-		is.Equal(len(known.runs), 0)
+	is.Equal(len(decideFor(e, testStart, time.Second)), 0) // three do not fit into z2
+	for _, n := range e.nodeOrder {
+		is.Equal(len(n.runs), 0)
 	}
 }
 
-// What runs when its zone is evacuated goes on and ends as done.
+// Tasks that run when their zone is evacuated go on and end as done.
 func TestRunningWorkGoesOnInAnEvacuatedZone(t *testing.T) {
 	is := is.New(t)
-	e := zonedEngine(testJob("0000000000000001", 1, spreadGang(4)))
+	e := newZonedEngine(testJob("0000000000000001", 1, spreadGang(4)))
 	starts := startAll(e, testStart)
 	is.Equal(len(starts), 4)
 	e.Evacuate([]string{"z1"}, testStart)
@@ -154,11 +155,11 @@
 	is.Equal(e.jobs["0000000000000001"].state, jobs.StateDone)
 }
 
-// An order that was sent just before may wait on its way: it is taken back with its whole
-// gang after the time that its tries take.
+// An order that was sent just before the evacuation may still be in transit: its run is
+// stopped with its whole gang after the time that its retries take.
 func TestUnansweredStartsAreRecalledFromAnEvacuatedZone(t *testing.T) {
 	is := is.New(t)
-	e := zonedEngine(testJob("0000000000000001", 1, spreadGang(4)))
+	e := newZonedEngine(testJob("0000000000000001", 1, spreadGang(4)))
 	e.Decide(testStart)
 	e.Recorded(testStart)
 	starts := e.Decide(testStart).Starts
@@ -171,34 +172,34 @@
 	is.Equal(len(e.Decide(testStart.Add(unansweredStartTimeout)).Stops), 4)
 }
 
-// A start that was kept back on its way is placed elsewhere, with nothing held against
-// the task or the worker.
-func TestStartThatWasKeptBackIsPlacedElsewhere(t *testing.T) {
+// A start that a delegate withheld is placed elsewhere, without counting against the task
+// or the worker.
+func TestWithheldStartIsPlacedElsewhere(t *testing.T) {
 	is := is.New(t)
-	e := zonedEngine(testJob("0000000000000001", 1, testStep(1, 8)))
+	e := newZonedEngine(testJob("0000000000000001", 1, testStep(1, 8)))
 	e.Decide(testStart)
 	e.Recorded(testStart)
 	start := e.Decide(testStart).Starts[0]
 	is.Equal(start.Worker[:1], "a")
-	e.StartAnswered(start.Worker, start.Task, start.Run, StartEvacuated, testStart) // a keeper knew before the holder
+	e.StartAnswered(start.Worker, start.Task, start.Run, StartEvacuated, testStart) // a delegate learned of it before the leader
 	e.Evacuate([]string{"z1"}, testStart)
-	is.Equal(startedAt(decideUntil(e, testStart.Add(50*time.Millisecond), 200*time.Millisecond)), map[string]int{"b": 1})
+	is.Equal(startsByZone(decideFor(e, testStart.Add(50*time.Millisecond), 200*time.Millisecond)), map[string]int{"b": 1})
 	is.Equal(e.jobs[start.Task.Job].occurrences[0].steps[0].tasks[0].startBackoff.failures, 0)
 }
 
-// busyAll fills all workers with cheap work, one task each.
-func busyAll(e *Engine) {
+// fillWorkers fills all workers with low-priority work, one task each.
+func fillWorkers(e *Engine) {
 	for _, start := range startAll(e, testStart) {
 		e.Report(start.Worker, testStart.Add(time.Millisecond), []RunningTask{{Task: start.Task, Run: 1, Percent: 1}}, nil, time.Time{}, testStart.Add(time.Millisecond))
 	}
 }
 
-// Urgent work stops nothing where it may not start: what is stopped for it lies in the
-// zones that are left, and if these cannot hold it nothing is stopped at all.
+// Urgent work preempts nothing where it may not start: its victims are in the remaining
+// zones, and if these cannot hold it nothing is preempted at all.
 func TestNoVictimInAnEvacuatedZone(t *testing.T) {
 	is := is.New(t)
-	e := zonedEngine(testJob("0000000000000001", 2, testStep(4, 8)))
-	busyAll(e)
+	e := newZonedEngine(testJob("0000000000000001", 2, testStep(4, 8)))
+	fillWorkers(e)
 	e.Evacuate([]string{"z1"}, testStart)
 	now := testStart.Add(100 * time.Millisecond)
 	e.Learn(&jobs.Job{Submission: testJob("0000000000000002", 0, spreadGang(3))}, now)
@@ -212,32 +213,33 @@
 	}
 }
 
-// Room that was set aside in a zone is given up with it, and made anew elsewhere.
-func TestClaimInAnEvacuatedZoneIsGivenUp(t *testing.T) {
+// Capacity reserved in a zone is released when the zone is evacuated, and reserved anew
+// elsewhere.
+func TestReservationInEvacuatedZoneIsReleased(t *testing.T) {
 	is := is.New(t)
-	e := zonedEngine(testJob("0000000000000001", 2, testStep(4, 8)))
-	busyAll(e)
+	e := newZonedEngine(testJob("0000000000000001", 2, testStep(4, 8)))
+	fillWorkers(e)
 	now := testStart.Add(100 * time.Millisecond)
 	e.Learn(&jobs.Job{Submission: testJob("0000000000000002", 0, gangStep(2, 8))}, now)
 	stops := e.Decide(now).Stops
 	is.Equal(len(stops), 2)
-	held := stops[0].Worker[:1]
-	zone := map[string]string{"a": "z1", "b": "z2"}[held]
+	zonePrefix := stops[0].Worker[:1]
+	zone := map[string]string{"a": "z1", "b": "z2"}[zonePrefix]
 	e.Evacuate([]string{zone}, now)
 	is.True(e.jobs["0000000000000002"].reservation == nil)
 	now = now.Add(200 * time.Millisecond)
-	again := e.Decide(now).Stops
-	is.Equal(len(again), 2)
-	for _, stop := range again {
-		is.True(stop.Worker[:1] != held)
+	repeated := e.Decide(now).Stops
+	is.Equal(len(repeated), 2)
+	for _, stop := range repeated {
+		is.True(stop.Worker[:1] != zonePrefix)
 	}
 }
 
-// The room of an evacuated zone is not counted when room is kept clear for others.
-func TestRoomIsKeptOfWhatMayBeUsed(t *testing.T) {
+// The capacity of an evacuated zone is not counted when headroom is reserved.
+func TestEvacuatedCapacityDoesNotCountAsHeadroom(t *testing.T) {
 	is := is.New(t)
-	e := zonedEngine(testJob("0000000000000001", 2, testStep(4, 8)))
-	busyAll(e)
+	e := newZonedEngine(testJob("0000000000000001", 2, testStep(4, 8)))
+	fillWorkers(e)
 	e.Evacuate([]string{"z1"}, testStart)
 	load := e.loads(nil, e.openView(testStart))["pool"]
 	is.Equal(load.whole, 2.0)
@@ -245,41 +247,42 @@
 	is.Equal(load.running[classTask], 4.0)
 }
 
-// While the evacuated zones are known only as of some time ago, nothing starts, placed
-// before or not: a holder that was frozen may have missed one.
+// While the evacuated zones were last read some time ago nothing starts, placed
+// before or not: a leader that was frozen may have missed an evacuation.
 func TestNothingStartsWhileEvacuationsAreNotKnown(t *testing.T) {
 	is := is.New(t)
-	e := zonedEngine(testJob("0000000000000001", 1, testStep(1, 8)))
+	e := newZonedEngine(testJob("0000000000000001", 1, testStep(1, 8)))
 	limits := testLimits
 	limits.Evacuate = 5 * time.Second
 	e.SetLimits(limits)
 	e.EvacuationsSeen(testStart)
-	e.Decide(testStart) // placed, the record is under way
-	woken := testStart.Add(2501 * time.Millisecond)
-	e.Recorded(woken)
+	e.Decide(testStart) // placed, the record is in flight
+	resumed := testStart.Add(2501 * time.Millisecond)
+	e.Recorded(resumed)
 	e.EvacuationsSeen(testStart)
-	plan := e.Decide(woken)
+	plan := e.Decide(resumed)
 	is.Equal(len(plan.Starts), 0)
 	is.Equal(plan.Notes[len(plan.Notes)-1].Event, "evacuations_unknown")
-	e.EvacuationsSeen(woken)
-	is.Equal(len(decideUntil(e, woken.Add(50*time.Millisecond), 200*time.Millisecond)), 1)
+	e.EvacuationsSeen(resumed)
+	is.Equal(len(decideFor(e, resumed.Add(50*time.Millisecond), 200*time.Millisecond)), 1)
 }
 
-// With no zone left nothing runs, the log says why, and all goes on at once afterwards.
+// With every zone evacuated nothing starts, the log says why, and placement resumes at
+// once afterwards.
 func TestEveryZoneEvacuated(t *testing.T) {
 	is := is.New(t)
-	e := zonedEngine(testJob("0000000000000001", 0, testStep(2, 8)))
+	e := newZonedEngine(testJob("0000000000000001", 0, testStep(2, 8)))
 	e.Evacuate([]string{"z1", "z2"}, testStart)
 	plan := e.Decide(testStart)
 	is.Equal(len(plan.Records), 0)
-	said := ""
+	detail := ""
 	for _, note := range plan.Notes {
 		if note.Event == "load" {
-			said = note.Detail
+			detail = note.Detail
 		}
 	}
-	is.True(strings.Contains(said, "usable 0") && strings.Contains(said, "evacuated 32"))
+	is.True(strings.Contains(detail, "usable 0") && strings.Contains(detail, "evacuated 32"))
 	back := testStart.Add(3 * time.Second)
 	e.Evacuate(nil, back)
-	is.Equal(len(decideUntil(e, back, 100*time.Millisecond)), 2)
+	is.Equal(len(decideFor(e, back, 100*time.Millisecond)), 2)
 }
--- a/placing/fit.go
+++ b/placing/fit.go
@@ -179,7 +179,7 @@
 func (v *view) searchRacks(unit *unit, strict bool) []placement {
 	var best []placement
 	bestLeftover := 0.0
-	minCores := milliCoreEquivalents(unit.step.need()) * int64(len(unit.tasks)) // a rack with less cannot hold them
+	minCores := milliCoreEquivalents(unit.step.need()) * int64(len(unit.tasks)) // a rack with less cannot hold the gang
 	for index, rack := range v.racks {
 		if v.rackFree[index] < minCores || v.rackMaxFree[index] < unit.step.need().Accelerators {
 			continue
--- a/placing/fit_test.go
+++ b/placing/fit_test.go
@@ -8,9 +8,9 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// A rack's room is what its nodes have free, also where a node is in use beyond its
-// capacity, as after runs that were taken over.
-func TestRackRoomFollowsItsNodes(t *testing.T) {
+// The free capacity of a rack is the sum of what its nodes have free, also where a node is
+// in use beyond its capacity, as runs of a former leader may have it.
+func TestRackCapacityFollowsItsNodes(t *testing.T) {
 	is := is.New(t)
 	nodes := []*node{{entry: testWorker("a", "r1-1")}, {entry: testWorker("b", "r1-1")}, {entry: testWorker("c", "r1-2")}}
 	capacity := nodes[0].entry.Capacity
--- a/placing/headroom_test.go
+++ b/placing/headroom_test.go
@@ -9,54 +9,54 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// day plays a load on a cluster in virtual time: runs end as done once they
+// loadSim plays a load on a cluster in virtual time: runs end as done once they
 // have worked for their time.
-type day struct {
+type loadSim struct {
 	*cluster
-	work    map[string]time.Duration // by job
-	handed  map[string]time.Time
-	ended   map[string]time.Time
-	started map[jobs.TaskKey]time.Time
-	lost    time.Duration // work of runs that were stopped, all tasks together
+	work        map[string]time.Duration // by job
+	submittedAt map[string]time.Time
+	endedAt     map[string]time.Time
+	startedAt   map[jobs.TaskKey]time.Time
+	lostWork    time.Duration // work of runs that were stopped, summed over all tasks
 }
 
-func newDay(racks int) *day {
-	return &day{cluster: newCluster(racks), work: map[string]time.Duration{}, handed: map[string]time.Time{},
-		ended: map[string]time.Time{}, started: map[jobs.TaskKey]time.Time{}}
+func newLoadSim(racks int) *loadSim {
+	return &loadSim{cluster: newCluster(racks), work: map[string]time.Duration{}, submittedAt: map[string]time.Time{},
+		endedAt: map[string]time.Time{}, startedAt: map[jobs.TaskKey]time.Time{}}
 }
 
-func (d *day) hand(submission *jobs.Submission, work time.Duration) {
+func (d *loadSim) submitWork(submission *jobs.Submission, work time.Duration) {
 	d.submit(submission)
 	d.work[submission.ID] = work
-	d.handed[submission.ID] = d.now
+	d.submittedAt[submission.ID] = d.now
 }
 
-// play lets 50 ms pass.
-func (d *day) play() {
+// tick advances 50 ms.
+func (d *loadSim) tick() {
 	plan := d.step()
 	for _, start := range plan.Starts {
-		d.started[start.Task] = d.now
+		d.startedAt[start.Task] = d.now
 	}
 	for _, stop := range plan.Stops {
-		if begin, known := d.started[stop.Task]; known {
-			d.lost += d.now.Sub(begin)
+		if begin, known := d.startedAt[stop.Task]; known {
+			d.lostWork += d.now.Sub(begin)
 		}
 	}
 	for _, worker := range d.workerIDs {
-		d.endDue(worker)
+		d.reportRuns(worker)
 	}
 	for id := range d.work {
-		if _, known := d.ended[id]; !known && d.engine.jobs[id].state == jobs.StateDone {
-			d.ended[id] = d.now
+		if _, known := d.endedAt[id]; !known && d.engine.jobs[id].state == jobs.StateDone {
+			d.endedAt[id] = d.now
 		}
 	}
 }
 
-func (d *day) endDue(worker string) {
+func (d *loadSim) reportRuns(worker string) {
 	var running []RunningTask
 	var ends []EndedTask
 	for _, run := range d.engine.nodes[worker].runs {
-		begin, known := d.started[run.task.key]
+		begin, known := d.startedAt[run.task.key]
 		if run.phase == phasePlanned || !known {
 			continue
 		}
@@ -73,19 +73,19 @@
 	}
 }
 
-// onTime counts the jobs of a priority that were handed in, and those of them
+// countOnTime counts the submitted jobs of a priority, and those of them
 // that ended within a time.
-func (d *day) onTime(priority int, within time.Duration) (all, good int) {
-	for id, handed := range d.handed {
+func (d *loadSim) countOnTime(priority int, within time.Duration) (all, met int) {
+	for id, handed := range d.submittedAt {
 		if d.engine.jobs[id].queue.Priority != priority {
 			continue
 		}
 		all++
-		if ended, known := d.ended[id]; known && ended.Sub(handed) <= within {
-			good++
+		if ended, known := d.endedAt[id]; known && ended.Sub(handed) <= within {
+			met++
 		}
 	}
-	return all, good
+	return all, met
 }
 
 func wideGang(tasks int, accelerators int64) jobs.Step {
@@ -94,45 +94,45 @@
 	return step
 }
 
-// The load: small tasks that come all the time and could fill two fifths of the
+// The load: a steady stream of small tasks that could fill two fifths of the
 // workers, gangs that need half of them whole, and urgent gangs that need a
-// quarter. All are in time; tasks that take whatever comes free would have 268 s
-// of work stopped for them, in place of 77 s.
+// quarter. All end in time. Without headroom, 268 s of work would be preempted
+// for them instead of 77 s.
 func TestGangsAreServedAmongSmallTasks(t *testing.T) {
 	is := is.New(t)
-	d := newDay(3)
+	d := newLoadSim(3)
 	number := 0
 	for tick := range 1200 { // a minute
 		if tick%16 == 0 {
 			number++
-			d.hand(testJob(hexID(number), 2, testStep(8, 1)), 4*time.Second)
+			d.submitWork(testJob(hexID(number), 2, testStep(8, 1)), 4*time.Second)
 		}
 		if tick%160 == 40 {
 			number++
-			d.hand(testJob(hexID(number), 1, wideGang(6, 8)), 4*time.Second)
+			d.submitWork(testJob(hexID(number), 1, wideGang(6, 8)), 4*time.Second)
 		}
 		if tick%80 == 60 {
 			number++
-			d.hand(testJob(hexID(number), 0, gangStep(3, 8)), time.Second)
+			d.submitWork(testJob(hexID(number), 0, gangStep(3, 8)), time.Second)
 		}
-		d.play()
+		d.tick()
 	}
 	for range 300 {
-		d.play()
+		d.tick()
 	}
-	gangs, gangsGood := d.onTime(1, 13*time.Second)
-	tasks, tasksGood := d.onTime(2, 13*time.Second)
-	urgent, urgentGood := d.onTime(0, 2*time.Second)
-	t.Log("gangs", gangs, gangsGood, "tasks", tasks, tasksGood, "urgent", urgent, urgentGood, "lost", d.lost)
+	gangs, gangsGood := d.countOnTime(1, 13*time.Second)
+	tasks, tasksGood := d.countOnTime(2, 13*time.Second)
+	urgent, urgentGood := d.countOnTime(0, 2*time.Second)
+	t.Log("gangs", gangs, gangsGood, "tasks", tasks, tasksGood, "urgent", urgent, urgentGood, "lost", d.lostWork)
 	is.True(gangsGood*10 >= gangs*8)
 	is.True(tasksGood*10 >= tasks*8)
 	is.True(urgentGood*10 >= urgent*9)
-	is.True(d.lost < 150*time.Second)
+	is.True(d.lostWork < 150*time.Second)
 }
 
-// Work with time to spare leaves the emptiest workers alone as long as gangs
-// asked for them lately; work that is short of time takes them, and so does all
-// work while half of the workers are free.
+// Deferrable work leaves the emptiest workers alone as long as there was recent demand of
+// gangs. Work that is short of time uses them, and so does all work while half of the
+// workers are free.
 func TestRoomIsKeptClearOfWorkThatCanWait(t *testing.T) {
 	for _, example := range []struct {
 		busy  int           // of twelve workers, taken by others
@@ -166,8 +166,8 @@
 	}
 }
 
-// A job that is late, or short of time, waits for nobody: its small worth would
-// be lost whole on a day on which the workers are never free.
+// A job that is late, or short of time, is not deferrable: its small value would
+// be lost entirely on a day on which the workers are never free.
 func TestLateWorkIsNotHeldBack(t *testing.T) {
 	is := is.New(t)
 	e, now := loadedEngine(0)
--- a/placing/incarnation_test.go
+++ b/placing/incarnation_test.go
@@ -9,8 +9,8 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// lifeOf is a worker's entry in one of its lives.
-func lifeOf(name string, bornMS int64) WorkerEntry {
+// incarnationEntry returns the entry of one incarnation of a worker.
+func incarnationEntry(name string, bornMS int64) WorkerEntry {
 	entry := testWorker(name, "r1-1")
 	entry.Name = name
 	entry.BornMS = bornMS
@@ -18,12 +18,12 @@
 	return entry
 }
 
-// hasRunningTask returns an engine with one task at work, seen there, on the first of two
-// workers' lives, and the task's key.
-func atWork(t *testing.T) (*Engine, jobs.TaskKey) {
+// engineWithRunningTask returns an engine with one task that was reported as running on
+// the first incarnation of worker w1, and the task's key.
+func engineWithRunningTask(t *testing.T) (*Engine, jobs.TaskKey) {
 	t.Helper()
 	e := testEngine(1)
-	first := lifeOf("w1", 100)
+	first := incarnationEntry("w1", 100)
 	e.List([]WorkerEntry{first}, testStart)
 	e.Report(first.ID, testStart, nil, nil, time.Time{}, testStart)
 	submission := testJob(hexID(1), 1, testStep(1, 8))
@@ -39,12 +39,12 @@
 	return e, key
 }
 
-// The first word of a later life ends the former, whoever says so first: what was seen at
-// work in it is lost with it, counts against its task, and is placed anew.
-func TestWordOfALaterLifeEndsTheFormer(t *testing.T) {
+// The first report of a later incarnation ends the former: a run that was seen in it is
+// lost, counts against its task, and is placed anew.
+func TestAnswerOfLaterIncarnationEndsTheFormer(t *testing.T) {
 	is := is.New(t)
-	e, key := atWork(t)
-	later := lifeOf("w1", 200)
+	e, key := engineWithRunningTask(t)
+	later := incarnationEntry("w1", 200)
 	now := testStart.Add(2 * time.Second)
 	e.List([]WorkerEntry{later}, now)
 	is.Equal(len(e.Decide(now).Starts), 0) // a list alone proves nothing: the former may go on
@@ -57,12 +57,12 @@
 	is.Equal(starts[0].Run, 2)
 }
 
-// What a former life has said may come after the word of the next. Neither its runs nor
-// its ends count any more, nor does an entry that lags behind.
-func TestLateWordOfAFormerLifeCountsForNothing(t *testing.T) {
+// Answers of a former incarnation may arrive after those of the next. Neither its runs nor
+// its ends count any more, nor does an outdated list entry.
+func TestLateAnswersOfFormerIncarnationAreIgnored(t *testing.T) {
 	is := is.New(t)
-	e, key := atWork(t)
-	former, later := lifeOf("w1", 100), lifeOf("w1", 200)
+	e, key := engineWithRunningTask(t)
+	former, later := incarnationEntry("w1", 100), incarnationEntry("w1", 200)
 	now := testStart.Add(2 * time.Second)
 	e.List([]WorkerEntry{later}, now)
 	e.Report(later.ID, now, nil, nil, now.Add(6*time.Second), now)
@@ -77,22 +77,23 @@
 	is.Equal(len(e.Decide(now.Add(2*time.Second)).Acks), 0)
 }
 
-// A start that was not seen at work may have been taken by the next life, as an order
-// names the worker alone: it is stopped there before its task runs elsewhere.
-func TestStartThatALaterLifeMayHaveTakenIsStoppedThere(t *testing.T) {
+// A start that was not seen running may have been taken by the next incarnation, as an
+// order addresses the worker by name alone: it is stopped there before its task runs
+// elsewhere.
+func TestStartThatLaterIncarnationMayHaveTakenIsStoppedThere(t *testing.T) {
 	is := is.New(t)
 	e := testEngine(1)
-	first, other := lifeOf("w1", 100), lifeOf("w2", 100)
+	first, other := incarnationEntry("w1", 100), incarnationEntry("w2", 100)
 	e.List([]WorkerEntry{first}, testStart)
 	e.Report(first.ID, testStart, nil, nil, time.Time{}, testStart)
 	e.addJob(testJob(hexID(1), 1, testStep(1, 8)), testStart)
 	e.Complete()
 	key := startAll(e, testStart)[0].Task
 	now := testStart.Add(time.Second)
-	e.List([]WorkerEntry{first, other}, now) // the list does not show the next life yet
+	e.List([]WorkerEntry{first, other}, now) // the list does not show the next incarnation yet
 	e.Report(other.ID, now, nil, nil, time.Time{}, now)
-	next, watch := e.Reborn(first.ID, 200, now)
-	is.True(watch)
+	next, mustWatch := e.Reborn(first.ID, 200, now)
+	is.True(mustWatch)
 	is.Equal(next.ID, LifeID("w1", 200))
 	plan := e.Decide(now)
 	is.Equal(plan.Stops, []Stop{{Task: key, Run: 1, Worker: next.ID}})
@@ -105,21 +106,21 @@
 	is.Equal(starts[0].Worker, other.ID)
 }
 
-// Progress on record names the life of a run's worker, or none if a former version wrote
-// it: a new holder of the term finds the run in the life that answers, or knows it lost.
-func TestRunOnRecordIsLookedForInTheLifeThatAnswers(t *testing.T) {
+// Recorded progress names the incarnation of a run's worker, or none if a former version
+// wrote it: a new leader finds the run in the incarnation that answers, or counts it as lost.
+func TestRecordedRunIsLookedForInAnsweringIncarnation(t *testing.T) {
 	key := jobs.TaskKey{Job: hexID(1)}
-	there := []RunningTask{{Task: key, Run: 1, Percent: 10}}
+	reported := []RunningTask{{Task: key, Run: 1, Percent: 10}}
 	for _, c := range []struct {
 		name   string
-		bornMS int64 // on record
+		bornMS int64 // in the record
 		rows   []RunningTask
 		goesOn bool
 		losses int
 	}{
-		{"no life on record, the run is there", 0, there, true, 0},
+		{"no life on record, the run is there", 0, reported, true, 0},
 		{"no life on record, it is not there", 0, nil, false, 0},
-		{"the life on record, it is there", 200, there, true, 0},
+		{"the life on record, it is there", 200, reported, true, 0},
 		{"the life on record, it is not there", 200, nil, false, 0},
 		{"a former life on record", 100, nil, false, 1},
 	} {
@@ -129,9 +130,9 @@
 			job := e.addJob(testJob(hexID(1), 1, testStep(1, 8)), testStart)
 			e.applyProgress(job, &jobs.Progress{State: jobs.StateRunning, Tasks: []jobs.TaskProgress{{Run: 1, Worker: "w1", BornMS: c.bornMS}}}, testStart.Add(10*time.Second))
 			e.Complete()
-			life := lifeOf("w1", 200)
-			e.List([]WorkerEntry{life}, testStart)
-			e.Report(life.ID, testStart, c.rows, nil, time.Time{}, testStart)
+			entry := incarnationEntry("w1", 200)
+			e.List([]WorkerEntry{entry}, testStart)
+			e.Report(entry.ID, testStart, c.rows, nil, time.Time{}, testStart)
 			task := job.task(key)
 			is.Equal(task.run != nil && task.run.number == 1, c.goesOn)
 			is.Equal(task.losses.total, c.losses)
@@ -141,46 +142,45 @@
 	}
 }
 
-// Where workers have a new name for each life nothing of this shows.
-func TestLifeWithoutABirthIsItsName(t *testing.T) {
+// Where workers have a new name for each incarnation the ID is the name.
+func TestIncarnationIDWithoutBirthIsTheName(t *testing.T) {
 	is := is.New(t)
 	is.Equal(LifeID("i-1", 0), "i-1")
 	is.Equal(LifeID("i-1", 5), "i-1@5")
 }
 
-// A word of a former life that comes late, in answer to what was asked of the present one,
-// ends nothing that runs.
-func TestLateAnswerOfAFormerLifeEndsNothing(t *testing.T) {
+// A late answer of a former incarnation to a request to the present one ends no run.
+func TestLateAnswerOfFormerIncarnationEndsNoRun(t *testing.T) {
 	is := is.New(t)
-	e, key := atWork(t)
-	life := lifeOf("w1", 100)
+	e, key := engineWithRunningTask(t)
+	entry := incarnationEntry("w1", 100)
 	now := testStart.Add(2 * time.Second)
-	e.Reborn(life.ID, 50, now)
+	e.Reborn(entry.ID, 50, now)
 	is.True(e.jobs[key.Job].task(key).run != nil)
-	e.Report(life.ID, now, []RunningTask{{Task: key, Run: 1, Percent: 20}}, nil, now.Add(6*time.Second), now)
+	e.Report(entry.ID, now, []RunningTask{{Task: key, Run: 1, Percent: 20}}, nil, now.Add(6*time.Second), now)
 	is.Equal(e.jobs[key.Job].task(key).run.number, 1)
 	is.Equal(e.jobs[key.Job].task(key).losses.total, 0)
-	is.Equal(len(e.List([]WorkerEntry{life}, now)), 1)
+	is.Equal(len(e.List([]WorkerEntry{entry}, now)), 1)
 }
 
-// A worker whose time of day was put back begins a life that seems to be an earlier one. It
-// gets work again once nobody has heard of the other for a while.
-func TestWorkerWhoseTimeWasPutBackIsUsedAgain(t *testing.T) {
+// A worker whose time of day was put back begins an incarnation that seems to be an earlier
+// one. It gets work again once the other has not answered for a while.
+func TestWorkerWithClockPutBackIsUsedAgain(t *testing.T) {
 	is := is.New(t)
-	e, key := atWork(t)
-	former, present := lifeOf("w1", 100), lifeOf("w1", 40)
+	e, key := engineWithRunningTask(t)
+	former, present := incarnationEntry("w1", 100), incarnationEntry("w1", 40)
 	now := testStart.Add(2 * time.Second)
 	is.Equal(len(e.List([]WorkerEntry{present}, now)), 0)
 	e.Unreachable(former.ID, now.Add(6*time.Second), now)
 	e.Reborn(former.ID, 40, now)
 	now = now.Add(7 * time.Second)
 	e.Decide(now)
-	is.True(e.jobs[key.Job].task(key).run == nil) // its leases have lapsed
+	is.True(e.jobs[key.Job].task(key).run == nil) // its leases have expired
 	now = now.Add(answerRetention)
 	e.List(nil, now)
 	is.Equal(len(e.List([]WorkerEntry{present}, now)), 1)
 	e.Report(present.ID, now, nil, nil, now.Add(6*time.Second), now)
-	is.Equal(len(startAll(e, now)), 0) // a task that was lost waits for a steady worker, for a while
+	is.Equal(len(startAll(e, now)), 0) // for a while a task that was lost waits for a worker that was not recently restarted
 	starts := startAll(e, now.Add(maxIsolationDelay+time.Second))
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Worker, present.ID)
--- a/placing/loss.go
+++ b/placing/loss.go
@@ -22,8 +22,8 @@
 	// maxEarlyLosses is the number of early losses at which a job is failed: on the users'
 	// worst days two of them may still be chance.
 	maxEarlyLosses = 3
-	// maxLosses is the number of losses of any kind at which the job of a task that ends is
-	// failed: the users allow two starts after the third worker was lost under it.
+	// maxLosses is the number of losses of any kind at which the job of a task that is
+	// not long-running is failed: the users allow two starts after the third worker was lost under it.
 	maxLosses = 5
 	// minLossesToIsolate is the number of losses from which a task is suspect though none
 	// was early.
@@ -135,16 +135,16 @@
 // workStartedAt returns when a run began to work at the earliest: the members of a gang
 // wait for each other.
 func (r *run) workStartedAt() time.Time {
-	begun := r.startOrOrder()
+	begun := r.startedOrOrderedAt()
 	for _, member := range r.task.gangMembers() {
 		if member.run != nil {
-			begun = laterTime(begun, member.run.startOrOrder())
+			begun = laterTime(begun, member.run.startedOrOrderedAt())
 		}
 	}
 	return begun
 }
 
-func (r *run) startOrOrder() time.Time {
+func (r *run) startedOrOrderedAt() time.Time {
 	if r.startedAt.IsZero() {
 		return r.orderedAt
 	}
--- a/placing/loss_test.go
+++ b/placing/loss_test.go
@@ -10,9 +10,9 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// The log has to tell how long a run was at work when its worker was lost, and what
+// The log states how long a run was at work when its worker was lost, and what
 // else was lost with it.
-func TestLossOfAWorkerIsToldWithItsRuns(t *testing.T) {
+func TestLossOfWorkerIsLoggedWithItsRuns(t *testing.T) {
 	is := is.New(t)
 	now := testStart
 	engine := testEngine(1)
@@ -25,13 +25,13 @@
 	engine.Reborn("w1", 0, now.Add(3*time.Second))
 	plan := engine.Decide(now.Add(3 * time.Second))
 
-	is.Equal(details(plan, "worker_lost"), []string{"worker reborn runs 2 silent_ms 2980"})
-	over := details(plan, "run_over")
-	is.Equal(len(over), 2)
-	is.True(strings.HasSuffix(over[0], "worker reborn run 1 started true worked_ms 20 percent 0"))
+	is.Equal(eventDetails(plan, "worker_lost"), []string{"worker reborn runs 2 silent_ms 2980"})
+	runDetails := eventDetails(plan, "run_over")
+	is.Equal(len(runDetails), 2)
+	is.True(strings.HasSuffix(runDetails[0], "worker reborn run 1 started true worked_ms 20 percent 0"))
 }
 
-func details(plan Plan, event string) []string {
+func eventDetails(plan Plan, event string) []string {
 	var list []string
 	for _, note := range plan.Notes {
 		if note.Event == event {
@@ -41,8 +41,8 @@
 	return list
 }
 
-// A worker that leaves as it said takes along what did not end in time. That is nobody's
-// fault, and what comes to its address afterwards is not unsteady for it.
+// A worker that leaves as announced takes along the runs that did not end in time. That
+// counts against no task, and the next worker at its address is not recently restarted.
 func TestWorkerThatLeavesBlamesNoTask(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
@@ -68,9 +68,9 @@
 	is.Equal(len(c.engine.recentlyRestarted), 0)
 }
 
-// A worker whose loss shows late gets orders for a while that reach nobody. That their
-// tasks were not answered says nothing of them: a job three of whose starts met such
-// workers goes on.
+// Until the loss of a worker is noticed it gets orders that reach nobody. That these were
+// not answered does not count against their tasks: a job three of whose starts went to
+// such workers goes on.
 func TestStartsThatMetDeadWorkersEndNoJob(t *testing.T) {
 	is := is.New(t)
 	e := testEngine(1)
@@ -78,8 +78,8 @@
 	e.Complete()
 	job := e.jobs[hexID(1)]
 	now := testStart
-	for life := range int64(3) {
-		entry := lifeOf("w1", 100+life)
+	for incarnation := range int64(3) {
+		entry := incarnationEntry("w1", 100+incarnation)
 		e.recentlyRestarted = map[string]time.Time{} // as if each were another worker
 		e.List([]WorkerEntry{entry}, now)
 		e.Report(entry.ID, now, nil, nil, now.Add(10*time.Second), now)
--- a/placing/property_test.go
+++ b/placing/property_test.go
@@ -21,7 +21,7 @@
 // it is allowed, no task waits beside idle capacity, and once faults stop all jobs end.
 func TestNothingRunsTwiceAndAllEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(4, 7).Draw(t, "workers"))
+		s := newSim(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(4, 7).Draw(t, "workers"))
 		s.enableDelayCheck(false)
 		s.changeLeader()
 		s.run(12*time.Second, func() {
--- a/placing/rack_delay_test.go
+++ b/placing/rack_delay_test.go
@@ -78,22 +78,22 @@
 // Outside of one rack a gang takes three times as long.
 func TestGangWaitsForARackThatComesFreeSoon(t *testing.T) {
 	is := is.New(t)
-	d := newDay(2)
+	d := newLoadSim(2)
 	for rack := range 2 {
 		small := testStep(2, 8) // half of the rack
 		small.RequiredLabel = fmt.Sprintf("r1-%d", rack)
-		d.hand(testJob(hexID(rack+1), 1, small), time.Second+time.Duration(rack)*time.Minute)
+		d.submitWork(testJob(hexID(rack+1), 1, small), time.Second+time.Duration(rack)*time.Minute)
 	}
-	d.play()
+	d.tick()
 	gang := testJob(hexID(9), 1, gangStep(8, 4))
-	d.hand(gang, time.Second)
+	d.submitWork(gang, time.Second)
 	for range 40 {
-		if d.play(); d.allRunning(gang.ID) {
+		if d.tick(); d.allRunning(gang.ID) {
 			break
 		}
 	}
 	is.Equal(len(d.racksOf(gang.ID)), 1)
-	is.True(d.now.Sub(d.handed[gang.ID]) < 1500*time.Millisecond)
+	is.True(d.now.Sub(d.submittedAt[gang.ID]) < 1500*time.Millisecond)
 }
 
 func TestTasksBeyondTheirDataRackStartElsewhere(t *testing.T) {
--- a/placing/sim_idle_test.go
+++ b/placing/sim_idle_test.go
@@ -56,25 +56,25 @@
 }
 
 func (s *simulation) enableDelayCheck(leaderChanges bool) {
-	s.delayCheck = &idleDelayCheck{maxDelay: allowedIdleDelay, countLeaderChanges: leaderChanges, lastFaultAt: s.now, loggedDone: map[jobs.TaskKey]bool{}, loggedPlacement: map[jobs.TaskKey]string{},
+	s.delays = &idleDelayCheck{maxDelay: allowedIdleDelay, countLeaderChanges: leaderChanges, lastFaultAt: s.now, loggedDone: map[jobs.TaskKey]bool{}, loggedPlacement: map[jobs.TaskKey]string{},
 		lastRunAt: map[jobs.TaskKey]time.Time{}, reported: map[waitingUnit]bool{}}
 	if leaderChanges {
-		s.delayCheck.maxDelay += maxLeaderChangesPerWait * leaderChangeTime
+		s.delays.maxDelay += maxLeaderChangesPerWait * leaderChangeTime
 	}
 }
 
 func (s *simulation) recordFault() {
-	if s.delayCheck != nil {
-		s.delayCheck.lastFaultAt = s.now
+	if s.delays != nil {
+		s.delays.lastFaultAt = s.now
 	}
 }
 
 func (s *simulation) recordLeaderChange() {
-	if s.delayCheck == nil {
+	if s.delays == nil {
 		return
 	}
-	s.delayCheck.lastLeaderChangeAt = s.now
-	if !s.delayCheck.countLeaderChanges {
+	s.delays.lastLeaderChangeAt = s.now
+	if !s.delays.countLeaderChanges {
 		s.recordFault()
 	}
 }
@@ -82,7 +82,7 @@
 // readProgress reads from the log which tasks are done and where others may run.
 func (s *simulation) readProgress(record jobs.Record) {
 	id, ok := strings.CutPrefix(record.Key, "p/")
-	if s.delayCheck == nil || !ok || len(record.Value) == 0 {
+	if s.delays == nil || !ok || len(record.Value) == 0 {
 		return
 	}
 	progress, err := jobs.DecodeProgress(record.Value)
@@ -97,14 +97,14 @@
 		}
 	}
 	for flat, key := range keys {
-		delete(s.delayCheck.loggedPlacement, key)
+		delete(s.delays.loggedPlacement, key)
 		if progress.Done.Has(flat) {
-			s.delayCheck.loggedDone[key] = true
+			s.delays.loggedDone[key] = true
 		}
 	}
 	for _, task := range progress.Tasks {
 		if task.Worker != "" {
-			s.delayCheck.loggedPlacement[keys[task.Flat]] = LifeID(task.Worker, task.BornMS)
+			s.delays.loggedPlacement[keys[task.Flat]] = LifeID(task.Worker, task.BornMS)
 		}
 	}
 }
@@ -115,12 +115,12 @@
 	runningSteps map[jobs.TaskKey]bool // steps with a running task, by their first task
 	runningTasks map[jobs.TaskKey]bool // all running tasks
 	runningJobs  map[string]bool       // jobs with a running task
-	doneTasks    map[jobs.TaskKey]bool // tasks that reachable workers report as done
+	done         map[jobs.TaskKey]bool // tasks that reachable workers report as done
 	available    []*modelWorker        // workers that can get new work
 }
 
 func (s *simulation) currentFleet() *fleet {
-	f := &fleet{sim: s, runningSteps: map[jobs.TaskKey]bool{}, runningTasks: map[jobs.TaskKey]bool{}, runningJobs: map[string]bool{}, doneTasks: map[jobs.TaskKey]bool{}}
+	f := &fleet{sim: s, runningSteps: map[jobs.TaskKey]bool{}, runningTasks: map[jobs.TaskKey]bool{}, runningJobs: map[string]bool{}, done: map[jobs.TaskKey]bool{}}
 	for _, worker := range s.workers {
 		if !worker.up {
 			continue
@@ -133,7 +133,7 @@
 		}
 		for _, end := range worker.unackedEnds {
 			if end.How == EndDone {
-				f.doneTasks[end.Task] = true
+				f.done[end.Task] = true
 			}
 		}
 		if s.listing[worker.entry.Name].ID == worker.entry.ID && !s.removed[worker.entry.Name] && !s.evacuated[worker.entry.Zone] {
@@ -144,9 +144,7 @@
 }
 
 // taskDone reports whether a task is done according to a reachable worker or the log.
-func (f *fleet) taskDone(key jobs.TaskKey) bool {
-	return f.doneTasks[key] || f.sim.delayCheck.loggedDone[key]
-}
+func (f *fleet) taskDone(key jobs.TaskKey) bool { return f.done[key] || f.sim.delays.loggedDone[key] }
 
 // stepDone reports whether a step has ended. The members of a gang end together.
 func (f *fleet) stepDone(key jobs.TaskKey, spec *jobs.Step) bool {
@@ -194,7 +192,7 @@
 		task := key
 		task.Index = i
 		if f.runningTasks[task] {
-			f.sim.delayCheck.lastRunAt[task] = f.sim.now
+			f.sim.delays.lastRunAt[task] = f.sim.now
 			continue
 		}
 		list = append(list, waitingUnit{step: key, index: i})
@@ -206,7 +204,7 @@
 // log places it on a removed worker that has never answered this leader, and a former leader
 // may have granted it a lease that has not lapsed.
 func (f *fleet) mayStillRun(unit waitingUnit) bool {
-	granted := f.sim.delayCheck.lastLeaderChangeAt.Add(LeaseLapse(testLimits.Lease) + testLimits.HolderGone)
+	granted := f.sim.delays.lastLeaderChangeAt.Add(LeaseLapse(testLimits.Lease) + testLimits.HolderGone)
 	if f.sim.now.After(granted) {
 		return false
 	}
@@ -217,7 +215,7 @@
 		if unit.index >= 0 && unit.index != i || f.taskDone(key) {
 			continue
 		}
-		removed := f.sim.isRemovedWithoutAnswer(f.sim.delayCheck.loggedPlacement[key])
+		removed := f.sim.isRemovedWithoutAnswer(f.sim.delays.loggedPlacement[key])
 		if removed == spec.Gang {
 			return removed
 		}
@@ -233,9 +231,7 @@
 }
 
 // weightedCores converts resources to thousandths of cores at the users' prices.
-func weightedCores(amount jobs.Resources) int64 {
-	return amount.MilliCores + 8*1000*amount.Accelerators
-}
+func weightedCores(r jobs.Resources) int64 { return r.MilliCores + 8*1000*r.Accelerators }
 
 func (f *fleet) isUnderHalfUsed() bool {
 	used, total := int64(0), int64(0)
@@ -291,12 +287,12 @@
 
 // checkIdleDelays checks that nothing waits too long beside idle capacity.
 func (s *simulation) checkIdleDelays() {
-	if s.delayCheck == nil {
+	if s.delays == nil {
 		return
 	}
 	for _, worker := range s.workers {
 		if !worker.partitionedUntil.After(s.now) {
-			s.delayCheck.lastFaultAt = laterTime(s.delayCheck.lastFaultAt, worker.partitionedUntil)
+			s.delays.lastFaultAt = laterTime(s.delays.lastFaultAt, worker.partitionedUntil)
 		}
 	}
 	since := map[waitingUnit]time.Time{}
@@ -313,28 +309,28 @@
 				continue
 			}
 			since[unit] = s.now
-			if previous, waited := s.delayCheck.waitingSince[unit]; waited {
+			if previous, waited := s.delays.waitingSince[unit]; waited {
 				since[unit] = previous
 			}
 			s.checkDelay(unit, since[unit])
 		}
 	}
-	s.delayCheck.waitingSince = since
+	s.delays.waitingSince = since
 }
 
 func (s *simulation) checkDelay(unit waitingUnit, since time.Time) {
-	from := laterTime(since, s.delayCheck.lastFaultAt.Add(faultFreePeriod))
+	from := laterTime(since, s.delays.lastFaultAt.Add(faultFreePeriod))
 	if unit.index >= 0 {
 		task := unit.step
 		task.Index = unit.index
-		if last, ran := s.delayCheck.lastRunAt[task]; ran {
+		if last, ran := s.delays.lastRunAt[task]; ran {
 			from = laterTime(from, last.Add(longRunningRestartDelay))
 		}
 	}
-	if s.now.Sub(from) < s.delayCheck.maxDelay || s.delayCheck.reported[unit] {
+	if s.now.Sub(from) < s.delays.maxDelay || s.delays.reported[unit] {
 		return
 	}
-	s.delayCheck.reported[unit] = true
+	s.delays.reported[unit] = true
 	unitName := fmt.Sprintf("step %d", unit.step.Step)
 	if unit.index >= 0 {
 		unitName += fmt.Sprintf(" long-running task %d", unit.index)
--- a/placing/sim_mixed_test.go
+++ b/placing/sim_mixed_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// percent returns the reported progress of a run. A run that doesn't report progress stays at
-// 1.
+// percent returns the reported progress of a run. A run that doesn't report progress
+// stays at 1.
 func (r *modelRun) percent(now time.Time) int {
 	switch {
 	case !r.reportsProgress:
@@ -198,7 +198,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		workers := rapid.IntRange(minFleetSize, maxFleetSize).Draw(t, "workers")
 		width := rapid.IntRange(minRackWidth, maxRackWidth).Draw(t, "width")
-		s := newSimulationWithRacks(rapid.Uint64().Draw(t, "seed"), workers, (workers+width-1)/width, "w001")
+		s := newSimOf(rapid.Uint64().Draw(t, "seed"), workers, (workers+width-1)/width, "w001")
 		runMixed(s, workers, rapid.IntRange(0, faultModes-1).Draw(t, "disturbance"))
 		for _, fault := range s.violations {
 			t.Error(fault)
--- a/placing/sim_test.go
+++ b/placing/sim_test.go
@@ -38,7 +38,7 @@
 	soleWorker     string                      // name of the worker with soleLabel
 	profiles       map[jobs.TaskKey]runProfile // how the runs of a step behave, by its first task; default draw if missing
 	listInterval   time.Duration               // time between two reads of the worker list by the leader
-	delayCheck     *idleDelayCheck             // nil: start delays are not checked
+	delays         *idleDelayCheck             // nil: start delays are not checked
 	violations     []string
 }
 
@@ -113,13 +113,11 @@
 // soleLabel is a label that only one worker has. That worker is never removed.
 const soleLabel = "sole"
 
-func newSimulation(seed uint64, workers int) *simulation {
-	return newSimulationWithRacks(seed, workers, 2, "")
-}
+func newSim(seed uint64, workers int) *simulation { return newSimOf(seed, workers, 2, "") }
 
-// newSimulationWithRacks returns a simulation with the given number of racks; soleWorker is
-// the only worker with soleLabel.
-func newSimulationWithRacks(seed uint64, workers, racks int, soleWorker string) *simulation {
+// newSimOf returns a simulation with the given number of racks; soleWorker is the only worker
+// with soleLabel.
+func newSimOf(seed uint64, workers, racks int, soleWorker string) *simulation {
 	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), now: testStart, rackCount: racks, soleWorker: soleWorker, listInterval: simTick, table: jobs.NewTable(), listing: map[string]WorkerEntry{},
 		removed: map[string]bool{}, workerLosses: map[jobs.TaskKey]int{}, failures: map[jobs.TaskKey]int{}, ackedDone: map[jobs.TaskKey]bool{}, done: map[jobs.TaskKey]bool{}, evacuated: map[string]bool{}}
 	for range workers {
--- a/placing/speed_test.go
+++ b/placing/speed_test.go
@@ -121,7 +121,7 @@
 // samples.
 func TestGangsTellNoSpeed(t *testing.T) {
 	is := is.New(t)
-	e := zonedEngine(testJob("0000000000000001", 1, spreadGang(4)))
+	e := newZonedEngine(testJob("0000000000000001", 1, spreadGang(4)))
 	for _, start := range startAll(e, testStart) {
 		later := testStart.Add(2 * speedSampleAfter)
 		e.Report(start.Worker, later, []RunningTask{{Task: start.Task, Run: 1, Percent: 40}}, nil, time.Time{}, later)
--- a/placing/stall_overdue_test.go
+++ b/placing/stall_overdue_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// reportPercent has a worker say how far its runs are.
+// reportPercent reports the same progress for all runs of all workers.
 func (c *cluster) reportPercent(percent int) {
 	for _, id := range c.workerIDs {
 		var rows []RunningTask
@@ -18,10 +18,10 @@
 	}
 }
 
-// Workers count work at the speed of a sound one, so a slow worker's run stands
-// at all of its work for seconds before it ends. One that stands still before
-// that is stopped.
-func TestSlowRunIsNotHeldToStandStill(t *testing.T) {
+// Workers count work at the speed of a sound one, so a run on a slow worker reports all
+// of its work as done seconds before it ends. It is not stopped; a run that makes no
+// progress before that is.
+func TestOverdueRunIsNotStoppedAsStalled(t *testing.T) {
 	for _, c := range []struct {
 		percent int
 		stops   int
--- a/placing/start_delay.go
+++ b/placing/start_delay.go
@@ -36,7 +36,7 @@
 	ampleFitFactor = 2
 )
 
-// delayCheck is one check for steps that preferences delay.
+// delays is one check for steps that preferences delay.
 type delayCheck struct {
 	engine    *Engine
 	now       time.Time
--- a/placing/urgent_test.go
+++ b/placing/urgent_test.go
@@ -227,10 +227,10 @@
 	}
 	is.True(c.allRunning(owed.ID))
 	is.Equal(stopped, 16)
-	more := testJob(hexID(100), 0, gangStep(2, 8)) // beyond the guarantee, so it waits
-	c.submit(more)
+	second := testJob(hexID(100), 0, gangStep(2, 8)) // beyond the guarantee, so it waits
+	c.submit(second)
 	c.steps(int(testLimits.Reclaim / (50 * time.Millisecond)))
-	is.True(!c.allRunning(more.ID))
+	is.True(!c.allRunning(second.ID))
 }
 
 // A short urgent job soon exceeds three times its objective. It must not be given up for that,
--- a/requests/machine.go
+++ b/requests/machine.go
@@ -262,7 +262,7 @@
 	return append(actions, m.finish(Finish{Outcome: structs.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter})...)
 }
 
-// failIfLossesExceeded ends the request at once, whatever it waits for. A claim that is still
+// giveUp ends the request at once, whatever it waits for. A claim that is still
 // being appended is released too, since it may stand in the log.
 func (m *Machine) giveUp(reason structs.Reason) []Action {
 	inFlight := m.phase == phaseSending
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -119,7 +119,7 @@
 	return elapsed/2 + Second
 }
 
-// overdueRuntimeFactor times its estimate a run has taken when nothing more is expected of it.
+// overdueFactor times its estimate a run has taken when nothing more is expected of it.
 const overdueFactor = 2.5
 
 // longOverdue reports whether a run has taken so long that its estimate says nothing.
--- a/scheduler/loss.go
+++ b/scheduler/loss.go
@@ -6,7 +6,7 @@
 	// earlyLoss is how soon after its start the loss of a run points at the job. Jobs
 	// run for hours, and a lost worker is noticed within seconds.
 	earlyLoss = Minute
-	// maxEarlyLosses is how many early losses in a row end a job.
+	// earlyLossesMost is how many early losses in a row end a job.
 	earlyLossesMost = 3
 	// lossesTogether is how many jobs may lose a run within lossSpan before a rack, or
 	// the way to it, is taken to be at fault and none of them.
@@ -20,7 +20,7 @@
 	job *job
 }
 
-// countLosses notes that a run was lost with a worker. It returns true if the job is to
+// blameLoss notes that a run was lost with a worker. It returns true if the job is to
 // end.
 func (s *Scheduler) blameLoss(r *run, now Time) bool {
 	j := r.job
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -25,7 +25,7 @@
 // victimRule decides whether a run may be stopped for a job.
 type victimRule func(*run) bool
 
-// preempt looks for runs to stop so that a blocked job can start, and keeps
+// makeRoom looks for runs to stop so that a blocked job can start, and keeps
 // their workers for it. It returns the stops to carry out.
 func (s *Scheduler) makeRoom(j *job, now Time) []Action {
 	if j.reservation != nil && j.reservation.firm {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -262,7 +262,7 @@
 	s.witnessDirty = true
 }
 
-// updateEvacuated takes what is known of a node's availability zone. What runs there goes on;
+// markEvacuated takes what is known of a node's availability zone. What runs there goes on;
 // guarantees move to the zones that are left.
 func (s *Scheduler) markEvacuated(n *node) {
 	if evacuated := s.evacuated[n.spec.AvailabilityZone]; evacuated != n.evacuated {
--- a/sharing/sharing.go
+++ b/sharing/sharing.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// beginAt is how many workers one instance keeps alone, and endTimes below how many
+	// beginAt is how many workers one instance keeps alone, and endAt below how many
 	// it takes them back: the smallest instances can still keep 350 workers. The
 	// gap keeps a fleet that grows and shrinks by some workers from switching.
 	beginAt = 480
--- a/standin/taskledger.go
+++ b/standin/taskledger.go
@@ -41,7 +41,7 @@
 	delete(l.evacuated, zone)
 }
 
-// checkEvacuation is called with l.mu held.
+// checkZone is called with l.mu held.
 func (l *TaskLedger) checkZone(w *TaskWorker, task string, run int) {
 	since, evacuated := l.evacuated[w.Zone]
 	if !evacuated || time.Since(since) <= l.within {
