--- a/placing/advice.go
+++ b/placing/advice.go
@@ -81,7 +81,7 @@
 // first unit with workers to request and the one that has waited longest since its last
 // request, so that a step that cannot be placed whatever the answer does not use up all
 // requests.
-func (e *Engine) requestAdvice(open *view, now time.Time) {
+func (e *Engine) requestAdvice(view *view, now time.Time) {
 	units := e.adviceQueue
 	e.adviceQueue = nil
 	if len(units) == 0 || e.adviceStep != nil || now.Before(e.nextAdviceAt) {
@@ -91,7 +91,7 @@
 		sort.SliceStable(units, func(a, b int) bool { return units[a].adviceWaitingSince().Before(units[b].adviceWaitingSince()) })
 	}
 	for _, unit := range units {
-		workers := e.adviceCandidates(unit, open, now)
+		workers := e.adviceCandidates(unit, view, now)
 		if len(workers) == 0 {
 			continue
 		}
@@ -112,9 +112,9 @@
 
 // adviceCandidates lists the eligible nodes for which the unit has no valid ticket:
 // emptiest first, as they are the likeliest to take it, and those in backoff last.
-func (e *Engine) adviceCandidates(unit *unit, open *view, now time.Time) []AskedWorker {
+func (e *Engine) adviceCandidates(unit *unit, view *view, now time.Time) []AskedWorker {
 	var nodes, closed []*node
-	for _, node := range open.nodes {
+	for _, node := range view.nodes {
 		if unit.needsTicket(node, now) {
 			nodes = append(nodes, node)
 		}
@@ -125,7 +125,7 @@
 		}
 	}
 	sort.SliceStable(nodes, func(a, b int) bool {
-		return coreEquivalents(open.free[nodes[a].at]) > coreEquivalents(open.free[nodes[b].at])
+		return coreEquivalents(view.free[nodes[a].at]) > coreEquivalents(view.free[nodes[b].at])
 	})
 	nodes = append(nodes, closed...)
 	var workers []AskedWorker
--- a/placing/bench_test.go
+++ b/placing/bench_test.go
@@ -62,7 +62,7 @@
 			if unit.job.submission != urgent {
 				b.Fatal("the urgent gang is not first")
 			}
-			open := e.openView(now)
+			open := e.schedulableView(now)
 			b.ReportAllocs()
 			for b.Loop() {
 				if chosen, _ := e.selectVictims(unit, open, now); chosen == nil {
--- a/placing/delay_headroom_test.go
+++ b/placing/delay_headroom_test.go
@@ -48,7 +48,7 @@
 func TestHeadroomIsReservedInPoolOfItsWork(t *testing.T) {
 	is := is.New(t)
 	s := newTwoPoolSim(t)
-	open := s.engine.openView(s.now)
+	open := s.engine.schedulableView(s.now)
 	s.engine.reserveHeadroom(s.engine.waitingUnits(s.now), open, s.now)
 	idle := s.engine.nodes[s.workers[11].entry.ID]
 	is.True(open.headroom[classTask] != nil)
--- a/placing/evacuation_test.go
+++ b/placing/evacuation_test.go
@@ -241,7 +241,7 @@
 	e := newZonedEngine(testJob("0000000000000001", 2, testStep(4, 8)))
 	fillWorkers(e)
 	e.Evacuate([]string{"z1"}, testStart)
-	load := e.loads(nil, e.openView(testStart))["pool"]
+	load := e.loads(nil, e.schedulableView(testStart))["pool"]
 	is.Equal(load.whole, 2.0)
 	is.Equal(load.used, 2.0)
 	is.Equal(load.running[classTask], 4.0)
--- a/placing/headroom.go
+++ b/placing/headroom.go
@@ -116,7 +116,7 @@
 }
 
 // loads sums up running and waiting work by pool.
-func (e *Engine) loads(units []*unit, open *view) map[string]*load {
+func (e *Engine) loads(units []*unit, view *view) map[string]*load {
 	byPool := map[string]*load{}
 	loadOf := func(pool string) *load {
 		if byPool[pool] == nil {
@@ -140,7 +140,7 @@
 			load.whole++
 		}
 	}
-	reference := open.referenceCapacities()
+	reference := view.referenceCapacities()
 	for _, unit := range units {
 		pool := unit.job.queue.Pool
 		if capacity, ok := reference[pool]; ok && unit.tier != tierBestEffort {
@@ -175,16 +175,16 @@
 
 // reserveHeadroom closes nodes of each pool to work that can wait, to the extent that the
 // recent demand of the classes with priority there exceeds what they run now.
-func (e *Engine) reserveHeadroom(units []*unit, open *view, now time.Time) {
-	for pool, load := range e.loads(units, open) {
+func (e *Engine) reserveHeadroom(units []*unit, view *view, now time.Time) {
+	for pool, load := range e.loads(units, view) {
 		demands := e.demandsOf(pool)
 		urgent := demands.urgent.update(load.demand(classUrgent), now) - load.running[classUrgent]
 		gangs := demands.gang.update(load.demand(classGang), now) - load.running[classGang]
 		if load.used < minUsedShare*load.whole {
 			continue
 		}
-		open.closeNodes(pool, classGang, min(urgent, maxGangHeadroomShare*load.whole))
-		open.closeNodes(pool, classTask, min(urgent+gangs, maxTaskHeadroomShare*load.whole))
+		view.closeNodes(pool, classGang, min(urgent, maxGangHeadroomShare*load.whole))
+		view.closeNodes(pool, classTask, min(urgent+gangs, maxTaskHeadroomShare*load.whole))
 	}
 }
 
--- a/placing/incarnation_test.go
+++ b/placing/incarnation_test.go
@@ -118,11 +118,11 @@
 		goesOn bool
 		losses int
 	}{
-		{"no life on record, the run is there", 0, reported, true, 0},
-		{"no life on record, it is not there", 0, nil, false, 0},
-		{"the life on record, it is there", 200, reported, true, 0},
-		{"the life on record, it is not there", 200, nil, false, 0},
-		{"a former life on record", 100, nil, false, 1},
+		{"no incarnation recorded, run present", 0, reported, true, 0},
+		{"no incarnation recorded, run absent", 0, nil, false, 0},
+		{"same incarnation recorded, run present", 200, reported, true, 0},
+		{"same incarnation recorded, run absent", 200, nil, false, 0},
+		{"former incarnation recorded", 100, nil, false, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/placing/loss_test.go
+++ b/placing/loss_test.go
@@ -80,7 +80,7 @@
 	now := testStart
 	for incarnation := range int64(3) {
 		entry := incarnationEntry("w1", 100+incarnation)
-		e.recentlyRestarted = map[string]time.Time{} // as if each were another worker
+		e.recentlyRestarted = map[string]time.Time{} // so that each counts as another worker
 		e.List([]WorkerEntry{entry}, now)
 		e.Report(entry.ID, now, nil, nil, now.Add(10*time.Second), now)
 		e.Decide(now)
--- a/placing/pass.go
+++ b/placing/pass.go
@@ -34,22 +34,22 @@
 	if len(units) == 0 {
 		return
 	}
-	open := e.openView(now)
-	e.logSummary(units, open, now)
+	view := e.schedulableView(now)
+	e.logSummary(units, view, now)
 	headroomReserved := false
 	for _, unit := range units {
 		if !headroomReserved && unit.tier != tierUrgent {
-			e.reserveHeadroom(units, open, now)
+			e.reserveHeadroom(units, view, now)
 			headroomReserved = true
 		}
-		e.placeUnit(unit, open, now)
+		e.placeUnit(unit, view, now)
 	}
-	e.requestAdvice(open, now)
-	e.startDelayed(units, open, now)
+	e.requestAdvice(view, now)
+	e.startDelayed(units, view, now)
 }
 
-// openView returns a view of the free capacity of the schedulable nodes.
-func (e *Engine) openView(now time.Time) *view {
+// schedulableView returns a view of the free capacity of the schedulable nodes.
+func (e *Engine) schedulableView(now time.Time) *view {
 	e.expireReservations(now)
 	nodes := make([]*node, 0, len(e.nodeOrder))
 	for _, n := range e.nodeOrder {
@@ -96,62 +96,62 @@
 	return n.usable(now) && n.isolatedRuns == 0 && !now.Before(n.health.until)
 }
 
-func (e *Engine) placeUnit(unit *unit, open *view, now time.Time) {
-	reservation := unit.releaseReservation(open)
-	placements := e.findPlacements(unit, reservation, open, now)
+func (e *Engine) placeUnit(unit *unit, view *view, now time.Time) {
+	reservation := unit.releaseReservation(view)
+	placements := e.findPlacements(unit, reservation, view, now)
 	if len(placements) > 0 {
-		e.assumeUnit(unit, placements, open, now)
+		e.assumeUnit(unit, placements, view, now)
 		if len(placements) < len(unit.tasks) {
 			e.queueForAdvice(unit)
 		}
 		return
 	}
 	if reservation != nil {
-		unit.reserve(reservation, open)
+		unit.reserve(reservation, view)
 		return
 	}
 	e.queueForAdvice(unit)
 	if unit.tier == tierUrgent && !unit.isolated {
-		e.preempt(unit, open, now)
+		e.preempt(unit, view, now)
 	}
 }
 
 // releaseReservation returns a unit's reserved capacity to the view for the unit's own use, and
 // returns the reservation.
-func (u *unit) releaseReservation(open *view) *reservation {
+func (u *unit) releaseReservation(view *view) *reservation {
 	reservation := u.job.reservation
 	if reservation == nil || reservation.step != u.step || u.isolated {
 		return nil
 	}
 	for _, p := range reservation.placements {
-		open.release(p.node, u.step.need())
+		view.release(p.node, u.step.need())
 	}
-	clear(open.failed) // the reserved capacity is free for this unit
+	clear(view.failed) // the reserved capacity is free for this unit
 	u.job.reservation = nil
 	return reservation
 }
 
 // reserve withholds the capacity of a reservation from other units.
-func (u *unit) reserve(reservation *reservation, open *view) {
+func (u *unit) reserve(reservation *reservation, view *view) {
 	u.job.reservation = reservation
 	for _, p := range reservation.placements {
-		open.allocate(p.node, u.step.need())
+		view.allocate(p.node, u.step.need())
 	}
 }
 
 // findPlacements finds placements for a unit. While its reservation stands they are in the rack
 // that suits the step, or those of the reservation itself.
-func (e *Engine) findPlacements(unit *unit, reservation *reservation, open *view, now time.Time) []placement {
+func (e *Engine) findPlacements(unit *unit, reservation *reservation, view *view, now time.Time) []placement {
 	if reservation == nil {
-		return e.preferredPlacements(unit, open, now)
+		return e.preferredPlacements(unit, view, now)
 	}
-	if placements := open.fit(unit, true); placements != nil {
+	if placements := view.fit(unit, true); placements != nil {
 		return placements
 	}
-	return open.stillAvailable(unit, reservation.placements)
+	return view.stillAvailable(unit, reservation.placements)
 }
 
-func (e *Engine) assumeUnit(unit *unit, placements []placement, open *view, now time.Time) {
+func (e *Engine) assumeUnit(unit *unit, placements []placement, view *view, now time.Time) {
 	number := 0
 	if unit.step.spec.Gang {
 		for _, task := range unit.step.tasks {
@@ -165,9 +165,9 @@
 			runNumber = p.task.lastRun + 1
 		}
 		if unit.isolated {
-			open.exclude(p.node)
+			view.exclude(p.node)
 		} else {
-			open.allocate(p.node, unit.step.need())
+			view.allocate(p.node, unit.step.need())
 		}
 		e.assume(p.task, p.node, runNumber)
 	}
--- a/placing/preempt.go
+++ b/placing/preempt.go
@@ -44,11 +44,11 @@
 
 // preempt stops work of lower priority so that an urgent unit fits, at the least loss, and
 // reserves the capacity for it.
-func (e *Engine) preempt(unit *unit, open *view, now time.Time) {
+func (e *Engine) preempt(unit *unit, view *view, now time.Time) {
 	if now.Before(unit.step.nextSearchAt) {
 		return
 	}
-	projected := open.copy()
+	projected := view.copy()
 	for _, node := range projected.nodes {
 		for _, run := range node.runs {
 			if e.endsSoon(run, now) {
@@ -60,7 +60,7 @@
 		unit.overGuarantee = e.overGuarantee
 	}
 	if placements := projected.fit(unit, true); placements != nil {
-		e.reserve(unit, placements, open, now)
+		e.reserve(unit, placements, view, now)
 		return
 	}
 	victims, placements := e.selectVictims(unit, projected, now)
@@ -74,7 +74,7 @@
 		}
 	}
 	e.logEvent("preempted", unit.job, "", "victims "+strconv.Itoa(len(victims)))
-	e.reserve(unit, placements, open, now)
+	e.reserve(unit, placements, view, now)
 }
 
 // endsSoon reports whether a run was stopped and its end is not late.
@@ -82,8 +82,8 @@
 	return !run.stoppedAt.IsZero() && now.Sub(run.stoppedAt) < e.limits.StopWithin+reservationSlack
 }
 
-func (e *Engine) reserve(unit *unit, placements []placement, open *view, now time.Time) {
-	unit.reserve(&reservation{step: unit.step, placements: placements, expiresAt: now.Add(e.limits.StopWithin + reservationSlack)}, open)
+func (e *Engine) reserve(unit *unit, placements []placement, view *view, now time.Time) {
+	unit.reserve(&reservation{step: unit.step, placements: placements, expiresAt: now.Add(e.limits.StopWithin + reservationSlack)}, view)
 }
 
 // selectVictims selects the runs to stop. A gang that is slow outside of one rack gets the rack
--- a/placing/rack_delay.go
+++ b/placing/rack_delay.go
@@ -20,20 +20,20 @@
 
 // preferredPlacements finds the placements that suit a unit best. A step waits for its rack
 // only with as many tasks as the rack could hold; the others go elsewhere.
-func (e *Engine) preferredPlacements(unit *unit, open *view, now time.Time) []placement {
+func (e *Engine) preferredPlacements(unit *unit, view *view, now time.Time) []placement {
 	if unit.isolated || !unit.prefersRack() || !e.mayWaitForRack(unit, now) {
-		return open.fit(unit, false)
+		return view.fit(unit, false)
 	}
-	fitting := e.rackFitCount(unit, open, now)
+	fitting := e.rackFitCount(unit, view, now)
 	if fitting == 0 {
-		return open.fit(unit, false)
+		return view.fit(unit, false)
 	}
-	inRack := open.fit(unit, true)
+	inRack := view.fit(unit, true)
 	outside := len(unit.tasks) - max(fitting, len(inRack))
 	if outside == 0 {
 		return inRack
 	}
-	all := open.fit(unit, false) // those in the rack come first
+	all := view.fit(unit, false) // those in the rack come first
 	return all[:min(len(all), len(inRack)+outside)]
 }
 
@@ -52,13 +52,13 @@
 }
 
 // shouldWaitForRack reports whether a unit may still wait for a rack that could hold it.
-func (e *Engine) shouldWaitForRack(unit *unit, open *view, now time.Time) bool {
-	return e.mayWaitForRack(unit, now) && e.rackFitCount(unit, open, now) > 0
+func (e *Engine) shouldWaitForRack(unit *unit, view *view, now time.Time) bool {
+	return e.mayWaitForRack(unit, now) && e.rackFitCount(unit, view, now) > 0
 }
 
 // rackFitCount returns how many of a unit's tasks its rack could hold; of a gang all or none.
-func (e *Engine) rackFitCount(unit *unit, open *view, now time.Time) int {
-	counts := e.rackFitCounts(unit, open, now)
+func (e *Engine) rackFitCount(unit *unit, view *view, now time.Time) int {
+	counts := e.rackFitCounts(unit, view, now)
 	if !unit.step.spec.Gang {
 		return min(len(unit.tasks), counts[unit.step.spec.DataRack])
 	}
@@ -72,10 +72,10 @@
 
 // rackFitCounts returns how many tasks like those of a unit each suitable rack could hold.
 // Units of the same kind share the counts of a pass.
-func (e *Engine) rackFitCounts(unit *unit, open *view, now time.Time) map[string]int {
-	key := open.fitKeyOf(unit, true)
+func (e *Engine) rackFitCounts(unit *unit, view *view, now time.Time) map[string]int {
+	key := view.fitKeyOf(unit, true)
 	cacheable := unit.step.spec.PerWorker == 0 && !unit.job.queue.Advised
-	if n := open.rackFitCounts[key]; n != nil && cacheable {
+	if n := view.rackFitCounts[key]; n != nil && cacheable {
 		return n
 	}
 	counts := map[string]int{}
@@ -85,7 +85,7 @@
 		}
 	}
 	if cacheable {
-		open.rackFitCounts[key] = counts
+		view.rackFitCounts[key] = counts
 	}
 	return counts
 }
--- a/placing/start_backoff.go
+++ b/placing/start_backoff.go
@@ -21,16 +21,16 @@
 }
 
 // recordFailure counts a failed start.
-func (p *startBackoff) recordFailure(now time.Time) {
-	p.failures++
-	if p.failures == 1 {
+func (b *startBackoff) recordFailure(now time.Time) {
+	b.failures++
+	if b.failures == 1 {
 		return
 	}
 	backoff := initialStartBackoff
-	for range p.failures - 2 {
+	for range b.failures - 2 {
 		backoff = min(maxStartBackoff, 2*backoff)
 	}
-	p.until = now.Add(backoff)
+	b.until = now.Add(backoff)
 }
 
 // startFailed puts a task, or its whole gang, into a backoff that grows with the number of
--- a/placing/start_delay.go
+++ b/placing/start_delay.go
@@ -50,7 +50,7 @@
 // startDelayed places units that preferences have delayed for long enough, and logs why others
 // wait although they fit. The pass must not use its own view afterwards, as nodes are
 // renumbered.
-func (e *Engine) startDelayed(units []*unit, open *view, now time.Time) {
+func (e *Engine) startDelayed(units []*unit, view *view, now time.Time) {
 	if now.Sub(e.delaysCheckedAt) < delayCheckInterval {
 		return
 	}
@@ -63,7 +63,7 @@
 			continue
 		}
 		if check.usable == nil && (check.poolIdle(unit) || check.shouldLog(unit)) {
-			check.headroom = open.headroomNodes()
+			check.headroom = view.headroomNodes()
 			check.usable = e.usableView(now)
 		}
 		check.checkUnit(waiting)
--- a/placing/summary.go
+++ b/placing/summary.go
@@ -10,7 +10,7 @@
 const summaryInterval = time.Second
 
 // logSummary logs the capacity and usage of the workers and what waits, by tier.
-func (e *Engine) logSummary(units []*unit, open *view, now time.Time) {
+func (e *Engine) logSummary(units []*unit, view *view, now time.Time) {
 	if now.Sub(e.summarizedAt) < summaryInterval {
 		return
 	}
@@ -28,7 +28,7 @@
 			}
 		}
 	}
-	for _, node := range open.nodes {
+	for _, node := range view.nodes {
 		usable += node.entry.Capacity.Accelerators
 	}
 	var waiting [tierBestEffort + 1]int64
--- a/placing/urgent_test.go
+++ b/placing/urgent_test.go
@@ -42,7 +42,7 @@
 }
 
 // step advances time by 50 ms: records are durable, starts are accepted, and stopped runs are
-// reported as ended at once.
+// reported as ended, which the next step sees.
 func (c *cluster) step() Plan {
 	c.now = c.now.Add(50 * time.Millisecond)
 	plan := c.engine.Decide(c.now)
