--- a/placing/advice.go
+++ b/placing/advice.go
@@ -88,7 +88,7 @@
 		return
 	}
 	if e.oldestAdviceFirst {
-		sort.SliceStable(units, func(a, b int) bool { return units[a].adviceWaitingSince().Before(units[b].adviceWaitingSince()) })
+		sort.SliceStable(units, func(a, b int) bool { return units[a].unadvisedSince().Before(units[b].unadvisedSince()) })
 	}
 	for _, unit := range units {
 		workers := e.adviceCandidates(unit, view, now)
@@ -97,39 +97,35 @@
 		}
 		e.oldestAdviceFirst = !e.oldestAdviceFirst
 		e.adviceStep = unit.step
-		unit.step.adviceRequestedAt = now
+		unit.step.adviceSentAt = now
 		key := unit.tasks[0].key
 		e.plan.Ask = &Ask{Job: key.Job, Occurrence: key.Occurrence, Step: key.Step, Workers: workers}
 		return
 	}
 }
 
-// adviceWaitingSince returns when the last request for the unit was sent or, if there was
+// unadvisedSince returns when the last request for the unit was sent or, if there was
 // none, when its step became ready.
-func (u *unit) adviceWaitingSince() time.Time {
-	return laterTime(u.step.readyAt, u.step.adviceRequestedAt)
-}
+func (u *unit) unadvisedSince() time.Time { return laterTime(u.step.readyAt, u.step.adviceSentAt) }
 
 // adviceCandidates lists the eligible nodes for which the unit has no valid ticket:
-// emptiest first, as they are the likeliest to take it, and those in backoff last.
-func (e *Engine) adviceCandidates(unit *unit, view *view, now time.Time) []AskedWorker {
-	var nodes, closed []*node
-	for _, node := range view.nodes {
+// emptiest first, as they are the likeliest to take it, and unschedulable ones last.
+func (e *Engine) adviceCandidates(unit *unit, v *view, now time.Time) []AskedWorker {
+	var list, unschedulable []*node
+	for _, node := range v.nodes {
 		if unit.needsTicket(node, now) {
-			nodes = append(nodes, node)
+			list = append(list, node)
 		}
 	}
 	for _, node := range e.nodeOrder {
 		if node.usable(now) && !node.schedulable(now) && unit.needsTicket(node, now) {
-			closed = append(closed, node)
+			unschedulable = append(unschedulable, node)
 		}
 	}
-	sort.SliceStable(nodes, func(a, b int) bool {
-		return coreEquivalents(view.free[nodes[a].at]) > coreEquivalents(view.free[nodes[b].at])
-	})
-	nodes = append(nodes, closed...)
+	sort.SliceStable(list, func(a, b int) bool { return coreEquivalents(v.free[list[a].at]) > coreEquivalents(v.free[list[b].at]) })
+	list = append(list, unschedulable...)
 	var workers []AskedWorker
-	for _, node := range nodes[:min(maxAdviceWorkers, len(nodes))] {
+	for _, node := range list[:min(maxAdviceWorkers, len(list))] {
 		workers = append(workers, AskedWorker{ID: node.entry.ID, Name: node.entry.Name})
 	}
 	return workers
--- a/placing/delay_backoff_test.go
+++ b/placing/delay_backoff_test.go
@@ -10,7 +10,7 @@
 // allInBackoff reports whether all workers are in backoff.
 func (s *delaySim) allInBackoff() bool {
 	for _, w := range s.workers {
-		if !s.now.Before(s.engine.nodes[w.entry.ID].health.until) {
+		if !s.now.Before(s.engine.nodes[w.entry.ID].health.backoffUntil) {
 			return false
 		}
 	}
--- a/placing/delay_data_rack_test.go
+++ b/placing/delay_data_rack_test.go
@@ -103,7 +103,7 @@
 		s.submit(bad)
 		s.run(1400 * time.Millisecond)
 		for worker := first; worker <= last; worker++ {
-			if backoff := s.engine.nodes[s.workers[worker].entry.ID].health.until.Sub(s.now); backoff < time.Second {
+			if backoff := s.engine.nodes[s.workers[worker].entry.ID].health.backoffUntil.Sub(s.now); backoff < time.Second {
 				t.Fatalf("worker %d is in backoff for only %v", worker, backoff)
 			}
 		}
--- a/placing/engine.go
+++ b/placing/engine.go
@@ -44,8 +44,8 @@
 	pendingAcks          map[*node]int64
 	acksInFlight         map[*node]int64
 	lastPassAt           time.Time
-	summarizedAt         time.Time // see summarize
-	delaysCheckedAt      time.Time // see relieve
+	summarizedAt         time.Time // see logSummary
+	delaysCheckedAt      time.Time // see startDelayed
 	idlePools            map[string]idlePool
 	adviceStep           *step   // of the outstanding advice request; nil if there is none
 	oldestAdviceFirst    bool    // the next request is for the unit that has waited longest since its last
--- a/placing/evacuation.go
+++ b/placing/evacuation.go
@@ -16,21 +16,21 @@
 
 // evacuations holds the evacuated zones and how recent that information is.
 type evacuations struct {
-	since  map[string]time.Time // by zone: when its evacuation was learned
-	readAt time.Time            // when the zones were last read
-	stale  bool                 // the last check found readAt too old
+	evacuatedAt map[string]time.Time // by zone: when its evacuation was learned
+	readAt      time.Time            // when the zones were last read
+	stale       bool                 // the last check found readAt too old
 }
 
 // Evacuate sets the availability zones that are evacuated.
 func (e *Engine) Evacuate(zones []string, now time.Time) {
-	former := e.evacuations.since
-	e.evacuations.since = make(map[string]time.Time, len(zones))
+	former := e.evacuations.evacuatedAt
+	e.evacuations.evacuatedAt = make(map[string]time.Time, len(zones))
 	for _, zone := range zones {
 		since, n := former[zone]
 		if !n {
 			since = now
 		}
-		e.evacuations.since[zone] = since
+		e.evacuations.evacuatedAt[zone] = since
 	}
 	for _, n := range e.nodeOrder {
 		e.updateEvacuated(n, now)
@@ -61,7 +61,7 @@
 // updateEvacuated applies the state of a node's zone to the node. Planned runs on a newly
 // evacuated node are withdrawn.
 func (e *Engine) updateEvacuated(n *node, now time.Time) {
-	_, evacuated := e.evacuations.since[n.entry.Zone]
+	_, evacuated := e.evacuations.evacuatedAt[n.entry.Zone]
 	if n.evacuated == evacuated {
 		return
 	}
@@ -91,9 +91,9 @@
 }
 
 // inEvacuatedZone reports whether any reserved node is evacuated.
-func (c *reservation) inEvacuatedZone() bool {
-	for _, seat := range c.placements {
-		if seat.node.evacuated {
+func (r *reservation) inEvacuatedZone() bool {
+	for _, p := range r.placements {
+		if p.node.evacuated {
 			return true
 		}
 	}
@@ -125,11 +125,11 @@
 // stopUnansweredStarts stops runs whose starts have gone unanswered since their zone was
 // evacuated: such an order may still be delivered.
 func (e *Engine) stopUnansweredStarts(now time.Time) {
-	if len(e.evacuations.since) == 0 {
+	if len(e.evacuations.evacuatedAt) == 0 {
 		return
 	}
 	for _, n := range e.nodeOrder {
-		if !n.evacuated || now.Sub(e.evacuations.since[n.entry.Zone]) < unansweredStartTimeout {
+		if !n.evacuated || now.Sub(e.evacuations.evacuatedAt[n.entry.Zone]) < unansweredStartTimeout {
 			continue
 		}
 		for _, run := range append([]*run(nil), n.runs...) {
--- a/placing/evacuation_test.go
+++ b/placing/evacuation_test.go
@@ -242,7 +242,7 @@
 	fillWorkers(e)
 	e.Evacuate([]string{"z1"}, testStart)
 	load := e.loads(nil, e.schedulableView(testStart))["pool"]
-	is.Equal(load.whole, 2.0)
+	is.Equal(load.capacity, 2.0)
 	is.Equal(load.used, 2.0)
 	is.Equal(load.running[classTask], 4.0)
 }
--- a/placing/headroom.go
+++ b/placing/headroom.go
@@ -90,17 +90,17 @@
 // load holds running and waiting work by class, in workers' worth of capacity.
 type load struct {
 	running, waiting [classes]float64
-	used, whole      float64 // of the workers outside evacuated zones
+	used, capacity   float64 // of the workers outside evacuated zones
 }
 
-func (l *load) demand(by class) float64 { return l.running[by] + l.waiting[by] }
+func (l *load) demand(c class) float64 { return l.running[c] + l.waiting[c] }
 
 // nodeShares holds the shares of a node's capacity that are in use. They are summed anew
 // only after a change on the node, as most passes find most nodes unchanged.
 type nodeShares struct {
-	valid bool
-	used  float64
-	by    [classes]float64
+	valid   bool
+	used    float64
+	byClass [classes]float64
 }
 
 // currentShares returns the cached shares, summing them first if they are not valid.
@@ -110,7 +110,7 @@
 	}
 	n.shares = nodeShares{valid: true, used: dominantShare(n.used, n.entry.Capacity)}
 	for _, run := range n.runs {
-		n.shares.by[run.task.step.class()] += dominantShare(run.need(), n.entry.Capacity)
+		n.shares.byClass[run.task.step.class()] += dominantShare(run.need(), n.entry.Capacity)
 	}
 	return &n.shares
 }
@@ -132,12 +132,12 @@
 			load = loadOf(pool)
 		}
 		running := node.currentShares()
-		for class, part := range running.by {
+		for class, part := range running.byClass {
 			load.running[class] += part
 		}
 		if !node.evacuated {
 			load.used += running.used
-			load.whole++
+			load.capacity++
 		}
 	}
 	reference := view.referenceCapacities()
@@ -180,11 +180,11 @@
 		demands := e.demandsOf(pool)
 		urgent := demands.urgent.update(load.demand(classUrgent), now) - load.running[classUrgent]
 		gangs := demands.gang.update(load.demand(classGang), now) - load.running[classGang]
-		if load.used < minUsedShare*load.whole {
+		if load.used < minUsedShare*load.capacity {
 			continue
 		}
-		view.closeNodes(pool, classGang, min(urgent, maxGangHeadroomShare*load.whole))
-		view.closeNodes(pool, classTask, min(urgent+gangs, maxTaskHeadroomShare*load.whole))
+		view.closeNodes(pool, classGang, min(urgent, maxGangHeadroomShare*load.capacity))
+		view.closeNodes(pool, classTask, min(urgent+gangs, maxTaskHeadroomShare*load.capacity))
 	}
 }
 
--- a/placing/health.go
+++ b/placing/health.go
@@ -20,16 +20,16 @@
 
 // health tracks the results of a worker.
 type health struct {
-	failures    int // in a row
-	backoff     time.Duration
-	until       time.Time // gets no new work before
-	onProbation bool      // found bad, with no success since
+	failures     int // in a row
+	backoff      time.Duration
+	backoffUntil time.Time // gets no new work before
+	onProbation  bool      // found bad, with no success since
 }
 
 // backOff extends the backoff to at least length from now.
 func (h *health) backOff(now time.Time, length time.Duration) {
-	if until := now.Add(length); until.After(h.until) {
-		h.until = until
+	if until := now.Add(length); until.After(h.backoffUntil) {
+		h.backoffUntil = until
 	}
 }
 
@@ -65,9 +65,9 @@
 			e.updateEstimate(run, now)
 		}
 	case EndFailed:
-		before := n.health.until
+		before := n.health.backoffUntil
 		n.health.markFailed(now)
-		if n.health.until != before {
+		if n.health.backoffUntil != before {
 			e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_rested", Worker: n.entry.ID, Detail: n.health.backoff.String()})
 		}
 	}
--- a/placing/job.go
+++ b/placing/job.go
@@ -33,18 +33,18 @@
 // step is one step of an occurrence. A gang's tasks are placed, ended and
 // counted as one.
 type step struct {
-	job               *job
-	spec              *jobs.Step
-	tasks             []*task
-	left              int            // tasks not done
-	readyAt           time.Time      // when it became ready, whoever was leader then; zero before
-	observedReadyAt   time.Time      // when this leader first found it ready
-	nextSearchAt      time.Time      // no search for capacity before
-	delayLoggedAt     time.Time      // when the reason of its start delay was last logged
-	advice            *advice        // nil until the first answer
-	adviceRequestedAt time.Time      // when its last advice request was sent
-	rates             []progressRate // of its runs so far
-	hasSuspects       bool           // a run of one of its tasks was lost with the worker
+	job             *job
+	spec            *jobs.Step
+	tasks           []*task
+	left            int            // tasks not done
+	readyAt         time.Time      // when it became ready, whoever was leader then; zero before
+	observedReadyAt time.Time      // when this leader first found it ready
+	nextSearchAt    time.Time      // no search for capacity before
+	delayLoggedAt   time.Time      // when the reason of its start delay was last logged
+	advice          *advice        // nil until the first answer
+	adviceSentAt    time.Time      // when its last advice request was sent
+	rates           []progressRate // of its runs so far
+	hasSuspects     bool           // a run of one of its tasks was lost with the worker
 }
 
 // task is the scheduling state of one task.
--- a/placing/loss.go
+++ b/placing/loss.go
@@ -135,13 +135,13 @@
 // workStartedAt returns when a run began to work at the earliest: the members of a gang
 // wait for each other.
 func (r *run) workStartedAt() time.Time {
-	begun := r.startedOrOrderedAt()
+	start := r.startedOrOrderedAt()
 	for _, member := range r.task.gangMembers() {
 		if member.run != nil {
-			begun = laterTime(begun, member.run.startedOrOrderedAt())
+			start = laterTime(start, member.run.startedOrOrderedAt())
 		}
 	}
-	return begun
+	return start
 }
 
 func (r *run) startedOrOrderedAt() time.Time {
--- a/placing/pass.go
+++ b/placing/pass.go
@@ -93,7 +93,7 @@
 // schedulable reports whether a node can accept new work and is neither isolated nor in
 // backoff.
 func (n *node) schedulable(now time.Time) bool {
-	return n.usable(now) && n.isolatedRuns == 0 && !now.Before(n.health.until)
+	return n.usable(now) && n.isolatedRuns == 0 && !now.Before(n.health.backoffUntil)
 }
 
 func (e *Engine) placeUnit(unit *unit, view *view, now time.Time) {
--- a/placing/preference.go
+++ b/placing/preference.go
@@ -28,7 +28,7 @@
 			preferOneRack:      u.step.spec.Gang && u.step.spec.OneRack && node.entry.Rack != placements[0].node.entry.Rack,
 			preferDataRack:     u.step.spec.DataRack != "" && node.entry.Rack != u.step.spec.DataRack,
 			preferHeadroom:     headroom[node],
-			preferOutOfBackoff: now.Before(node.health.until),
+			preferOutOfBackoff: now.Before(node.health.backoffUntil),
 			preferNotIsolated:  node.isolatedRuns > 0,
 			preferEmptyWorker:  u.isolated && len(node.runs) > 0,
 			preferOtherWorker:  u.avoidWorker == node.entry.ID,
--- a/placing/rank.go
+++ b/placing/rank.go
@@ -11,7 +11,7 @@
 type tier int
 
 const (
-	tierUrgent     tier = iota // priority 0, while its result still has value or it can still start within the reclaim time
+	tierUrgent     tier = iota // priority 0, while it still has value or can start within the reclaim time
 	tierOnTime                 // can still finish within its objective
 	tierLate                   // can still finish within three times its objective
 	tierBestEffort             // served with leftover capacity
@@ -53,7 +53,7 @@
 	deferrable        bool            // can finish on time after other work goes first; see reserveHeadroom
 	guaranteed        bool            // must start within the reclaim time
 	isolated          bool            // suspected of ending workers; gets a worker to itself
-	emptyOnly         bool            // isolated, and may only start on an empty worker that has not recently restarted
+	emptyOnly         bool            // isolated and limited to empty workers that have not recently restarted
 	avoidWorker       string          // worker that is used only if no other fits
 	ignorePreferences bool            // placed without preferences, see start_delay.go
 	overGuarantee     map[string]bool // workspaces whose urgent work may be stopped for it
--- a/placing/recently_restarted.go
+++ b/placing/recently_restarted.go
@@ -8,7 +8,7 @@
 const (
 	// maxUnexplainedSilences is how many workers without a run that had just started may fall silent
 	// within earlyLoss of a loss for the loss to count against a task. More point to a power
-	// failure of a data center room, or to this instance's own connections.
+	// failure of a whole room, or to this instance's own connections.
 	maxUnexplainedSilences = 3
 	// recentRestartPeriod is how long a worker counts as recently restarted after a former
 	// incarnation at its address was lost: workers that crash repeatedly do so every few seconds.
--- a/placing/runs.go
+++ b/placing/runs.go
@@ -110,7 +110,8 @@
 	}
 	switch result {
 	case StartEvacuated:
-		run.node.fullUntil = now.Add(noCapacityBackoff) // the worker's dispatcher has newer, or older, data on evacuations
+		// The worker's dispatcher has newer, or older, data on evacuations.
+		run.node.fullUntil = now.Add(noCapacityBackoff)
 	case StartNoTicket:
 		run.task.step.dropTicket(run.node.entry.ID)
 	case StartNoRoom:
--- a/placing/stall.go
+++ b/placing/stall.go
@@ -140,8 +140,8 @@
 	if run.percent == run.basePercent {
 		return run.reportedAt.Sub(begin) > run.task.stallTimeout(max(minStartStall, time.Duration(startStallShare*float64(expected))))
 	}
-	part := run.percentAt.Sub(begin) / time.Duration(run.percent-run.basePercent)
-	return run.reportedAt.Sub(run.percentAt) > run.task.stallTimeout(max(stallAfter, stallPercentFactor*part))
+	perPercent := run.percentAt.Sub(begin) / time.Duration(run.percent-run.basePercent)
+	return run.reportedAt.Sub(run.percentAt) > run.task.stallTimeout(max(stallAfter, stallPercentFactor*perPercent))
 }
 
 // stallTimeout returns how long a run of the task may show no progress: base, doubled
--- a/placing/start_delay.go
+++ b/placing/start_delay.go
@@ -29,14 +29,14 @@
 	// firstReportTimeout is the time within which the workers of a pool report to a new leader.
 	firstReportTimeout = time.Second
 	// idlePoolUse is the share in use, in cores, below which a pool counts as idle. Reserved
-	// headroom depends instead on the resource with the highest use, see idleShare.
+	// headroom depends instead on the resource with the highest use, see minUsedShare.
 	idlePoolUse = 0.5
 	// ampleFitFactor is how many times a gang, or a task that starts alone, must fit for the
 	// capacity to count as ample.
 	ampleFitFactor = 2
 )
 
-// delays is one check for steps that preferences delay.
+// delayCheck is one check for steps that preferences delay.
 type delayCheck struct {
 	engine    *Engine
 	now       time.Time
--- a/placing/urgent_test.go
+++ b/placing/urgent_test.go
@@ -253,13 +253,13 @@
 	is := is.New(t)
 	var h health
 	h.markFailed(testStart)
-	is.Equal(h.until.Sub(testStart), minWorkerBackoff)
+	is.Equal(h.backoffUntil.Sub(testStart), minWorkerBackoff)
 	h.markFailed(testStart)
-	is.Equal(h.until.Sub(testStart), 2*minWorkerBackoff)
+	is.Equal(h.backoffUntil.Sub(testStart), 2*minWorkerBackoff)
 	for range 9 {
 		h.markFailed(testStart)
 	}
-	is.Equal(h.until.Sub(testStart), maxWorkerBackoff)
+	is.Equal(h.backoffUntil.Sub(testStart), maxWorkerBackoff)
 	h.reset()
-	is.True(h.until.IsZero())
+	is.True(h.backoffUntil.IsZero())
 }
