--- a/placing/advice.go
+++ b/placing/advice.go
@@ -82,15 +82,15 @@
 // request, so that a step that cannot be placed whatever the answer does not use up all
 // requests.
 func (e *Engine) requestAdvice(view *view, now time.Time) {
-	units := e.adviceQueue
+	queued := e.adviceQueue
 	e.adviceQueue = nil
-	if len(units) == 0 || e.adviceStep != nil || now.Before(e.nextAdviceAt) {
+	if len(queued) == 0 || e.adviceStep != nil || now.Before(e.nextAdviceAt) {
 		return
 	}
 	if e.oldestAdviceFirst {
-		sort.SliceStable(units, func(a, b int) bool { return units[a].unadvisedSince().Before(units[b].unadvisedSince()) })
+		sort.SliceStable(queued, func(a, b int) bool { return queued[a].unadvisedSince().Before(queued[b].unadvisedSince()) })
 	}
-	for _, unit := range units {
+	for _, unit := range queued {
 		workers := e.adviceCandidates(unit, view, now)
 		if len(workers) == 0 {
 			continue
--- a/placing/engine.go
+++ b/placing/engine.go
@@ -181,6 +181,7 @@
 // Until then runs and ends of unknown jobs are left alone at their workers.
 func (e *Engine) Complete() { e.jobsComplete = true }
 
+// addJob adds a new job without progress.
 func (e *Engine) addJob(submission *jobs.Submission, now time.Time) *job {
 	job := newJob(submission, e.queueOf(submission), now, e.wallMS(now))
 	e.jobs[submission.ID] = job
--- a/placing/estimate.go
+++ b/placing/estimate.go
@@ -59,7 +59,7 @@
 			begin = max(begin, finish[earlier])
 		}
 		finish = append(finish, begin)
-		if !unfinishedOnly || occurrence.steps[index].left > 0 {
+		if !unfinishedOnly || occurrence.steps[index].remainingTasks > 0 {
 			finish[index] += e.expectedRuntime(job, index)
 		}
 		longest = max(longest, finish[index])
--- a/placing/evacuation.go
+++ b/placing/evacuation.go
@@ -26,8 +26,8 @@
 	former := e.evacuations.evacuatedAt
 	e.evacuations.evacuatedAt = make(map[string]time.Time, len(zones))
 	for _, zone := range zones {
-		since, n := former[zone]
-		if !n {
+		since, ok := former[zone]
+		if !ok {
 			since = now
 		}
 		e.evacuations.evacuatedAt[zone] = since
@@ -41,15 +41,15 @@
 
 // withdrawStarts removes starts on evacuated nodes from a plan that is not carried out yet.
 func (e *Engine) withdrawStarts(now time.Time) {
-	orders := e.plan.Starts
+	starts := e.plan.Starts
 	e.plan.Starts = nil
-	for _, order := range orders {
-		n := e.nodes[order.Worker]
+	for _, start := range starts {
+		n := e.nodes[start.Worker]
 		if n == nil || !n.evacuated {
-			e.plan.Starts = append(e.plan.Starts, order)
+			e.plan.Starts = append(e.plan.Starts, start)
 			continue
 		}
-		if run := n.findRun(order.Task, order.Run); run != nil {
+		if run := n.findRun(start.Task, start.Run); run != nil {
 			e.endRun(run, zoneEvacuatedReason(n), now)
 		}
 	}
--- a/placing/fit.go
+++ b/placing/fit.go
@@ -118,17 +118,17 @@
 // many tasks or fewer with the same key is not repeated, unless workers are ruled out for
 // this one step.
 func (v *view) fit(unit *unit, strict bool) []placement {
-	plain := unit.avoidWorker == "" && unit.step.spec.PerWorker == 0 && !unit.isolated && !unit.job.queue.Advised
+	cacheable := unit.avoidWorker == "" && unit.step.spec.PerWorker == 0 && !unit.isolated && !unit.job.queue.Advised
 	key := v.fitKeyOf(unit, strict)
 	tasks := 1
 	if unit.step.spec.Gang {
 		tasks = len(unit.tasks)
 	}
-	if failedTasks, failed := v.failed[key]; failed && plain && tasks >= failedTasks {
+	if failedTasks, failed := v.failed[key]; failed && cacheable && tasks >= failedTasks {
 		return nil
 	}
 	placements := v.findPlacements(unit, strict)
-	if placements == nil && plain {
+	if placements == nil && cacheable {
 		v.failed[key] = tasks
 	}
 	return placements
@@ -149,14 +149,14 @@
 // searchDataRack prefers the rack that holds the step's data, and allows no other if
 // strict.
 func (v *view) searchDataRack(unit *unit, strict bool) []placement {
-	var near []*node
+	var dataRackNodes []*node
 	for _, rack := range v.racks {
 		if rack[0].entry.Rack == unit.step.spec.DataRack {
-			near = rack
+			dataRackNodes = rack
 		}
 	}
-	placements := v.pack(unit, near)
-	if strict && len(near) > 0 || len(placements) == len(unit.tasks) {
+	placements := v.pack(unit, dataRackNodes)
+	if strict && len(dataRackNodes) > 0 || len(placements) == len(unit.tasks) {
 		return placements
 	}
 	if unit.step.spec.Gang {
@@ -167,11 +167,11 @@
 	}
 	rest := *unit
 	rest.tasks = unit.tasks[len(placements):]
-	more := v.pack(&rest, v.nodes)
+	elsewhere := v.pack(&rest, v.nodes)
 	for _, p := range placements {
 		v.release(p.node, unit.step.need())
 	}
-	return append(placements, more...)
+	return append(placements, elsewhere...)
 }
 
 // searchRacks places a gang in the one rack where it leaves the least free; if it fits in
--- a/placing/fit_test.go
+++ b/placing/fit_test.go
@@ -15,15 +15,15 @@
 	nodes := []*node{{entry: testWorker("a", "r1-1")}, {entry: testWorker("b", "r1-1")}, {entry: testWorker("c", "r1-2")}}
 	capacity := nodes[0].entry.Capacity
 	nodes[1].used = capacity.Add(capacity)
-	open := newView(nodes)
-	is.Equal(open.rackFree[0], milliCoreEquivalents(capacity))
+	view := newView(nodes)
+	is.Equal(view.rackFree[0], milliCoreEquivalents(capacity))
 	need := jobs.Resources{MilliCores: 8000, Accelerators: 8}
-	open.allocate(nodes[0], need)
-	open.release(nodes[1], need)
-	is.Equal(open.rackFree[0], milliCoreEquivalents(capacity.Sub(need)))
-	open.release(nodes[0], need)
-	is.Equal(open.rackFree[0], milliCoreEquivalents(capacity))
-	other := open.copy()
-	other.allocate(nodes[2], need)
-	is.Equal(open.rackFree[1], milliCoreEquivalents(capacity))
+	view.allocate(nodes[0], need)
+	view.release(nodes[1], need)
+	is.Equal(view.rackFree[0], milliCoreEquivalents(capacity.Sub(need)))
+	view.release(nodes[0], need)
+	is.Equal(view.rackFree[0], milliCoreEquivalents(capacity))
+	copied := view.copy()
+	copied.allocate(nodes[2], need)
+	is.Equal(view.rackFree[1], milliCoreEquivalents(capacity))
 }
--- a/placing/headroom.go
+++ b/placing/headroom.go
@@ -64,6 +64,7 @@
 	classes
 )
 
+// class returns the class of the step's work.
 func (s *step) class() class {
 	switch {
 	case s.job.queue.Priority == 0:
--- a/placing/headroom_test.go
+++ b/placing/headroom_test.go
@@ -25,63 +25,65 @@
 		endedAt: map[string]time.Time{}, startedAt: map[jobs.TaskKey]time.Time{}}
 }
 
-func (d *loadSim) submitWork(submission *jobs.Submission, work time.Duration) {
-	d.submit(submission)
-	d.work[submission.ID] = work
-	d.submittedAt[submission.ID] = d.now
+// submitWork submits a job whose tasks each run for a time.
+func (s *loadSim) submitWork(submission *jobs.Submission, work time.Duration) {
+	s.submit(submission)
+	s.work[submission.ID] = work
+	s.submittedAt[submission.ID] = s.now
 }
 
 // tick advances 50 ms.
-func (d *loadSim) tick() {
-	plan := d.step()
+func (s *loadSim) tick() {
+	plan := s.step()
 	for _, start := range plan.Starts {
-		d.startedAt[start.Task] = d.now
+		s.startedAt[start.Task] = s.now
 	}
 	for _, stop := range plan.Stops {
-		if begin, known := d.startedAt[stop.Task]; known {
-			d.lostWork += d.now.Sub(begin)
+		if begin, ok := s.startedAt[stop.Task]; ok {
+			s.lostWork += s.now.Sub(begin)
 		}
 	}
-	for _, worker := range d.workerIDs {
-		d.reportRuns(worker)
+	for _, worker := range s.workerIDs {
+		s.reportRuns(worker)
 	}
-	for id := range d.work {
-		if _, known := d.endedAt[id]; !known && d.engine.jobs[id].state == jobs.StateDone {
-			d.endedAt[id] = d.now
+	for id := range s.work {
+		if _, ok := s.endedAt[id]; !ok && s.engine.jobs[id].state == jobs.StateDone {
+			s.endedAt[id] = s.now
 		}
 	}
 }
 
-func (d *loadSim) reportRuns(worker string) {
+// reportRuns reports the runs of a worker, as done once they have worked for their time.
+func (s *loadSim) reportRuns(worker string) {
 	var running []RunningTask
 	var ends []EndedTask
-	for _, run := range d.engine.nodes[worker].runs {
-		begin, known := d.startedAt[run.task.key]
-		if run.phase == phasePlanned || !known {
+	for _, run := range s.engine.nodes[worker].runs {
+		begin, ok := s.startedAt[run.task.key]
+		if run.phase == phasePlanned || !ok {
 			continue
 		}
-		worked, whole := d.now.Sub(begin), d.work[run.task.key.Job]
-		if worked >= whole {
-			d.endNumbers[worker]++
-			ends = append(ends, EndedTask{Number: d.endNumbers[worker], Task: run.task.key, Run: run.number, How: EndDone})
+		worked, total := s.now.Sub(begin), s.work[run.task.key.Job]
+		if worked >= total {
+			s.endNumbers[worker]++
+			ends = append(ends, EndedTask{Number: s.endNumbers[worker], Task: run.task.key, Run: run.number, How: EndDone})
 			continue
 		}
-		running = append(running, RunningTask{Task: run.task.key, Run: run.number, Percent: int(100 * worked / whole)})
+		running = append(running, RunningTask{Task: run.task.key, Run: run.number, Percent: int(100 * worked / total)})
 	}
 	if len(ends) > 0 || len(running) > 0 {
-		d.engine.Report(worker, d.now, running, ends, time.Time{}, d.now)
+		s.engine.Report(worker, s.now, running, ends, time.Time{}, s.now)
 	}
 }
 
 // countOnTime counts the submitted jobs of a priority, and those of them
 // that ended within a time.
-func (d *loadSim) countOnTime(priority int, within time.Duration) (all, met int) {
-	for id, handed := range d.submittedAt {
-		if d.engine.jobs[id].queue.Priority != priority {
+func (s *loadSim) countOnTime(priority int, within time.Duration) (all, met int) {
+	for id, handed := range s.submittedAt {
+		if s.engine.jobs[id].queue.Priority != priority {
 			continue
 		}
 		all++
-		if ended, known := d.endedAt[id]; known && ended.Sub(handed) <= within {
+		if ended, ok := s.endedAt[id]; ok && ended.Sub(handed) <= within {
 			met++
 		}
 	}
@@ -100,34 +102,34 @@
 // for them instead of 77 s.
 func TestGangsAreServedAmongSmallTasks(t *testing.T) {
 	is := is.New(t)
-	d := newLoadSim(3)
+	s := newLoadSim(3)
 	number := 0
 	for tick := range 1200 { // a minute
 		if tick%16 == 0 {
 			number++
-			d.submitWork(testJob(hexID(number), 2, testStep(8, 1)), 4*time.Second)
+			s.submitWork(testJob(hexID(number), 2, testStep(8, 1)), 4*time.Second)
 		}
 		if tick%160 == 40 {
 			number++
-			d.submitWork(testJob(hexID(number), 1, wideGang(6, 8)), 4*time.Second)
+			s.submitWork(testJob(hexID(number), 1, wideGang(6, 8)), 4*time.Second)
 		}
 		if tick%80 == 60 {
 			number++
-			d.submitWork(testJob(hexID(number), 0, gangStep(3, 8)), time.Second)
+			s.submitWork(testJob(hexID(number), 0, gangStep(3, 8)), time.Second)
 		}
-		d.tick()
+		s.tick()
 	}
 	for range 300 {
-		d.tick()
+		s.tick()
 	}
-	gangs, gangsGood := d.countOnTime(1, 13*time.Second)
-	tasks, tasksGood := d.countOnTime(2, 13*time.Second)
-	urgent, urgentGood := d.countOnTime(0, 2*time.Second)
-	t.Log("gangs", gangs, gangsGood, "tasks", tasks, tasksGood, "urgent", urgent, urgentGood, "lost", d.lostWork)
-	is.True(gangsGood*10 >= gangs*8)
-	is.True(tasksGood*10 >= tasks*8)
-	is.True(urgentGood*10 >= urgent*9)
-	is.True(d.lostWork < 150*time.Second)
+	gangs, gangsOnTime := s.countOnTime(1, 13*time.Second)
+	tasks, tasksOnTime := s.countOnTime(2, 13*time.Second)
+	urgent, urgentOnTime := s.countOnTime(0, 2*time.Second)
+	t.Log("gangs", gangs, gangsOnTime, "tasks", tasks, tasksOnTime, "urgent", urgent, urgentOnTime, "lost", s.lostWork)
+	is.True(gangsOnTime*10 >= gangs*8)
+	is.True(tasksOnTime*10 >= tasks*8)
+	is.True(urgentOnTime*10 >= urgent*9)
+	is.True(s.lostWork < 150*time.Second)
 }
 
 // Deferrable work leaves the emptiest workers alone as long as there was recent demand of
@@ -135,15 +137,15 @@
 // workers are free.
 func TestRoomIsKeptClearOfWorkThatCanWait(t *testing.T) {
 	for _, example := range []struct {
-		busy  int           // of twelve workers, taken by others
-		since time.Duration // since the last gang waited
-		spare bool
-		seats int // of two on each worker
+		usedWorkers int           // of twelve workers
+		sinceDemand time.Duration // time since the newest demand of gangs
+		deferrable  bool
+		placements  int // of two on each worker
 	}{
-		{busy: 8, spare: true, seats: 0},
-		{busy: 8, spare: false, seats: 8},
-		{busy: 8, spare: true, since: time.Minute, seats: 8},
-		{busy: 5, spare: true, seats: 14},
+		{usedWorkers: 8, deferrable: true, placements: 0},
+		{usedWorkers: 8, deferrable: false, placements: 8},
+		{usedWorkers: 8, deferrable: true, sinceDemand: time.Minute, placements: 8},
+		{usedWorkers: 5, deferrable: true, placements: 14},
 	} {
 		is := is.New(t)
 		e, now := loadedEngine(0)
@@ -151,18 +153,18 @@
 		for index := range 12 {
 			node := e.ensureNode(WorkerEntry{ID: hexID(index)}, now)
 			node.entry = testWorker(hexID(index), "r1-"+string(rune('0'+index/4)))
-			if index < example.busy {
+			if index < example.usedWorkers {
 				node.used = node.entry.Capacity
 			}
 			nodes = append(nodes, node)
 		}
 		e.demandsOf("pool").gang.update(12, now)
-		open := newView(nodes)
-		e.reserveHeadroom(nil, open, now.Add(example.since))
+		view := newView(nodes)
+		e.reserveHeadroom(nil, view, now.Add(example.sinceDemand))
 		e.Learn(&jobs.Job{Submission: testJob(hexID(99), 2, testStep(24, 4))}, now)
 		unit := e.waitingUnits(now)[0]
-		unit.deferrable = example.spare
-		is.Equal(len(open.fit(unit, true)), example.seats)
+		unit.deferrable = example.deferrable
+		is.Equal(len(view.fit(unit, true)), example.placements)
 	}
 }
 
@@ -173,9 +175,9 @@
 	e, now := loadedEngine(0)
 	e.Learn(&jobs.Job{Submission: testJob(hexID(1), 2, testStep(1, 1))}, now) // 4 s of work, due in 13 s
 	for _, example := range []struct {
-		after   time.Duration
-		patient bool
+		after      time.Duration
+		deferrable bool
 	}{{0, true}, {2 * time.Second, true}, {4 * time.Second, false}, {10 * time.Second, false}, {20 * time.Second, false}} {
-		is.Equal(e.waitingUnits(now.Add(example.after))[0].deferrable, example.patient)
+		is.Equal(e.waitingUnits(now.Add(example.after))[0].deferrable, example.deferrable)
 	}
 }
--- a/placing/incarnation_test.go
+++ b/placing/incarnation_test.go
@@ -62,10 +62,10 @@
 func TestLateAnswersOfFormerIncarnationAreIgnored(t *testing.T) {
 	is := is.New(t)
 	e, key := engineWithRunningTask(t)
-	former, later := incarnationEntry("w1", 100), incarnationEntry("w1", 200)
+	former, present := incarnationEntry("w1", 100), incarnationEntry("w1", 200)
 	now := testStart.Add(2 * time.Second)
-	e.List([]WorkerEntry{later}, now)
-	e.Report(later.ID, now, nil, nil, now.Add(6*time.Second), now)
+	e.List([]WorkerEntry{present}, now)
+	e.Report(present.ID, now, nil, nil, now.Add(6*time.Second), now)
 	is.Equal(len(startAll(e, now.Add(time.Second))), 1)
 	e.Report(former.ID, now, nil, []EndedTask{{Number: 1, Task: key, Run: 1, How: EndDone}}, now, now)
 	e.Reborn(former.ID, 200, now)
--- a/placing/job.go
+++ b/placing/job.go
@@ -25,9 +25,9 @@
 
 // occurrence is one execution of the steps of a job.
 type occurrence struct {
-	scheduledMS int64 // time of day; 0: at once
-	steps       []*step
-	left        int // tasks not done
+	scheduledMS    int64 // time of day; 0: at once
+	steps          []*step
+	remainingTasks int // tasks not done
 }
 
 // step is one step of an occurrence. A gang's tasks are placed, ended and
@@ -36,7 +36,7 @@
 	job             *job
 	spec            *jobs.Step
 	tasks           []*task
-	left            int            // tasks not done
+	remainingTasks  int            // tasks not done
 	readyAt         time.Time      // when it became ready, whoever was leader then; zero before
 	observedReadyAt time.Time      // when this leader first found it ready
 	nextSearchAt    time.Time      // no search for capacity before
@@ -52,7 +52,7 @@
 	step           *step
 	key            jobs.TaskKey
 	done           bool
-	failed         int // runs that ended as failed
+	failedRuns     int // runs that ended as failed
 	lastRun        int // highest run number given
 	lastEndedRun   int // highest run whose end was handled; ends are listed until acknowledged
 	checkpoint     string
@@ -90,7 +90,7 @@
 	reportedAt      time.Time // of the newest report that showed it
 	resumed         bool      // from a checkpoint, or under a former leader
 	basePercent     int       // of a resumed run, as first reported
-	baseAt          time.Time // when it was
+	basePercentAt   time.Time // when basePercent was reported
 	stoppedAt       time.Time // when its stop was first sent
 	stopSentAt      time.Time // when its stop was last sent
 	stopDoneAt      time.Time // when the worker acknowledged the stop
@@ -120,13 +120,13 @@
 
 func newOccurrence(job *job, number int) *occurrence {
 	submission := job.submission
-	occurrence := &occurrence{left: submission.TasksOfRun()}
+	occurrence := &occurrence{remainingTasks: submission.TasksOfRun()}
 	if submission.Occurrences > 0 {
 		occurrence.scheduledMS = submission.FirstAtMS + int64(number)*submission.PeriodMS
 	}
 	for stepIndex := range submission.Steps {
 		spec := &submission.Steps[stepIndex]
-		step := &step{job: job, spec: spec, left: spec.Tasks}
+		step := &step{job: job, spec: spec, remainingTasks: spec.Tasks}
 		for index := range spec.Tasks {
 			key := jobs.TaskKey{Job: submission.ID, Occurrence: number, Step: stepIndex, Index: index}
 			step.tasks = append(step.tasks, &task{step: step, key: key})
@@ -136,6 +136,7 @@
 	return occurrence
 }
 
+// task returns the task with a key, or nil if the job has none.
 func (j *job) task(key jobs.TaskKey) *task {
 	if key.Occurrence < 0 || key.Occurrence >= len(j.occurrences) || key.Step < 0 || key.Step >= len(j.submission.Steps) {
 		return nil
@@ -147,6 +148,7 @@
 	return tasks[key.Index]
 }
 
+// allTasks lists the tasks of all occurrences in the order of the progress record.
 func (j *job) allTasks() []*task {
 	var list []*task
 	for _, occurrence := range j.occurrences {
@@ -184,7 +186,7 @@
 		if task.lastRun == 0 {
 			continue
 		}
-		recorded := jobs.TaskProgress{Flat: flat, Run: task.lastRun, Failed: task.failed, Judged: task.lastEndedRun, Checkpoint: task.checkpoint,
+		recorded := jobs.TaskProgress{Flat: flat, Run: task.lastRun, Failed: task.failedRuns, Judged: task.lastEndedRun, Checkpoint: task.checkpoint,
 			Losses: task.losses.total, EarlyLosses: task.losses.early}
 		if task.run != nil {
 			recorded.Worker, recorded.BornMS = task.run.node.recordedName()
@@ -251,7 +253,7 @@
 
 func (e *Engine) restoreTask(task *task, recorded jobs.TaskProgress, leaseExpiry time.Time) {
 	task.lastRun = recorded.Run
-	task.failed = recorded.Failed
+	task.failedRuns = recorded.Failed
 	task.lastEndedRun = recorded.Judged
 	task.checkpoint = recorded.Checkpoint
 	if recorded.Losses > 0 {
@@ -270,14 +272,14 @@
 		return
 	}
 	task.done = true
-	task.step.left--
-	task.step.job.occurrences[task.key.Occurrence].left--
+	task.step.remainingTasks--
+	task.step.job.occurrences[task.key.Occurrence].remainingTasks--
 }
 
 // predecessorsDone reports whether the steps before this one have ended.
 func (s *step) predecessorsDone(occurrence *occurrence) bool {
 	for _, earlier := range s.spec.After {
-		if occurrence.steps[earlier].left > 0 {
+		if occurrence.steps[earlier].remainingTasks > 0 {
 			return false
 		}
 	}
--- a/placing/loss.go
+++ b/placing/loss.go
@@ -68,6 +68,7 @@
 	}
 }
 
+// logLoss logs the loss of a node that had runs.
 func (e *Engine) logLoss(n *node, reason string, runs int, now time.Time) {
 	if runs > 0 {
 		e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_lost", Worker: n.entry.ID,
@@ -108,6 +109,7 @@
 		fmt.Sprintf("%s losses %d early %d unsteady %t", task.key, losses.total, losses.early, now.Before(run.node.recentlyRestartedUntil)))
 }
 
+// setLosses sets the losses of a task and of its gang.
 func (t *task) setLosses(updated losses) {
 	t.step.hasSuspects = true
 	for _, member := range t.gangMembers() {
--- a/placing/node.go
+++ b/placing/node.go
@@ -88,6 +88,7 @@
 	return n.entry.Name, n.entry.BornMS
 }
 
+// findRun returns the run of a task with a number, or nil.
 func (n *node) findRun(key jobs.TaskKey, number int) *run {
 	for _, run := range n.runs {
 		if run.number == number && run.task.key == key {
--- a/placing/rank.go
+++ b/placing/rank.go
@@ -83,7 +83,7 @@
 	for index := range job.submission.Steps {
 		count := job.submission.Steps[index].Tasks
 		if remaining {
-			count = occurrence.steps[index].left
+			count = occurrence.steps[index].remainingTasks
 		}
 		total += float64(count) * coreEquivalents(job.submission.Steps[index].Need) * e.expectedRuntime(job, index).Seconds()
 	}
@@ -116,7 +116,7 @@
 			continue
 		}
 		for _, occurrence := range job.occurrences {
-			if occurrence.left > 0 && nowMS >= occurrence.scheduledMS {
+			if occurrence.remainingTasks > 0 && nowMS >= occurrence.scheduledMS {
 				units = e.appendUnits(units, job, occurrence, now)
 			}
 		}
@@ -142,7 +142,7 @@
 func (e *Engine) appendUnits(units []*unit, job *job, occurrence *occurrence, now time.Time) []*unit {
 	var ranked unit
 	for _, step := range occurrence.steps {
-		if step.left == 0 || !step.predecessorsDone(occurrence) {
+		if step.remainingTasks == 0 || !step.predecessorsDone(occurrence) {
 			continue
 		}
 		if step.readyAt.IsZero() {
--- a/placing/report.go
+++ b/placing/report.go
@@ -70,7 +70,7 @@
 		}
 		run.percentAt = now
 		if run.resumed {
-			run.percent, run.basePercent, run.baseAt = row.Percent, row.Percent, now
+			run.percent, run.basePercent, run.basePercentAt = row.Percent, row.Percent, now
 		}
 	}
 	run.reportedAt = now
@@ -80,7 +80,7 @@
 		run.percent = row.Percent
 		run.percentAt = now
 		if run.resumed {
-			run.percent, run.basePercent, run.baseAt = row.Percent, row.Percent, now
+			run.percent, run.basePercent, run.basePercentAt = row.Percent, row.Percent, now
 		}
 	}
 	if row.Checkpoint != "" {
@@ -231,7 +231,7 @@
 	}
 	e.markReadySteps(job, task, now)
 	for _, occurrence := range job.occurrences {
-		if occurrence.left > 0 {
+		if occurrence.remainingTasks > 0 {
 			return
 		}
 	}
@@ -247,15 +247,15 @@
 	if task.step.spec.Gang {
 		for _, member := range task.step.tasks {
 			member.lastEndedRun = end.Run // the ends of the other members report the same failure
-			member.failed++
+			member.failedRuns++
 			member.avoidWorker = end.workerOfRun(task)
 		}
 	} else {
-		task.failed++
+		task.failedRuns++
 		task.avoidWorker = end.workerOfRun(task)
 	}
-	e.logEvent("task_failed", job, "", task.key.String()+" attempt "+strconv.Itoa(task.failed)+" of "+strconv.Itoa(job.queue.MaxAttempts))
-	if task.failed >= job.queue.MaxAttempts {
+	e.logEvent("task_failed", job, "", task.key.String()+" attempt "+strconv.Itoa(task.failedRuns)+" of "+strconv.Itoa(job.queue.MaxAttempts))
+	if task.failedRuns >= job.queue.MaxAttempts {
 		e.finish(job, jobs.StateFailed, "task "+task.key.String()+" failed in every attempt", now)
 	}
 }
--- a/placing/stall.go
+++ b/placing/stall.go
@@ -134,8 +134,8 @@
 	if !complete {
 		return false
 	}
-	if run.baseAt.After(begin) {
-		begin = run.baseAt
+	if run.basePercentAt.After(begin) {
+		begin = run.basePercentAt
 	}
 	if run.percent == run.basePercent {
 		return run.reportedAt.Sub(begin) > run.task.stallTimeout(max(minStartStall, time.Duration(startStallShare*float64(expected))))
