--- a/placing/advice.go
+++ b/placing/advice.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// askAtOnce is how many workers one question names. Its answer takes longer
-	// with each, and the users count thirty in a step's objective.
-	askAtOnce = 30
-	// ticketSlack is kept off a ticket's life for the record of a placement and
-	// the way of the start.
-	ticketSlack = 400 * time.Millisecond
-	// askAgain is the pause after a question that was not answered.
-	askAgain = 200 * time.Millisecond
+	// maxAdviceWorkers bounds the workers named in one request. The response time
+	// grows with each, and the objective of a step allows for thirty.
+	maxAdviceWorkers = 30
+	// ticketMargin is subtracted from the validity of a ticket. It covers recording
+	// the placement and delivering the start.
+	ticketMargin = 400 * time.Millisecond
+	// adviceRetryDelay is the delay after a request that failed.
+	adviceRetryDelay = 200 * time.Millisecond
 )
 
-// Ask is a question which of some workers may run a step, for the service that
-// knows. One is under way at a time, as the service answers an instance's
-// questions one after the other.
+// Ask is a request to the advice service: which of some workers may run a step.
+// One request is outstanding at a time, as the service answers the requests of an
+// instance one after the other.
 type Ask struct {
 	Job        string
 	Occurrence int
@@ -26,147 +26,150 @@
 	Workers    []AskedWorker
 }
 
-// AskedWorker is a worker that a question names, and the life that a ticket is for.
+// AskedWorker is a worker named in a request, and the incarnation that a ticket is for.
 type AskedWorker struct {
 	ID   string
 	Name string
 }
 
-// advice is what is known of the workers that a step may run on.
+// advice holds the answers of the advice service about the workers for a step.
 type advice struct {
-	tickets map[string]ticket
-	barred  map[string]bool // may never run it
+	tickets   map[string]ticket
+	forbidden map[string]bool // may never run the step
 }
 
-// ticket lets a worker run a step's tasks for some time.
+// ticket permits a worker to run the tasks of a step until it expires.
 type ticket struct {
-	text  string
-	until time.Time
+	text      string
+	expiresAt time.Time
 }
 
-// advised reports whether the policy of the unit's queue lets a node run it
-// now, as far as is known.
-func (u *unit) advised(node *node) bool {
+// hasValidTicket reports whether the policy of the unit's queue permits a node to run it
+// now. It is true for queues without advice.
+func (u *unit) hasValidTicket(node *node) bool {
 	if !u.job.queue.Advised {
 		return true
 	}
-	known := u.step.advice
-	return known != nil && u.now.Before(known.tickets[node.entry.ID].until)
+	advice := u.step.advice
+	return advice != nil && u.now.Before(advice.tickets[node.entry.ID].expiresAt)
 }
 
-// allowedOn reports whether the policy of the unit's queue lets a node run it, by any answer
-// so far; the ticket may have run out.
-func (u *unit) allowedOn(node *node) bool {
+// hasAnyTicket reports whether the policy of the unit's queue permits a node to run it by
+// any answer so far; the ticket may have expired.
+func (u *unit) hasAnyTicket(node *node) bool {
 	if !u.job.queue.Advised {
 		return true
 	}
-	known := u.step.advice
-	return known != nil && known.tickets[node.entry.ID].text != ""
+	advice := u.step.advice
+	return advice != nil && advice.tickets[node.entry.ID].text != ""
 }
 
-// barredFrom reports whether the policy of the unit's queue never lets a node run it.
-func (u *unit) barredFrom(node *node) bool {
-	return u.job.queue.Advised && u.step.advice != nil && u.step.advice.barred[node.entry.ID]
+// forbiddenOn reports whether the policy of the unit's queue never permits a node to run it.
+func (u *unit) forbiddenOn(node *node) bool {
+	return u.job.queue.Advised && u.step.advice != nil && u.step.advice.forbidden[node.entry.ID]
 }
 
-// wantsAdvice notes a unit that has no seats, or not for all of its tasks.
-func (e *Engine) wantsAdvice(unit *unit) {
+// queueForAdvice adds a unit that is not placed, or not completely, to the candidates of
+// the next advice request.
+func (e *Engine) queueForAdvice(unit *unit) {
 	if unit.job.queue.Advised {
-		e.unadvised = append(e.unadvised, unit)
+		e.adviceQueue = append(e.adviceQueue, unit)
 	}
 }
 
-// ask asks for one of the units that want advice: in turn for the first that there are
-// workers to ask about, and for the one of them that was not asked for the longest. So a
-// step that finds no seats whatever the answer does not take all questions.
-func (e *Engine) ask(open *view, now time.Time) {
-	units := e.unadvised
-	e.unadvised = nil
-	if len(units) == 0 || e.asking != nil || now.Before(e.askAfter) {
+// requestAdvice plans a request for one of the queued units. It alternates between the
+// first unit with workers to request and the one that has waited longest since its last
+// request, so that a step that cannot be placed whatever the answer does not use up all
+// requests.
+func (e *Engine) requestAdvice(view *view, now time.Time) {
+	queued := e.adviceQueue
+	e.adviceQueue = nil
+	if len(queued) == 0 || e.adviceStep != nil || now.Before(e.nextAdviceAt) {
 		return
 	}
-	if e.askLongest {
-		sort.SliceStable(units, func(a, b int) bool { return units[a].unaskedSince().Before(units[b].unaskedSince()) })
+	if e.oldestAdviceFirst {
+		sort.SliceStable(queued, func(a, b int) bool { return queued[a].unadvisedSince().Before(queued[b].unadvisedSince()) })
 	}
-	for _, unit := range units {
-		workers := e.toAsk(unit, open, now)
+	for _, unit := range queued {
+		workers := e.adviceCandidates(unit, view, now)
 		if len(workers) == 0 {
 			continue
 		}
-		e.askLongest = !e.askLongest
-		e.asking = unit.step
-		unit.step.askedAt = now
+		e.oldestAdviceFirst = !e.oldestAdviceFirst
+		e.adviceStep = unit.step
+		unit.step.adviceSentAt = now
 		key := unit.tasks[0].key
 		e.plan.Ask = &Ask{Job: key.Job, Occurrence: key.Occurrence, Step: key.Step, Workers: workers}
 		return
 	}
 }
 
-// unaskedSince is when the last question for a unit was sent, or else its turn came.
-func (u *unit) unaskedSince() time.Time { return latest(u.step.readyAt, u.step.askedAt) }
-
-// toAsk lists the nodes that would suit a unit and of which no ticket is known: emptiest
-// first, as they are the likeliest to seat it, and those that are better left alone last.
-func (e *Engine) toAsk(unit *unit, open *view, now time.Time) []AskedWorker {
-	var nodes, others []*node
-	for _, node := range open.nodes {
-		if unit.unknownOn(node, now) {
-			nodes = append(nodes, node)
+// unadvisedSince returns when the last request for the unit was sent or, if there was
+// none, when its step became ready.
+func (u *unit) unadvisedSince() time.Time { return laterTime(u.step.readyAt, u.step.adviceSentAt) }
+
+// adviceCandidates lists the eligible nodes for which the unit has no valid ticket:
+// emptiest first, as they are the likeliest to take it, and unschedulable ones last.
+func (e *Engine) adviceCandidates(unit *unit, v *view, now time.Time) []AskedWorker {
+	var list, unschedulable []*node
+	for _, node := range v.nodes {
+		if unit.needsTicket(node, now) {
+			list = append(list, node)
 		}
 	}
 	for _, node := range e.nodeOrder {
-		if node.usable(now) && !node.open(now) && unit.unknownOn(node, now) {
-			others = append(others, node)
+		if node.usable(now) && !node.schedulable(now) && unit.needsTicket(node, now) {
+			unschedulable = append(unschedulable, node)
 		}
 	}
-	sort.SliceStable(nodes, func(a, b int) bool { return cores(open.free[nodes[a].at]) > cores(open.free[nodes[b].at]) })
-	nodes = append(nodes, others...)
-	var list []AskedWorker
-	for _, node := range nodes[:min(askAtOnce, len(nodes))] {
-		list = append(list, AskedWorker{ID: node.entry.ID, Name: node.entry.Name})
+	sort.SliceStable(list, func(a, b int) bool { return coreEquivalents(v.free[list[a].at]) > coreEquivalents(v.free[list[b].at]) })
+	list = append(list, unschedulable...)
+	var workers []AskedWorker
+	for _, node := range list[:min(maxAdviceWorkers, len(list))] {
+		workers = append(workers, AskedWorker{ID: node.entry.ID, Name: node.entry.Name})
 	}
-	return list
+	return workers
 }
 
-// unknownOn reports whether it is to be asked if a unit may run on a node that suits it.
-func (u *unit) unknownOn(node *node, now time.Time) bool {
-	known := u.step.advice
-	return u.mayUse(node) && (known == nil || !now.Before(known.tickets[node.entry.ID].until))
+// needsTicket reports whether a node is eligible for the unit but has no valid ticket.
+func (u *unit) needsTicket(node *node, now time.Time) bool {
+	advice := u.step.advice
+	return u.eligible(node) && (advice == nil || !now.Before(advice.tickets[node.entry.ID].expiresAt))
 }
 
-// Advised takes the answer to a question that was sent at sentAt: tickets by
-// worker, valid for some time. Workers without one may never run the step. ok
-// is false if no answer came.
+// Advised takes the response to a request that was sent at sentAt: tickets by worker,
+// and how long they are valid. Workers without a ticket may never run the step. ok is
+// false if the request failed.
 func (e *Engine) Advised(ask Ask, ok bool, tickets map[string]string, valid time.Duration, sentAt, now time.Time) {
-	asked := e.asking
-	e.asking = nil
+	step := e.adviceStep
+	e.adviceStep = nil
 	if !ok {
-		e.askAfter = now.Add(askAgain)
+		e.nextAdviceAt = now.Add(adviceRetryDelay)
 		return
 	}
-	if asked.advice == nil {
-		asked.advice = &advice{tickets: map[string]ticket{}, barred: map[string]bool{}}
+	if step.advice == nil {
+		step.advice = &advice{tickets: map[string]ticket{}, forbidden: map[string]bool{}}
 	}
 	for _, worker := range ask.Workers {
-		text, good := tickets[worker.ID]
-		if good {
-			asked.advice.tickets[worker.ID] = ticket{text: text, until: sentAt.Add(valid - ticketSlack)}
+		text, permitted := tickets[worker.ID]
+		if permitted {
+			step.advice.tickets[worker.ID] = ticket{text: text, expiresAt: sentAt.Add(valid - ticketMargin)}
 		} else {
-			asked.advice.barred[worker.ID] = true
+			step.advice.forbidden[worker.ID] = true
 		}
 	}
 }
 
-// ticketOf is what a start of a task on a worker carries.
-func (s *step) ticketOf(worker string) string {
+// ticketFor returns the ticket that the start of a task on a worker carries.
+func (s *step) ticketFor(worker string) string {
 	if s.advice == nil {
 		return ""
 	}
 	return s.advice.tickets[worker].text
 }
 
-// ticketRefused forgets a ticket that the worker did not take.
-func (s *step) ticketRefused(worker string) {
+// dropTicket removes a ticket that the worker rejected.
+func (s *step) dropTicket(worker string) {
 	if s.advice != nil {
 		delete(s.advice.tickets, worker)
 	}
--- a/placing/fit_test.go
+++ b/placing/fit_test.go
@@ -8,22 +8,22 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// A rack's room is what its nodes have free, also where a node is in use beyond its
-// capacity, as after runs that were taken over.
-func TestRackRoomFollowsItsNodes(t *testing.T) {
+// The free capacity of a rack is the sum of what its nodes have free, also where a node is
+// in use beyond its capacity, as runs of a former leader may have it.
+func TestRackCapacityFollowsItsNodes(t *testing.T) {
 	is := is.New(t)
 	nodes := []*node{{entry: testWorker("a", "r1-1")}, {entry: testWorker("b", "r1-1")}, {entry: testWorker("c", "r1-2")}}
 	capacity := nodes[0].entry.Capacity
 	nodes[1].used = capacity.Add(capacity)
-	open := newView(nodes)
-	is.Equal(open.rackFree[0], weighCores(capacity))
+	view := newView(nodes)
+	is.Equal(view.rackFree[0], milliCoreEquivalents(capacity))
 	need := jobs.Resources{MilliCores: 8000, Accelerators: 8}
-	open.take(nodes[0], need)
-	open.give(nodes[1], need)
-	is.Equal(open.rackFree[0], weighCores(capacity.Sub(need)))
-	open.give(nodes[0], need)
-	is.Equal(open.rackFree[0], weighCores(capacity))
-	other := open.copy()
-	other.take(nodes[2], need)
-	is.Equal(open.rackFree[1], weighCores(capacity))
+	view.allocate(nodes[0], need)
+	view.release(nodes[1], need)
+	is.Equal(view.rackFree[0], milliCoreEquivalents(capacity.Sub(need)))
+	view.release(nodes[0], need)
+	is.Equal(view.rackFree[0], milliCoreEquivalents(capacity))
+	copied := view.copy()
+	copied.allocate(nodes[2], need)
+	is.Equal(view.rackFree[1], milliCoreEquivalents(capacity))
 }
--- a/placing/rack_wait_test.go
+++ b/placing/rack_delay_test.go
@@ -8,11 +8,11 @@
 	"github.com/matryer/is"
 )
 
-// racksOfSix is a pool of 48 workers, six to a rack.
+// racksOfSix returns a pool of 48 workers, six to a rack.
 func racksOfSix() *cluster { return newClusterOf(8, 6) }
 
-// beginsWithin lets time pass until a job has begun, at most for limit.
-func (c *cluster) beginsWithin(id string, limit time.Duration) bool {
+// startsWithin advances the time until a job has started, at most by limit.
+func (c *cluster) startsWithin(id string, limit time.Duration) bool {
 	for end := c.now.Add(limit); c.now.Before(end); {
 		for _, start := range c.step().Starts {
 			if start.Task.Job == id {
@@ -23,26 +23,26 @@
 	return false
 }
 
-func TestGangWiderThanEveryRackBeginsBesideIdleWorkers(t *testing.T) {
+func TestGangWiderThanEveryRackStartsOnIdleWorkers(t *testing.T) {
 	for _, tasks := range []int{13, 14, 16, 24} {
 		t.Run(fmt.Sprint(tasks), func(t *testing.T) {
 			is := is.New(t)
 			c := racksOfSix()
 			gang := gangStep(tasks, 4) // a rack holds twelve
 			gang.EstimateMS = 117_907
-			held := testJob(hexID(1), 1, gang)
-			c.submit(held)
-			is.True(c.beginsWithin(held.ID, overdueAfter)) // 48 idle workers
+			job := testJob(hexID(1), 1, gang)
+			c.submit(job)
+			is.True(c.startsWithin(job.ID, overdueAfter)) // 48 idle workers
 		})
 	}
 }
 
-func TestGangBeginsWhereEachRackLacksAWorkerForLong(t *testing.T) {
+func TestGangStartsElsewhereWhenEveryRackLacksAWorker(t *testing.T) {
 	occupy := map[string]func(c *cluster, rack string){
 		"away": func(c *cluster, rack string) {
-			for _, known := range c.engine.nodeOrder {
-				if known.entry.Rack == rack {
-					c.engine.Unreachable(known.entry.ID, time.Time{}, c.now.Add(-backSoon))
+			for _, n := range c.engine.nodeOrder {
+				if n.entry.Rack == rack {
+					c.engine.Unreachable(n.entry.ID, time.Time{}, c.now.Add(-reconnectTimeout))
 					return
 				}
 			}
@@ -52,8 +52,8 @@
 			small.RequiredLabel, small.EstimateMS = rack, 600_000
 			c.submit(testJob("long-"+rack, 2, small))
 		},
-		"in use by a lasting task": func(c *cluster, rack string) {
-			small := lastingStep(1)
+		"in use by a long-running task": func(c *cluster, rack string) {
+			small := longRunningStep(1)
 			small.RequiredLabel = rack
 			c.submit(testJob("lasting-"+rack, 2, small))
 		},
@@ -68,44 +68,44 @@
 			c.steps(2)
 			gang := gangStep(12, 4) // a whole rack
 			gang.EstimateMS = 60_000
-			held := testJob(hexID(1), 1, gang)
-			c.submit(held)
-			is.True(c.beginsWithin(held.ID, overdueAfter))
+			job := testJob(hexID(1), 1, gang)
+			c.submit(job)
+			is.True(c.startsWithin(job.ID, overdueAfter))
 		})
 	}
 }
 
-// Away from its rack a gang takes three times as long.
+// Outside of one rack a gang takes three times as long.
 func TestGangWaitsForARackThatComesFreeSoon(t *testing.T) {
 	is := is.New(t)
-	d := newDay(2)
+	d := newLoadSim(2)
 	for rack := range 2 {
 		small := testStep(2, 8) // half of the rack
 		small.RequiredLabel = fmt.Sprintf("r1-%d", rack)
-		d.hand(testJob(hexID(rack+1), 1, small), time.Second+time.Duration(rack)*time.Minute)
+		d.submitWork(testJob(hexID(rack+1), 1, small), time.Second+time.Duration(rack)*time.Minute)
 	}
-	d.play()
+	d.tick()
 	gang := testJob(hexID(9), 1, gangStep(8, 4))
-	d.hand(gang, time.Second)
+	d.submitWork(gang, time.Second)
 	for range 40 {
-		if d.play(); d.begun(gang.ID) {
+		if d.tick(); d.allRunning(gang.ID) {
 			break
 		}
 	}
 	is.Equal(len(d.racksOf(gang.ID)), 1)
-	is.True(d.now.Sub(d.handed[gang.ID]) < 1500*time.Millisecond)
+	is.True(d.now.Sub(d.submittedAt[gang.ID]) < 1500*time.Millisecond)
 }
 
-func TestTasksThatTheirDataRackCannotHoldInTimeBeginElsewhere(t *testing.T) {
+func TestTasksBeyondTheirDataRackStartElsewhere(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(3)
 	step := testStep(6, 8) // the rack holds four
 	step.DataRack, step.EstimateMS = "r1-0", 60_000
-	held := testJob(hexID(1), 1, step)
-	c.submit(held)
+	job := testJob(hexID(1), 1, step)
+	c.submit(job)
 	c.steps(4)
-	is.Equal(len(c.racksOf(held.ID)), 2)
-	for _, task := range c.engine.jobs[held.ID].allTasks() {
+	is.Equal(len(c.racksOf(job.ID)), 2)
+	for _, task := range c.engine.jobs[job.ID].allTasks() {
 		is.True(task.run != nil)
 	}
 }
--- a/placing/care_test.go
+++ b/placing/stall_overdue_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// reportPercent has a worker say how far its runs are.
+// reportPercent reports the same progress for all runs of all workers.
 func (c *cluster) reportPercent(percent int) {
-	for _, id := range c.ids {
+	for _, id := range c.workerIDs {
 		var rows []RunningTask
 		for _, run := range c.engine.nodes[id].runs {
 			rows = append(rows, RunningTask{Task: run.task.key, Run: run.number, Percent: percent})
@@ -18,10 +18,10 @@
 	}
 }
 
-// Workers count work at the speed of a sound one, so a slow worker's run stands
-// at all of its work for seconds before it ends. One that stands still before
-// that is stopped.
-func TestSlowRunIsNotHeldToStandStill(t *testing.T) {
+// Workers count work at the speed of a sound one, so a run on a slow worker reports all
+// of its work as done seconds before it ends. It is not stopped; a run that makes no
+// progress before that is.
+func TestOverdueRunIsNotStoppedAsStalled(t *testing.T) {
 	for _, c := range []struct {
 		percent int
 		stops   int
@@ -30,7 +30,7 @@
 		cluster := newCluster(1)
 		cluster.submit(testJob(hexID(1), 1, testStep(1, 1)))
 		cluster.steps(2)
-		is.True(cluster.begun(hexID(1)))
+		is.True(cluster.allRunning(hexID(1)))
 		cluster.reportPercent(c.percent)
 		stops := 0
 		for range 8 {
