--- /dev/null
+++ b/batch/adaptivetimeout.go
@@ -0,0 +1,67 @@
+package batch
+
+import (
+	"sync"
+	"time"
+)
+
+const (
+	// minCallTimeout is the shortest timeout of a call to the store. A call usually takes 4 ms, but a
+	// store that has just become slow takes 0.3 s for each append to a part, and retries would only
+	// lengthen its queue.
+	minCallTimeout = 600 * time.Millisecond
+	// maxCallTimeout is the longest one; the store refuses calls when 2 s of work are queued.
+	maxCallTimeout = 2 * time.Second
+	// timeoutFactor is the ratio of the timeout to the usual latency. It keeps a slow store from
+	// being sent the same work again and again.
+	timeoutFactor = 4
+	// latencyWeight is the weight of the newest sample in the moving average of the latency.
+	latencyWeight = 0.3
+)
+
+// adaptiveTimeout derives the timeout of calls from the latency of earlier ones. Each lost answer
+// doubles the timeout, as the store may have become slow.
+type adaptiveTimeout struct {
+	minimum   time.Duration // of a call; 0 for minCallTimeout
+	lock      sync.Mutex
+	latency   time.Duration
+	lostInRow int // lost answers in a row
+}
+
+// current returns the timeout of the next call.
+func (t *adaptiveTimeout) current() time.Duration {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	minimum := t.minimum
+	if minimum == 0 {
+		minimum = minCallTimeout
+	}
+	timeout := max(minimum, timeoutFactor*t.latency)
+	for range t.lostInRow {
+		timeout = min(maxCallTimeout, 2*timeout)
+	}
+	return min(maxCallTimeout, timeout)
+}
+
+// observe records the latency of an answer.
+func (t *adaptiveTimeout) observe(took time.Duration) {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	t.latency += time.Duration(latencyWeight * float64(took-t.latency))
+	t.lostInRow = 0
+}
+
+// currentIgnoringLosses returns the timeout without regard to lost answers, for calls to many
+// servers of which some never answer.
+func (t *adaptiveTimeout) currentIgnoringLosses() time.Duration {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	return min(maxCallTimeout, max(t.minimum, timeoutFactor*t.latency))
+}
+
+// recordLoss records that no answer arrived in time.
+func (t *adaptiveTimeout) recordLoss() {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	t.lostInRow++
+}
--- a/batch/advise.go
+++ b/batch/advise.go
@@ -7,32 +7,32 @@
 	"github.com/teaselcleat/teaselcleat/placing"
 )
 
-// adviceTimeout bounds a question to the service that knows which workers may
-// run a step. It answers one question of an instance at a time, after a pause
-// for each worker named; an answer that took longer would mostly have run out.
+// adviceTimeout bounds a request to the service that decides which workers may run a step. The
+// service answers one request of an instance at a time, after a delay for each worker named.
+// Tickets from a slower answer would mostly have expired.
 const adviceTimeout = 3 * time.Second
 
-// advise asks and brings the answer to the placing duty.
-func (l *leader) advise(ctx context.Context, ask placing.Ask) {
-	call, cancel := context.WithTimeout(ctx, adviceTimeout)
+// requestAdvice requests advice and passes the answer to the leader's loop.
+func (l *leader) requestAdvice(ctx context.Context, request placing.Ask) {
+	callCtx, cancel := context.WithTimeout(ctx, adviceTimeout)
 	defer cancel()
 	sent := l.clock.Now()
-	tickets, valid, err := l.instance.workers.Advise(call, ask)
+	tickets, validFor, err := l.instance.workers.Advise(callCtx, request)
 	if err != nil {
-		l.log.WithField("job", ask.Job).WithField("error", err.Error()).Info("advice_failed")
+		l.log.WithField("job", request.Job).WithField("error", err.Error()).Info("advice_failed")
 	}
-	l.events.Put(ctx, advised{ask: ask, ok: err == nil, tickets: tickets, valid: valid, sent: sent})
+	l.events.Put(ctx, adviceResult{request: request, ok: err == nil, tickets: tickets, validFor: validFor, sent: sent})
 }
 
-// advised brings the answer to a question, or that there was none.
-type advised struct {
-	ask     placing.Ask
-	ok      bool
-	tickets map[string]string
-	valid   time.Duration
-	sent    time.Time
+// adviceResult carries the answer to an advice request, or its failure.
+type adviceResult struct {
+	request  placing.Ask
+	ok       bool
+	tickets  map[string]string
+	validFor time.Duration
+	sent     time.Time
 }
 
-func (a advised) apply(l *leader, now time.Time) {
-	l.engine.Advised(a.ask, a.ok, a.tickets, a.valid, a.sent, now)
+func (a adviceResult) apply(l *leader, now time.Time) {
+	l.engine.Advised(a.request, a.ok, a.tickets, a.validFor, a.sent, now)
 }
--- a/batch/batch_test.go
+++ b/batch/batch_test.go
@@ -20,58 +20,58 @@
 
 var testNow = time.Unix(5000, 0)
 
-func TestTermIsClaimedOnWitnessedSilenceOnly(t *testing.T) {
+func TestTermIsClaimedOnlyAfterObservedSilence(t *testing.T) {
 	is := is.New(t)
-	vote := newElection("a", "a/1", 100*time.Millisecond)
-	vote.see(jobs.Term{Epoch: 4, Holder: "b/1"}, testNow)
-	is.True(!vote.claim(testNow, testNow.Add(time.Hour))) // no read was answered since
-	heard := testNow.Add(termSilence)
-	is.True(!vote.claim(heard, heard)) // others may come first
-	is.True(vote.claim(heard, heard.Add(100*time.Millisecond)))
-	is.True(!vote.claim(heard, heard.Add(200*time.Millisecond))) // the claim is on its way
-	vote.see(jobs.Term{Epoch: 5, Holder: "c/1"}, heard.Add(time.Second))
-	is.True(!vote.claim(heard.Add(time.Second), heard.Add(2*time.Second)))
+	e := newElection("a", "a/1", 100*time.Millisecond)
+	e.observe(jobs.Term{Epoch: 4, Holder: "b/1"}, testNow)
+	is.True(!e.shouldClaim(testNow, testNow.Add(time.Hour))) // no read was answered since
+	heard := testNow.Add(termTimeout)
+	is.True(!e.shouldClaim(heard, heard)) // others may come first
+	is.True(e.shouldClaim(heard, heard.Add(100*time.Millisecond)))
+	is.True(!e.shouldClaim(heard, heard.Add(200*time.Millisecond))) // the claim is on its way
+	e.observe(jobs.Term{Epoch: 5, Holder: "c/1"}, heard.Add(time.Second))
+	is.True(!e.shouldClaim(heard.Add(time.Second), heard.Add(2*time.Second)))
 }
 
-func TestTermThatWasHandedOverOrIsOwnIsClaimedAtOnce(t *testing.T) {
+func TestReleasedOrOwnFormerTermIsClaimedAtOnce(t *testing.T) {
 	is := is.New(t)
-	vote := newElection("a", "a/2", 0)
-	vote.see(jobs.Term{Epoch: 4}, testNow)
-	is.True(vote.claim(testNow, testNow))
-	vote = newElection("a", "a/2", time.Second)
-	vote.see(jobs.Term{Epoch: 4, Holder: "a/1"}, testNow) // this instance's life before
-	is.True(vote.claim(testNow, testNow))
+	e := newElection("a", "a/2", 0)
+	e.observe(jobs.Term{Epoch: 4}, testNow)
+	is.True(e.shouldClaim(testNow, testNow))
+	e = newElection("a", "a/2", time.Second)
+	e.observe(jobs.Term{Epoch: 4, Holder: "a/1"}, testNow) // this instance's life before
+	is.True(e.shouldClaim(testNow, testNow))
 }
 
-func TestWeakInstancesLeaveTheTermToOthers(t *testing.T) {
+func TestLowCPUInstancesClaimLater(t *testing.T) {
 	is := is.New(t)
-	is.True(claimRank(7, 0.19) > claimSpread)
-	is.True(claimRank(7, 0.8) < claimSpread)
-	is.True(claimRank(7, 0) < claimSpread) // unknown
+	is.True(claimDelay(7, 0.19) > maxClaimJitter)
+	is.True(claimDelay(7, 0.8) < maxClaimJitter)
+	is.True(claimDelay(7, 0) < maxClaimJitter) // unknown
 }
 
-func TestPatienceLearnsAndDoubles(t *testing.T) {
+func TestStoreTimeoutAdaptsAndDoubles(t *testing.T) {
 	is := is.New(t)
-	var p patience
-	is.Equal(p.limit(), patienceLeast)
-	p.lost()
-	is.Equal(p.limit(), 2*patienceLeast)
+	var p adaptiveTimeout
+	is.Equal(p.current(), minCallTimeout)
+	p.recordLoss()
+	is.Equal(p.current(), 2*minCallTimeout)
 	for range 20 {
-		p.answered(300 * time.Millisecond)
+		p.observe(300 * time.Millisecond)
 	}
-	is.True(p.limit() > time.Second) // four times the usual answer
+	is.True(p.current() > time.Second) // four times the usual answer
 	for range 9 {
-		p.lost()
+		p.recordLoss()
 	}
-	is.Equal(p.limit(), patienceMost)
+	is.Equal(p.current(), maxCallTimeout)
 }
 
-func TestRecordsOfOneJobShareAPart(t *testing.T) {
+func TestRecordsOfOneJobShareOnePart(t *testing.T) {
 	is := is.New(t)
 	for number := range 50 {
 		id := strconv.Itoa(number)
 		is.Equal(partOf(id, 1), statePart)
-		is.True(partOf(id, 8) >= 1 && partOf(id, 8) <= callParts)
+		is.True(partOf(id, 8) >= 1 && partOf(id, 8) <= maxCallParts)
 		is.Equal(partOf(id, 2), 1)
 	}
 	submission, err := jobs.SubmissionRecord(&jobs.Submission{ID: "a1"})
@@ -104,11 +104,11 @@
 }
 
 func startCommitter(t *testing.T, store Store) *committer {
-	made := newCommitter(store, NewClock(), 1)
+	c := newCommitter(store, NewClock(), 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go made.run(ctx)
-	return made
+	go c.run(ctx)
+	return c
 }
 
 func TestCommitFates(t *testing.T) {
@@ -136,7 +136,7 @@
 	committer := startCommitter(t, store)
 	first := make(chan error, 1)
 	go func() { first <- committer.write(context.Background(), jobs.CancelRecord("first")) }()
-	for committer.open.Load() == 0 {
+	for committer.openGroups.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	gone, cancel := context.WithCancel(context.Background())
@@ -154,18 +154,20 @@
 	}
 }
 
-// outStore cannot be reached at all.
-type outStore struct{}
+// unreachableStore cannot be reached at all.
+type unreachableStore struct{}
 
-var errOut = errors.New("out of reach")
+var errUnreachable = errors.New("out of reach")
 
-func (outStore) Append(context.Context, int, []jobs.Record, *Fence) error { return ErrNotDone }
-func (outStore) Read(context.Context, Stream, int, int64, time.Duration) (Batch, error) {
-	return Batch{}, errOut
+func (unreachableStore) Append(context.Context, int, []jobs.Record, *Fence) error { return ErrNotDone }
+func (unreachableStore) Read(context.Context, Stream, int, int64, time.Duration) (Batch, error) {
+	return Batch{}, errUnreachable
+}
+func (unreachableStore) Newest(context.Context, Stream, int) (Batch, error) {
+	return Batch{}, errUnreachable
 }
-func (outStore) Newest(context.Context, Stream, int) (Batch, error) { return Batch{}, errOut }
 
-func quietLog() *logrus.Entry {
+func discardLog() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
@@ -173,9 +175,9 @@
 
 // Without the log, nothing is accepted, nothing is denied, and a refusal is
 // given at once with a time to come back.
-func TestWithoutTheLogNothingIsDenied(t *testing.T) {
+func TestUnreachableLogDeniesNoJob(t *testing.T) {
 	is := is.New(t)
-	instance := New(Settings{Name: "a", StoreParts: 8}, outStore{}, nil, nil, metrics.NewRegistry(), quietLog())
+	instance := New(Settings{Name: "a", StoreParts: 8}, unreachableStore{}, nil, nil, metrics.NewRegistry(), discardLog())
 	outcome := instance.Submit(context.Background(), &jobs.Submission{ID: "x", Steps: []jobs.Step{{Tasks: 1}}})
 	is.Equal(outcome.Verdict, NotRun)
 	is.True(outcome.RetryAfter > 0)
@@ -187,42 +189,42 @@
 
 // A read that begins before what is known, or leaves a gap, is not applied
 // twice nor out of order.
-func TestFollowerSkipsWhatItHas(t *testing.T) {
+func TestFollowerSkipsAppliedRecords(t *testing.T) {
 	is := is.New(t)
 	var seen []string
-	f := &follower{clock: NewClock(), log: quietLog(), lock: &sync.Mutex{}, next: 2, apply: func(batch Batch) {
+	f := &follower{clock: NewClock(), log: discardLog(), lock: &sync.Mutex{}, nextOffset: 2, apply: func(batch Batch) {
 		for _, record := range batch.Records {
 			seen = append(seen, record.Key)
 		}
 	}}
-	f.take(Batch{Records: []jobs.Record{{Key: "1"}, {Key: "2"}, {Key: "3"}}, Offsets: []int64{1, 2, 3}, Next: 4}, testNow)
-	f.take(Batch{Records: []jobs.Record{{Key: "2"}, {Key: "3"}}, Offsets: []int64{2, 3}, Next: 4}, testNow)
-	f.take(Batch{Records: []jobs.Record{{Key: "9"}}, Offsets: []int64{9}, Next: 10}, testNow)
+	f.applyBatch(Batch{Records: []jobs.Record{{Key: "1"}, {Key: "2"}, {Key: "3"}}, Offsets: []int64{1, 2, 3}, Next: 4}, testNow)
+	f.applyBatch(Batch{Records: []jobs.Record{{Key: "2"}, {Key: "3"}}, Offsets: []int64{2, 3}, Next: 4}, testNow)
+	f.applyBatch(Batch{Records: []jobs.Record{{Key: "9"}}, Offsets: []int64{9}, Next: 10}, testNow)
 	is.Equal(seen, []string{"2", "3"})
-	is.Equal(f.next, int64(4))
+	is.Equal(f.nextOffset, int64(4))
 }
 
 // After an append whose fate stayed open, nothing is sent until the store has
 // answered again: callers are told truthfully that their job did not run.
-func TestDoubtfulStoreIsNotWrittenTo(t *testing.T) {
+func TestUnresponsiveStoreIsNotWrittenTo(t *testing.T) {
 	is := is.New(t)
 	committer := startCommitter(t, &scriptedStore{results: []error{ErrUnknown, ErrUnknown}})
 	before := committer.clock.Now()
-	is.True(!committer.doubtful(before))
+	is.True(!committer.unresponsive(before))
 	is.Equal(committer.write(context.Background(), jobs.CancelRecord("a")), ErrUnknown)
-	for committer.lostAt.Load() == 0 {
+	for committer.unknownAt.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	is.True(committer.doubtful(before))
-	is.True(!committer.doubtful(committer.clock.Now().Add(time.Millisecond)))
+	is.True(committer.unresponsive(before))
+	is.True(!committer.unresponsive(committer.clock.Now().Add(time.Millisecond)))
 }
 
-func TestComeBackLaterEarlyInAnOutage(t *testing.T) {
+func TestRetryAfterIsLongerEarlyInOutage(t *testing.T) {
 	is := is.New(t)
-	is.Equal(comeBack(0, 0, false), retryAway)
-	is.Equal(comeBack(1, 0, false), retryEarly)
-	is.Equal(comeBack(1, youngOutage, false), retryAway)
-	is.Equal(comeBack(1, youngOutage, true), retryElsewhere)
+	is.Equal(retryDelayFor(0, 0, false), retryStoreDown)
+	is.Equal(retryDelayFor(1, 0, false), retryEarlyOutage)
+	is.Equal(retryDelayFor(1, earlyOutage, false), retryStoreDown)
+	is.Equal(retryDelayFor(1, earlyOutage, true), retryOtherInstance)
 }
 
 // lossyStore takes appends into its log and loses their answers.
@@ -242,7 +244,7 @@
 	return ErrUnknown
 }
 
-func (s *lossyStore) holds(_ context.Context, records []jobs.Record) (bool, error) {
+func (s *lossyStore) contains(_ context.Context, records []jobs.Record) (bool, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for _, record := range records {
@@ -260,17 +262,17 @@
 		is := is.New(t)
 		store := &lossyStore{}
 		committer := newCommitter(store, NewClock(), 1)
-		committer.readBack = store.holds
+		committer.readBack = store.contains
 		is.NoErr(committer.append(t.Context(), []*commit{{record: jobs.CancelRecord("a")}}))
 		is.Equal(store.appends, 1)
 		committer.readBack = func(context.Context, []jobs.Record) (bool, error) { return false, nil }
 		is.Equal(committer.append(t.Context(), []*commit{{record: jobs.CancelRecord("a")}}), ErrUnknown)
-		is.Equal(store.appends, 1+commitTries)
+		is.Equal(store.appends, 1+maxCommitTries)
 		// Where reads go unanswered too, others are asked without another try.
-		committer.readBack = func(context.Context, []jobs.Record) (bool, error) { return false, errOut }
+		committer.readBack = func(context.Context, []jobs.Record) (bool, error) { return false, errUnreachable }
 		err := committer.append(t.Context(), []*commit{{record: jobs.CancelRecord("a")}})
-		is.True(errors.Is(err, errOutOfReach) && errors.Is(err, ErrUnknown))
-		is.Equal(store.appends, 2+commitTries)
+		is.True(errors.Is(err, errStoreUnreachable) && errors.Is(err, ErrUnknown))
+		is.Equal(store.appends, 2+maxCommitTries)
 	})
 }
 
@@ -280,35 +282,35 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &lossyStore{}
-		instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), quietLog())
-		l := &leader{instance: instance, clock: instance.clock, log: quietLog()}
+		instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), discardLog())
+		l := &leader{instance: instance, clock: instance.clock, log: discardLog()}
 		sent := jobs.Term{Epoch: 3, Holder: "a/1", Renewals: 7}
 		writer := newFencedWriter(l, sent, 1)
 		record, err := jobs.TermRecord(jobs.Term{Epoch: 3, Holder: "a/1", Renewals: 6})
 		is.NoErr(err)
 		instance.fold.apply(statePart, Batch{Records: []jobs.Record{record}, Offsets: []int64{0}})
-		is.Equal(writer.states.try(t.Context(), nil), ErrUnknown)
+		is.Equal(writer.states.tryAppend(t.Context(), nil), ErrUnknown)
 		record, err = jobs.TermRecord(sent)
 		is.NoErr(err)
 		instance.fold.apply(statePart, Batch{Records: []jobs.Record{record}, Offsets: []int64{1}})
-		is.NoErr(writer.states.try(t.Context(), nil))
+		is.NoErr(writer.states.tryAppend(t.Context(), nil))
 	})
 }
 
-// partedStore keeps the appends of each part, and refuses epochs below the
+// partitionedStore keeps the appends of each part, and refuses epochs below the
 // highest of the part.
-type partedStore struct {
+type partitionedStore struct {
 	Store
 	lock   sync.Mutex
 	parts  map[int][]jobs.Record
 	epochs map[int]int64
 }
 
-func newPartedStore() *partedStore {
-	return &partedStore{parts: map[int][]jobs.Record{}, epochs: map[int]int64{}}
+func newPartitionedStore() *partitionedStore {
+	return &partitionedStore{parts: map[int][]jobs.Record{}, epochs: map[int]int64{}}
 }
 
-func (s *partedStore) Append(_ context.Context, part int, records []jobs.Record, fence *Fence) error {
+func (s *partitionedStore) Append(_ context.Context, part int, records []jobs.Record, fence *Fence) error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if fence != nil && fence.Epoch < s.epochs[part] {
@@ -321,7 +323,7 @@
 	return nil
 }
 
-func (s *partedStore) keys(part int) []string {
+func (s *partitionedStore) keys(part int) []string {
 	var keys []string
 	for _, record := range s.parts[part] {
 		keys = append(keys, record.Key)
@@ -329,25 +331,25 @@
 	return keys
 }
 
-func writerOf(store Store, epoch int64) *fencedWriter {
-	instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), quietLog())
-	l := &leader{instance: instance, clock: instance.clock, log: quietLog()}
+func newTestWriter(store Store, epoch int64) *fencedWriter {
+	instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), discardLog())
+	l := &leader{instance: instance, clock: instance.clock, log: discardLog()}
 	return newFencedWriter(l, jobs.Term{Epoch: epoch, Holder: "a/1"}, 1)
 }
 
 // Progress goes to a part of its own; only states come with the term, so that
 // standbys read little. A group counts only once both are durable.
-func TestProgressAndStatesLieApart(t *testing.T) {
+func TestProgressAndStatesUseSeparateParts(t *testing.T) {
 	is := is.New(t)
-	store := newPartedStore()
-	writer := writerOf(store, 3)
+	store := newPartitionedStore()
+	writer := newTestWriter(store, 3)
 	progress, err := jobs.ProgressRecord("a1", &jobs.Progress{State: jobs.StateDone})
 	is.NoErr(err)
-	is.NoErr(writer.write(t.Context(), group{details: []jobs.Record{progress}, states: []jobs.Record{jobs.StateRecord("a1", jobs.StateDone)}}))
+	is.NoErr(writer.writeGroup(t.Context(), recordGroup{progress: []jobs.Record{progress}, states: []jobs.Record{jobs.StateRecord("a1", jobs.StateDone)}}))
 	is.Equal(store.keys(7), []string{"mark", "p/a1"})
 	is.Equal(store.keys(statePart), []string{"term", "e/a1"})
 	store.epochs[7] = 9 // a later holder has fenced the progress
-	err = writer.write(t.Context(), group{details: []jobs.Record{progress}, states: []jobs.Record{jobs.StateRecord("a1", jobs.StateDone)}})
+	err = writer.writeGroup(t.Context(), recordGroup{progress: []jobs.Record{progress}, states: []jobs.Record{jobs.StateRecord("a1", jobs.StateDone)}})
 	is.True(errors.Is(err, ErrFenced))
 }
 
@@ -355,13 +357,13 @@
 // read after it.
 func TestFenceEndsFormerProgress(t *testing.T) {
 	is := is.New(t)
-	store := newPartedStore()
-	former, next := writerOf(store, 3), writerOf(store, 4)
+	store := newPartitionedStore()
+	former, next := newTestWriter(store, 3), newTestWriter(store, 4)
 	progress, err := jobs.ProgressRecord("a1", &jobs.Progress{State: jobs.StateRunning})
 	is.NoErr(err)
-	is.NoErr(former.write(t.Context(), group{details: []jobs.Record{progress}}))
-	is.NoErr(next.fence(t.Context()))
-	is.Equal(former.write(t.Context(), group{details: []jobs.Record{progress}}), ErrFenced)
+	is.NoErr(former.writeGroup(t.Context(), recordGroup{progress: []jobs.Record{progress}}))
+	is.NoErr(next.fenceProgress(t.Context()))
+	is.Equal(former.writeGroup(t.Context(), recordGroup{progress: []jobs.Record{progress}}), ErrFenced)
 	is.Equal(store.keys(7), []string{"mark", "p/a1", "mark"})
 }
 
@@ -372,14 +374,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &lossyStore{}
-		writer := writerOf(store, 3)
+		writer := newTestWriter(store, 3)
 		progress, err := jobs.ProgressRecord("a1", &jobs.Progress{State: jobs.StateRunning})
 		is.NoErr(err)
 		first := []jobs.Record{jobs.MarkRecord(3, 1), progress}
 		second := []jobs.Record{jobs.MarkRecord(3, 2), progress}
 		instance := writer.leader.instance
 		instance.fold.apply(7, Batch{Records: first, Offsets: []int64{0, 1}})
-		is.NoErr(writer.details.try(t.Context(), first))
-		is.Equal(writer.details.try(t.Context(), second), ErrUnknown)
+		is.NoErr(writer.progress.tryAppend(t.Context(), first))
+		is.Equal(writer.progress.tryAppend(t.Context(), second), ErrUnknown)
 	})
 }
--- a/batch/bounds.go
+++ b/batch/bounds.go
@@ -9,94 +9,94 @@
 
 // Bounds are the settings that may change while an instance runs.
 type Bounds struct {
-	Lease      time.Duration // longest lease a worker grants
-	StopWithin time.Duration // longest time a stop takes
-	Reclaim    time.Duration // within which guaranteed urgent jobs begin
-	KeepEnded  time.Duration // how long an ended job stays known
-	// Evacuate is within what time nothing starts any more in an evacuated availability
-	// zone; 0 where none is stated.
+	Lease      time.Duration // longest lease that a worker grants
+	StopWithin time.Duration // longest time that a stop takes
+	Reclaim    time.Duration // time within which guaranteed urgent jobs start
+	KeepEnded  time.Duration // retention of ended jobs
+	// Evacuate is the time after which nothing starts any more in an evacuated availability zone;
+	// 0 if no bound is set.
 	Evacuate time.Duration
 }
 
-// settleTime is how long after a change here others may still go by the bounds of before:
-// the instances read their settings at different times.
-const settleTime = 30 * time.Second
+// boundsPropagationTime is how long after a change here other instances may still use the previous
+// bounds: instances read their settings at different times.
+const boundsPropagationTime = 30 * time.Second
 
-// bounds are those in force at an instance. While others may go by former ones, the
-// shortest lease is asked for and the longest counts as granted, so that no instance holds
-// for lapsed what another has asked for.
+// bounds holds the bounds in force at an instance. While other instances may use previous bounds,
+// it requests the shortest lease and assumes the longest as granted, so that no instance treats a
+// lease as lapsed that another has requested.
 type bounds struct {
-	lock     sync.Mutex
-	current  Bounds
-	shortest time.Duration // of the leases of the instances until they have settled
-	longest  time.Duration
-	settled  time.Time
+	lock          sync.Mutex
+	current       Bounds
+	shortestLease time.Duration // of the instances' leases until the change has propagated
+	longestLease  time.Duration
+	propagatedAt  time.Time
 }
 
 func newBounds(first Bounds) *bounds {
-	return &bounds{current: first, shortest: first.Lease, longest: first.Lease}
+	return &bounds{current: first, shortestLease: first.Lease, longestLease: first.Lease}
 }
 
-// change puts new bounds in force.
-func (b *bounds) change(to Bounds, now time.Time) {
+// update puts new bounds in force.
+func (b *bounds) update(next Bounds, now time.Time) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.settle(now)
-	b.shortest = min(b.shortest, to.Lease)
-	b.longest = max(b.longest, to.Lease)
-	b.settled = now.Add(settleTime + placing.LeaseLapse(b.longest))
-	b.current = to
+	b.expireOldLeases(now)
+	b.shortestLease = min(b.shortestLease, next.Lease)
+	b.longestLease = max(b.longestLease, next.Lease)
+	b.propagatedAt = now.Add(boundsPropagationTime + placing.LeaseLapse(b.longestLease))
+	b.current = next
 }
 
-// settle ends what a former change asks for, once its time is over.
-func (b *bounds) settle(now time.Time) {
-	if now.Before(b.settled) {
+// expireOldLeases stops considering previous leases once the latest change has propagated.
+func (b *bounds) expireOldLeases(now time.Time) {
+	if now.Before(b.propagatedAt) {
 		return
 	}
-	b.shortest = b.current.Lease
-	b.longest = b.current.Lease
+	b.shortestLease = b.current.Lease
+	b.longestLease = b.current.Lease
 }
 
-func (b *bounds) newest() Bounds {
+func (b *bounds) latest() Bounds {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.current
 }
 
-// askedLease is the lease to ask workers for.
-func (b *bounds) askedLease(now time.Time) time.Duration {
+// leaseToRequest returns the lease to request from workers.
+func (b *bounds) leaseToRequest(now time.Time) time.Duration {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.settle(now)
-	return b.shortest
+	b.expireOldLeases(now)
+	return b.shortestLease
 }
 
-// grantedLease is the longest lease that any instance may have been granted.
-func (b *bounds) grantedLease(now time.Time) time.Duration {
+// maxGrantedLease returns the longest lease that any instance may have been granted.
+func (b *bounds) maxGrantedLease(now time.Time) time.Duration {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.settle(now)
-	return b.longest
+	b.expireOldLeases(now)
+	return b.longestLease
 }
 
 // SetBounds puts changed bounds in force. It may be called at any time.
-func (i *Instance) SetBounds(to Bounds) {
-	i.bounds.change(to, i.clock.Now())
+func (i *Instance) SetBounds(next Bounds) {
+	i.bounds.update(next, i.clock.Now())
 }
 
-// limits are what decisions go by, as of now.
+// limits returns the limits that scheduling decisions use now.
 func (i *Instance) limits() placing.Limits {
 	now := i.clock.Now()
-	current := i.bounds.newest()
+	current := i.bounds.latest()
 	return placing.Limits{
-		Lease:      i.bounds.grantedLease(now),
+		Lease:      i.bounds.maxGrantedLease(now),
 		StopWithin: current.StopWithin,
 		Reclaim:    current.Reclaim,
 		KeepEnded:  current.KeepEnded,
 		Evacuate:   current.Evacuate,
-		HolderGone: holderGone,
-		HandedOver: handOverGrace,
-		// An instance that drove workers for it does so until its grant is over.
-		HolderEnded: keepGrant,
+		HolderGone: leaderGiveUpTime,
+		HandedOver: handOverTimeout,
+		// A delegate may keep driving workers for an ended leader until its grant expires.
+		HolderEnded: grantDuration,
 	}
 }
--- a/batch/bounds_test.go
+++ b/batch/bounds_test.go
@@ -36,42 +36,42 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			b := newBounds(Bounds{Lease: c.leases[0]})
-			is.Equal(b.askedLease(start), c.leases[0])
-			is.Equal(b.grantedLease(start), c.leases[0])
+			is.Equal(b.leaseToRequest(start), c.leases[0])
+			is.Equal(b.maxGrantedLease(start), c.leases[0])
 			now := start
 			for _, lease := range c.leases[1:] {
 				now = now.Add(time.Second)
-				b.change(Bounds{Lease: lease}, now)
+				b.update(Bounds{Lease: lease}, now)
 			}
 			newest := c.leases[len(c.leases)-1]
-			is.Equal(b.newest().Lease, newest)
+			is.Equal(b.latest().Lease, newest)
 			// The last that another asked for by the bounds of before has not lapsed yet.
-			lastHeld := now.Add(settleTime + placing.LeaseLapse(longLease) - time.Millisecond)
+			lastHeld := now.Add(boundsPropagationTime + placing.LeaseLapse(longLease) - time.Millisecond)
 			for _, at := range []time.Time{now, lastHeld} {
-				is.Equal(b.askedLease(at), c.asked)
-				is.Equal(b.grantedLease(at), c.granted)
+				is.Equal(b.leaseToRequest(at), c.asked)
+				is.Equal(b.maxGrantedLease(at), c.granted)
 			}
 			settled := lastHeld.Add(time.Millisecond)
-			is.Equal(b.askedLease(settled), newest)
-			is.Equal(b.grantedLease(settled), newest)
+			is.Equal(b.leaseToRequest(settled), newest)
+			is.Equal(b.maxGrantedLease(settled), newest)
 		})
 	}
 }
 
 // A worker keeps to the longer lease that it was asked for before the bound shrank.
-func TestShorterLeaseDoesNotEndALongerOneEarly(t *testing.T) {
+func TestShorterLeaseBoundKeepsGrantedLease(t *testing.T) {
 	is := is.New(t)
 	link, _, _ := scriptedLink(nil)
-	link.host.bounds = newBounds(Bounds{Lease: longLease})
-	link.answered(1)
-	now := link.host.clock.Now()
-	link.extend(now)
+	link.env.bounds = newBounds(Bounds{Lease: longLease})
+	link.recordAnswer(1)
+	now := link.env.clock.Now()
+	link.extendLease(now)
 	granted := link.lapse()
-	link.host.bounds.change(Bounds{Lease: shortLease}, now)
-	link.extend(now.Add(100 * time.Millisecond))
+	link.env.bounds.update(Bounds{Lease: shortLease}, now)
+	link.extendLease(now.Add(100 * time.Millisecond))
 	is.Equal(link.lapse(), granted)
 	later := now.Add(3 * time.Second)
-	link.extend(later)
+	link.extendLease(later)
 	is.Equal(link.lapse(), later.Add(placing.LeaseLapse(shortLease)))
 }
 
@@ -81,17 +81,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		store := newPartedStore()
-		l := leaderOn(ctx, store, 3)
-		virtual(l.clock)
+		store := newPartitionedStore()
+		l := newTestLeader(ctx, store, 3)
+		useTestClock(l.clock)
 		l.writer.confirmedAt = l.clock.Now()
 		l.instance.SetBounds(Bounds{KeepEnded: time.Hour})
-		l.start(ctx, l.loop)
+		l.spawn(ctx, l.loop)
 		record, err := jobs.SubmissionRecord(&jobs.Submission{ID: "a1", Steps: []jobs.Step{{Tasks: 1}}})
-		l.instance.take(t, partOf("a1", 8), record, err)
-		l.instance.take(t, partOf("a1", 8), jobs.CancelRecord("a1"), nil)
+		l.instance.applyRecord(t, partOf("a1", 8), record, err)
+		l.instance.applyRecord(t, partOf("a1", 8), jobs.CancelRecord("a1"), nil)
 		forgotten := func() bool {
-			last := store.parts[detailPart(8)][len(store.parts[detailPart(8)])-1]
+			last := store.parts[progressPart(8)][len(store.parts[progressPart(8)])-1]
 			return last.Key == jobs.ForgetProgressRecord("a1").Key && len(last.Value) == 0
 		}
 		time.Sleep(10 * time.Minute)
@@ -100,6 +100,6 @@
 		time.Sleep(time.Minute)
 		is.True(forgotten())
 		cancel()
-		l.running.Wait()
+		l.wg.Wait()
 	})
 }
--- a/batch/claim.go
+++ b/batch/claim.go
@@ -8,22 +8,22 @@
 	"github.com/teaselcleat/teaselcleat/logstream"
 )
 
-// claimTerm tries to win the next term. Whether it was won, the fold tells.
+// claimTerm tries to win the next term. The fold shows whether it succeeded.
 func (i *Instance) claimTerm(ctx context.Context, current jobs.Term) {
-	if i.claimed.Epoch <= current.Epoch {
-		i.claimed = jobs.Term{Epoch: current.Epoch + 1, Holder: i.holder}
+	if i.lastClaim.Epoch <= current.Epoch {
+		i.lastClaim = jobs.Term{Epoch: current.Epoch + 1, Holder: i.identity}
 		i.claimSequence = i.randomSequence()
 	}
-	record, err := jobs.TermRecord(i.claimed)
+	record, err := jobs.TermRecord(i.lastClaim)
 	if err != nil {
 		i.log.WithField("error", err.Error()).Error("term_record")
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, claimAgain)
+	ctx, cancel := context.WithTimeout(ctx, claimInterval)
 	defer cancel()
-	fence := &Fence{Epoch: i.claimed.Epoch, Sequence: i.claimSequence}
+	fence := &Fence{Epoch: i.lastClaim.Epoch, Sequence: i.claimSequence}
 	err = i.store.Append(ctx, statePart, []jobs.Record{record}, fence)
-	i.log.WithField("epoch", i.claimed.Epoch).WithField("former", current.Holder).WithField("result", errorText(err)).Info("term_claimed")
+	i.log.WithField("epoch", i.lastClaim.Epoch).WithField("former", current.Holder).WithField("result", errorText(err)).Info("term_claimed")
 	if err == nil {
 		i.refreshTerm(ctx)
 	}
@@ -36,37 +36,37 @@
 	return err.Error()
 }
 
-// placingDuty claims the term when it is vacant and leads while it is held.
-func (i *Instance) placingDuty(ctx context.Context) {
-	vote := newElection(i.settings.Name, i.holder, claimRank(i.nameHash, i.settings.CPUShare))
-	relief := &relief{instance: i}
-	defer relief.running.Wait()
+// leaderDuty claims the term when it is vacant and leads while it is held.
+func (i *Instance) leaderDuty(ctx context.Context) {
+	e := newElection(i.settings.Name, i.identity, claimDelay(i.nameHash, i.settings.CPUShare))
+	relief := &stallTakeover{instance: i}
+	defer relief.wg.Wait()
 	for ctx.Err() == nil && i.settings.NotServed == "" {
 		select {
 		case <-i.fold.signal:
-		case <-time.After(leadTick):
+		case <-time.After(tickInterval):
 		}
 		if ctx.Err() != nil || i.draining.Load() {
-			logstream.Sleep(ctx, leadTick)
+			logstream.Sleep(ctx, tickInterval)
 			continue
 		}
 		now := i.clock.Now()
-		if !i.loaded() || !i.work.inContact() || i.Config() == nil {
-			vote.lost()
+		if !i.loaded() || !i.work.isReachable() || i.Config() == nil {
+			e.reset()
 			continue
 		}
-		before := vote.term
-		vote.see(i.term(), now)
-		if vote.held() && vote.term.Epoch == i.claimed.Epoch {
-			i.lead(ctx, vote.term, i.claimSequence, formerOf(before, vote.term, i.settings.Name))
-			vote.lost()
-			i.claimed = jobs.Term{}
+		previous := e.term
+		e.observe(i.term(), now)
+		if e.isLeader() && e.term.Epoch == i.lastClaim.Epoch {
+			i.lead(ctx, e.term, i.claimSequence, formerLeaderFate(previous, e.term, i.settings.Name))
+			e.reset()
+			i.lastClaim = jobs.Term{}
 			continue
 		}
-		relief.consider(ctx, vote.term)
-		vote.urge(i.asked.Load())
-		if vote.claim(i.work.heardAt(), now) {
-			i.claimTerm(ctx, vote.term)
+		relief.maybeStart(ctx, e.term)
+		e.requestClaim(i.requestedEpoch.Load())
+		if e.shouldClaim(i.work.lastAnswer(), now) {
+			i.claimTerm(ctx, e.term)
 		}
 	}
 }
--- a/batch/clock.go
+++ b/batch/clock.go
@@ -6,34 +6,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock gives a steady time that goes on while the machine is suspended. Times
-// it returns compare with each other only.
+// Clock provides a monotonic time that includes time spent suspended. Its times are comparable
+// only with each other.
 type Clock struct {
-	wallStart time.Time // time of day at the start, kept as jumps must not move due times
+	wallStart time.Time // time of day at the start; later clock jumps must not move due times
 	start     time.Time
-	steady    func() time.Time
+	readTime  func() time.Time
 }
 
 // NewClock returns a clock that takes its time of day from now.
 func NewClock() *Clock {
-	return &Clock{wallStart: time.Now().Round(0), start: steadyNow(), steady: steadyNow}
+	return &Clock{wallStart: time.Now().Round(0), start: bootTimeNow(), readTime: bootTimeNow}
 }
 
-// Now is the steady time.
-func (c *Clock) Now() time.Time { return c.steady() }
+// Now returns the monotonic time.
+func (c *Clock) Now() time.Time { return c.readTime() }
 
-// WallMS is the time of day, in milliseconds since 1970, at a steady time. It
-// follows the time of day at the process's start, not later jumps of it.
+// WallMS converts a monotonic time to the time of day, in milliseconds since 1970. It is based on
+// the time of day at process start and ignores later jumps.
 func (c *Clock) WallMS(at time.Time) int64 {
 	return c.wallStart.Add(at.Sub(c.start)).UnixMilli()
 }
 
-// steadyNow reads CLOCK_BOOTTIME, which unlike Go's monotonic clock counts the
-// time of a suspension.
-func steadyNow() time.Time {
+// bootTimeNow reads CLOCK_BOOTTIME, which unlike Go's monotonic clock includes time spent
+// suspended.
+func bootTimeNow() time.Time {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		panic("batch: no steady clock: " + err.Error())
+		panic("batch: CLOCK_BOOTTIME is unavailable: " + err.Error())
 	}
 	return time.Unix(now.Sec, now.Nsec)
 }
--- a/batch/commit.go
+++ b/batch/commit.go
@@ -14,175 +14,173 @@
 )
 
 const (
-	// statePart is the part of the work stream with the term and the states of
-	// jobs. The placing instance writes it, and every instance reads it.
+	// statePart is the part of the work stream with the term and the job states. The leader writes
+	// it and every instance reads it.
 	statePart = 0
-	// callParts is the number of parts for what callers hand in, if the store has
-	// so many: it works on one append of a part at a time, which takes 0.3 s while
-	// it is slow. Each is one more long read in every instance.
-	callParts = 6
-	// commitRing bounds the records that wait to be appended; with groups of
-	// up to commitGroup at 4 ms each, a full ring is half a second of work.
-	commitRing  = 512
-	commitGroup = 64
-	// commitTries is how often a group is sent; its records are harmless when
-	// written twice.
-	commitTries = 2
-	// readBackTimeout bounds a look at the log for an append without an answer;
-	// reads take milliseconds, and up to 0.4 s while the store is slow: looks that
-	// were given up then passed for a store out of reach.
+	// maxCallParts bounds the number of parts for callers' records. The store processes one append
+	// of a part at a time, which takes 0.3 s while it is slow. Each part adds one more long read
+	// on every instance.
+	maxCallParts = 6
+	// commitQueueSize bounds the records that wait to be appended. With groups of up to
+	// maxCommitGroup at 4 ms each, a full queue is half a second of work.
+	commitQueueSize = 512
+	maxCommitGroup  = 64
+	// maxCommitTries bounds how often a group is sent. Appending its records twice is harmless.
+	maxCommitTries = 2
+	// readBackTimeout bounds a read-back of an append without an answer. Reads take milliseconds,
+	// and up to 0.4 s while the store is slow; a shorter timeout mistook a slow store for an
+	// unreachable one.
 	readBackTimeout = 600 * time.Millisecond
-	// slowLook is how long a look takes at least if the store is slow. Appends of a
-	// part then wait for each other for up to two seconds, so the answer is waited for
-	// until slowMost, and nothing is sent again: with repeats after 0.6 s the parts
-	// were full for six seconds, and 161 of some 280 answers said neither yes nor no.
-	slowLook = 60 * time.Millisecond
-	slowMost = 2500 * time.Millisecond
-	// commitOpen bounds the groups of a part whose fate is open; new records are
-	// refused at once beyond it. A group is open for three seconds at most, and the
-	// next is sent after 0.6 s.
-	commitOpen = 8
+	// slowReadThreshold is the duration of a read-back from which the store counts as slow.
+	// Appends of a part then wait for each other for up to two seconds, so the committer waits
+	// until slowStoreTimeout and sends nothing again: with repeats after 0.6 s the parts were full
+	// for six seconds, and 161 of some 280 submissions got no definite answer.
+	slowReadThreshold = 60 * time.Millisecond
+	slowStoreTimeout  = 2500 * time.Millisecond
+	// maxOpenGroups bounds the unresolved groups of a part; beyond it new records are refused at
+	// once. A group stays unresolved for three seconds at most, and the next is sent after 0.6 s.
+	maxOpenGroups = 8
 )
 
-// detailPart is the part with the progress of jobs, the last one. The placing
-// instance writes it, and those read it that may place: it has tens of times as
-// much as all others. A store with few parts has none of its own for it.
-func detailPart(parts int) int {
+// progressPart returns the part with job progress, which is the last one. The leader writes it and
+// only instances that may become leader read it, because it has tens of times the data of the
+// others. A store with few parts has no separate part for it.
+func progressPart(parts int) int {
 	if parts < 3 {
 		return statePart
 	}
 	return parts - 1
 }
 
-// callPartsOf is how many parts hold what callers hand in.
-func callPartsOf(parts int) int {
+// callPartCount returns how many parts hold callers' records.
+func callPartCount(parts int) int {
 	if parts < 3 {
 		return parts - 1
 	}
-	return min(callParts, parts-2)
+	return min(maxCallParts, parts-2)
 }
 
-// partOf is the part that holds what callers' records say of a subject, so that
-// one part tells whether a job is known.
+// partOf returns the part that holds callers' records about a subject, so that one part shows
+// whether a job exists.
 func partOf(subject string, parts int) int {
 	if parts < 2 {
 		return statePart
 	}
-	return 1 + int(xxhash.Sum64String(subject)%uint64(callPartsOf(parts)))
+	return 1 + int(xxhash.Sum64String(subject)%uint64(callPartCount(parts)))
 }
 
 // States of a commit.
 const (
-	commitWaiting int32 = iota
-	commitTaken         // by the duty that appends
-	commitGivenUp       // by its caller, before it was taken
-	commitLeft          // by its caller, afterwards
+	commitQueued    int32 = iota
+	commitTaken           // by the committer, for appending
+	commitWithdrawn       // by its caller, before it was taken for appending
+	commitAbandoned       // by its caller, after it was taken
 )
 
-// commit is a record on its way to the log.
+// commit is a record to be appended to the log.
 type commit struct {
 	record jobs.Record
 	state  atomic.Int32
 	result chan error // nil, ErrNotDone or ErrUnknown; buffered
 }
 
-// readBack reads the log and reports whether all of some records are in it.
-type readBack func(ctx context.Context, records []jobs.Record) (found bool, err error)
+// readBackFunc reads the log and reports whether it contains all of the records.
+type readBackFunc func(ctx context.Context, records []jobs.Record) (found bool, err error)
 
-// errOutOfReach says that an append got no answer and a look at the log
-// neither, so that the store is away or this instance is cut off from it.
-var errOutOfReach = eris.Wrap(ErrUnknown, "the store is out of reach")
+// errStoreUnreachable reports that neither an append nor a read-back was answered: the store is
+// down or this instance is cut off from it.
+var errStoreUnreachable = eris.Wrap(ErrUnknown, "the store is out of reach")
 
 // committer appends the records of this instance's callers in groups.
 type committer struct {
-	store    Store
-	clock    *Clock
-	readBack readBack // nil if the log cannot be looked at
-	part     int
-	ring     *ring.Ring[*commit]
-	patience patience
-	open     atomic.Int32 // groups on their way, or whose fate is being found out
-	slow     atomic.Bool  // as the newest look at the log showed
-	lostAt   atomic.Int64 // steady nanoseconds of the last append whose fate stayed open
+	store      Store
+	clock      *Clock
+	readBack   readBackFunc // nil if appends cannot be read back
+	part       int
+	queue      *ring.Ring[*commit]
+	timeout    adaptiveTimeout
+	openGroups atomic.Int32 // groups sent or being resolved
+	storeSlow  atomic.Bool  // according to the newest read-back
+	unknownAt  atomic.Int64 // boot time in nanoseconds of the last append with an unknown outcome
 }
 
 func newCommitter(store Store, clock *Clock, part int) *committer {
-	return &committer{store: store, clock: clock, part: part, ring: ring.New[*commit](commitRing)}
+	return &committer{store: store, clock: clock, part: part, queue: ring.New[*commit](commitQueueSize)}
 }
 
-// doubtful reports whether an append got no answer and the store has answered
-// nothing since; heardAt is when it last did. What is sent then would mostly be
-// open too, and callers cannot be told that it did not run.
-func (c *committer) doubtful(heardAt time.Time) bool {
-	return heardAt.UnixNano() <= c.lostAt.Load()
+// unresponsive reports whether an append got no answer and the store has answered nothing since;
+// the argument is the time of its last answer. Outcomes of new appends would mostly be unknown
+// too, and callers could not be told that their call had no effect.
+func (c *committer) unresponsive(answeredAt time.Time) bool {
+	return answeredAt.UnixNano() <= c.unknownAt.Load()
 }
 
-// write appends a record and waits for its fate. ErrNotDone says that it never
-// takes effect; ErrUnknown that it may.
+// write appends a record and waits for the outcome. ErrNotDone means that the record never takes
+// effect; ErrUnknown that it may.
 func (c *committer) write(ctx context.Context, record jobs.Record) error {
-	made := &commit{record: record, result: make(chan error, 1)}
-	if c.open.Load() >= commitOpen || !c.ring.Offer(made) {
+	pending := &commit{record: record, result: make(chan error, 1)}
+	if c.openGroups.Load() >= maxOpenGroups || !c.queue.Offer(pending) {
 		return ErrNotDone
 	}
 	select {
-	case err := <-made.result:
+	case err := <-pending.result:
 		return err
 	case <-ctx.Done():
 	}
-	if made.state.CompareAndSwap(commitWaiting, commitGivenUp) {
+	if pending.state.CompareAndSwap(commitQueued, commitWithdrawn) {
 		return ErrNotDone
 	}
-	made.state.Store(commitLeft)
+	pending.state.Store(commitAbandoned)
 	return ErrUnknown
 }
 
 func (c *committer) run(ctx context.Context) {
 	for {
-		first, ok := c.ring.Take(ctx)
+		first, ok := c.queue.Take(ctx)
 		if !ok {
 			return
 		}
-		group := c.gather(first)
+		group := c.takeGroup(first)
 		if len(group) == 0 {
 			continue
 		}
-		c.open.Add(1)
+		c.openGroups.Add(1)
 		overtaken := make(chan struct{})
-		go c.settle(ctx, group, overtaken)
+		go c.sendGroup(ctx, group, overtaken)
 		<-overtaken
 	}
 }
 
-// gather takes what waits, but for what its callers have given up.
-func (c *committer) gather(first *commit) []*commit {
+// takeGroup takes the queued records, except those that their callers have withdrawn.
+func (c *committer) takeGroup(first *commit) []*commit {
 	var group []*commit
 	next, waiting := first, true
 	for waiting {
-		if next.state.CompareAndSwap(commitWaiting, commitTaken) {
+		if next.state.CompareAndSwap(commitQueued, commitTaken) {
 			group = append(group, next)
 		}
-		if len(group) == commitGroup {
+		if len(group) == maxCommitGroup {
 			break
 		}
-		next, waiting = c.ring.TryTake()
+		next, waiting = c.queue.TryTake()
 	}
 	return group
 }
 
-// append sends a group until its fate is known or the tries are used up. Once a
-// try went unanswered, later refusals do not make the group undone.
+// append sends a group until its outcome is known or all tries are used. Once a try went
+// unanswered, a later refusal does not prove that the group had no effect.
 func (c *committer) append(ctx context.Context, group []*commit) error {
 	records := recordsOf(group)
 	unknown := false
-	for try := 0; try < commitTries; try++ {
-		err := c.try(ctx, records)
+	for try := 0; try < maxCommitTries; try++ {
+		err := c.tryAppend(ctx, records)
 		if err == nil {
 			return nil
 		}
 		if errors.Is(err, ErrNotDone) && !unknown {
 			return ErrNotDone
 		}
-		if errors.Is(err, errOutOfReach) {
+		if errors.Is(err, errStoreUnreachable) {
 			return err
 		}
 		unknown = true
@@ -190,74 +188,75 @@
 	return ErrUnknown
 }
 
-// try sends a group once. Half way through its patience, and at the end of it,
-// the log is read for the group: an answer may be lost though the append took
-// effect, and sending it again makes a slow store slower.
-func (c *committer) try(ctx context.Context, records []jobs.Record) error {
-	limit := c.patience.limit()
-	ctx, cancel := context.WithTimeout(ctx, max(limit, slowMost))
+// tryAppend sends a group once. Halfway through the timeout and at its end it reads the group
+// back: the answer may be lost although the append took effect, and sending the group again makes
+// a slow store slower.
+func (c *committer) tryAppend(ctx context.Context, records []jobs.Record) error {
+	limit := c.timeout.current()
+	ctx, cancel := context.WithTimeout(ctx, max(limit, slowStoreTimeout))
 	defer cancel()
 	sent := c.clock.Now()
 	answer := make(chan error, 1)
 	go func() { answer <- c.store.Append(ctx, c.part, records, nil) }()
-	err := c.await(ctx, answer, records, limit)
+	err := c.awaitAnswer(ctx, answer, records, limit)
 	if errors.Is(err, ErrUnknown) {
-		c.patience.lost()
+		c.timeout.recordLoss()
 		return err
 	}
-	c.patience.answered(c.clock.Now().Sub(sent))
+	c.timeout.observe(c.clock.Now().Sub(sent))
 	return err
 }
 
-// await waits for an append's answer, and looks at the log meanwhile: for limit, or
-// longer if the look shows that the store is slow.
-func (c *committer) await(ctx context.Context, answer <-chan error, records []jobs.Record, limit time.Duration) error {
+// awaitAnswer waits for an append's answer and reads the records back meanwhile. It waits for
+// limit, or longer if the read-back shows that the store is slow.
+func (c *committer) awaitAnswer(ctx context.Context, answer <-chan error, records []jobs.Record, limit time.Duration) error {
 	sent := c.clock.Now()
-	look := time.NewTimer(limit / 2)
-	defer look.Stop()
+	timer := time.NewTimer(limit / 2)
+	defer timer.Stop()
 	select {
 	case err := <-answer:
-		return c.unlessRead(ctx, err, records)
-	case <-look.C:
+		return c.resolveUnknown(ctx, err, records)
+	case <-timer.C:
 	}
 	began := c.clock.Now()
-	if found, err := c.inLog(ctx, records); found || err != nil {
+	if found, err := c.isInLog(ctx, records); found || err != nil {
 		return err
 	}
-	if c.sawSlow(began) {
-		limit = max(limit, slowMost)
+	if c.recordReadTime(began) {
+		limit = max(limit, slowStoreTimeout)
 	}
-	end := time.NewTimer(limit - c.clock.Now().Sub(sent))
-	defer end.Stop()
+	deadline := time.NewTimer(limit - c.clock.Now().Sub(sent))
+	defer deadline.Stop()
 	select {
 	case err := <-answer:
-		return c.unlessRead(ctx, err, records)
-	case <-end.C:
-		return c.unlessRead(ctx, ErrUnknown, records)
+		return c.resolveUnknown(ctx, err, records)
+	case <-deadline.C:
+		return c.resolveUnknown(ctx, ErrUnknown, records)
 	}
 }
 
-// sawSlow notes whether a look that began at some time showed a slow store.
-func (c *committer) sawSlow(began time.Time) bool {
-	slow := c.clock.Now().Sub(began) >= slowLook
-	c.slow.Store(slow)
+// recordReadTime records whether a read-back that began at the given time was slow, and returns
+// the result.
+func (c *committer) recordReadTime(began time.Time) bool {
+	slow := c.clock.Now().Sub(began) >= slowReadThreshold
+	c.storeSlow.Store(slow)
 	return slow
 }
 
-// unlessRead resolves an append without an answer by a look at the log.
-func (c *committer) unlessRead(ctx context.Context, answered error, records []jobs.Record) error {
-	if !errors.Is(answered, ErrUnknown) {
-		return answered
+// resolveUnknown reads the log back if the append got no answer.
+func (c *committer) resolveUnknown(ctx context.Context, appendErr error, records []jobs.Record) error {
+	if !errors.Is(appendErr, ErrUnknown) {
+		return appendErr
 	}
-	found, err := c.inLog(ctx, records)
+	found, err := c.isInLog(ctx, records)
 	if found || err != nil {
 		return err
 	}
-	return answered
+	return appendErr
 }
 
-// inLog looks at the log for a group. An error is errOutOfReach.
-func (c *committer) inLog(ctx context.Context, records []jobs.Record) (bool, error) {
+// isInLog reads a group back. Its only error is errStoreUnreachable.
+func (c *committer) isInLog(ctx context.Context, records []jobs.Record) (bool, error) {
 	if c.readBack == nil {
 		return false, nil
 	}
@@ -265,7 +264,7 @@
 	defer cancel()
 	found, err := c.readBack(ctx, records)
 	if err != nil {
-		return false, errOutOfReach
+		return false, errStoreUnreachable
 	}
 	return found, nil
 }
--- a/batch/config.go
+++ b/batch/config.go
@@ -6,28 +6,28 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// Queue is a kind of jobs and where callers hand them in.
+// Queue is a class of jobs and the address at which callers submit them.
 type Queue struct {
 	jobs.Queue
-	Host       string // name that the call must be addressed to
-	PathPrefix string // longest match decides
-	Public     bool   // calls need no key
+	Host       string // host name that the call must be addressed to
+	PathPrefix string // the longest match wins
+	Public     bool   // calls need no API key
 }
 
-// Config is one whole configuration by the operators. It is never changed once
-// built, so that a request keeps one value from start to end.
+// Config is one complete operator configuration. It is immutable, so that a request sees one
+// version from start to end.
 type Config struct {
 	Version       int64
 	MaxBodyBytes  int64
 	Queues        []Queue
-	Pools         []string          // of workers that are named
-	Unguarded     map[string]bool   // pools whose workers start what they are told, room or not
-	WorkspaceKeys map[string]string // API key to workspace
-	Guarantees    map[string]int64  // accelerators that belong to a workspace
+	Pools         []string          // names of the worker pools
+	Unguarded     map[string]bool   // pools whose workers start tasks without checking capacity
+	WorkspaceKeys map[string]string // workspace by API key
+	Guarantees    map[string]int64  // guaranteed accelerators by workspace
 }
 
-// Route returns the queue that serves a path of a host, and what follows its
-// prefix; ok is false if none does.
+// Route returns the queue that serves a path of a host and the rest of the path after the queue's
+// prefix; ok is false if no queue matches.
 func (c *Config) Route(host, path string) (queue *Queue, rest string, ok bool) {
 	for index := range c.Queues {
 		candidate := &c.Queues[index]
@@ -44,9 +44,9 @@
 	return queue, path[len(queue.PathPrefix):], true
 }
 
-// Workspace returns the workspace of a key; ok is false if the queue needs a
-// key and this is none.
+// Workspace returns the workspace of an API key; ok is false if the queue requires a key and this
+// one is not valid.
 func (c *Config) Workspace(queue *Queue, key string) (workspace string, ok bool) {
-	workspace, known := c.WorkspaceKeys[key]
-	return workspace, known || queue.Public
+	workspace, found := c.WorkspaceKeys[key]
+	return workspace, found || queue.Public
 }
--- a/batch/config_test.go
+++ b/batch/config_test.go
@@ -21,10 +21,10 @@
 
 func TestMain(m *testing.M) { prooftest.Main(m, propertySteps) }
 
-// versions decodes configurations that are their version alone.
-type versions struct{ Decoder }
+// versionDecoder decodes configurations that are their version alone.
+type versionDecoder struct{ Decoder }
 
-func (versions) Config(record jobs.Record) (*Config, bool, error) {
+func (versionDecoder) Config(record jobs.Record) (*Config, bool, error) {
 	version, err := strconv.ParseInt(string(record.Value), 10, 64)
 	return &Config{Version: version}, true, err
 }
@@ -33,7 +33,7 @@
 // tail, doubled or unreadable, the version in force never falls.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		instance := New(Settings{Name: "a", StoreParts: 8}, outStore{}, versions{}, nil, metrics.NewRegistry(), quietLog())
+		instance := New(Settings{Name: "a", StoreParts: 8}, unreachableStore{}, versionDecoder{}, nil, metrics.NewRegistry(), discardLog())
 		highest := int64(0)
 		for _, version := range rapid.SliceOfN(rapid.Int64Range(-1, 9), 1, 20).Draw(t, "versions") {
 			value := strconv.FormatInt(version, 10)
@@ -71,7 +71,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &pausingStore{waiting: make(chan struct{})}
-		instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), quietLog())
+		instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), discardLog())
 		f := instance.calls[0]
 		f.loaded = true
 		ctx, cancel := context.WithCancel(t.Context())
@@ -80,10 +80,10 @@
 		synctest.Wait()
 		is.Equal(store.reads.Load(), int64(1)) // in the pause after a record
 		begin := time.Now()
-		f.rouse()
+		f.wake()
 		<-store.waiting // in the long read
 		is.Equal(time.Since(begin), time.Duration(0))
-		f.rouse()
+		f.wake()
 		synctest.Wait()
 		is.True(store.reads.Load() >= 3)
 		is.Equal(f.failures, 0)
--- a/batch/keeper_test.go
+++ b/batch/delegation_test.go
@@ -18,13 +18,13 @@
 		is := is.New(t)
 		link, workers, _ := scriptedLink(taken)
 		granted := true
-		link.host.granted = func() bool { return granted }
+		link.env.hasGrant = func() bool { return granted }
 		_, _, err := link.hold(t.Context(), 0)
 		is.NoErr(err)
 		granted = false
 		_, _, err = link.hold(t.Context(), 0)
-		is.Equal(err, errNotGranted)
-		is.Equal(link.try(t.Context(), nil, func(context.Context) error { return nil }), errNotGranted)
+		is.Equal(err, errNoGrant)
+		is.Equal(link.sendOnce(t.Context(), nil, func(context.Context) error { return nil }), errNoGrant)
 		is.Equal(workers.calls, 1)
 	})
 }
@@ -35,18 +35,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := NewClock()
-		virtual(clock)
-		k := &keeping{clock: clock, out: newKeptBox()}
-		is.True(!k.granted()) // nothing was heard yet
+		useTestClock(clock)
+		k := &delegation{clock: clock, outbox: newOutbox()}
+		is.True(!k.hasGrant()) // nothing was heard yet
 		asked := clock.Now().UnixNano()
-		time.Sleep(keepGrant / 2)
-		k.hear(&relaypb.Orders{Clock: 1, Echo: asked})
-		is.True(k.granted())
-		time.Sleep(keepGrant / 2)
-		is.True(!k.granted())
-		is.True(k.abandoned())
-		k.hear(&relaypb.Orders{Clock: 1, Echo: asked})
-		is.True(!k.granted())
+		time.Sleep(grantDuration / 2)
+		k.renewGrant(&relaypb.Orders{Clock: 1, Echo: asked})
+		is.True(k.hasGrant())
+		time.Sleep(grantDuration / 2)
+		is.True(!k.hasGrant())
+		is.True(k.grantExpired())
+		k.renewGrant(&relaypb.Orders{Clock: 1, Echo: asked})
+		is.True(!k.hasGrant())
 	})
 }
 
@@ -54,17 +54,17 @@
 // asked for late enough to tell what became of it; then no more until there is news.
 func TestReportsThatSayNothingNewAreNotPassedOn(t *testing.T) {
 	is := is.New(t)
-	box := newKeptBox()
+	box := newOutbox()
 	at := func(ms int) time.Time { return testNow.Add(time.Duration(ms) * time.Millisecond) }
 	put := func(ms int, running int) int {
-		answer := holdAnswered{worker: "w", sent: at(ms)}
+		answer := holdReply{worker: "w", sent: at(ms)}
 		answer.report.Running = make([]placing.RunningTask, running)
 		box.put(answer)
 		return len(box.take())
 	}
 	is.Equal(put(0, 0), 1)
 	is.Equal(put(2000, 0), 0)
-	box.ordered("w", at(3000))
+	box.recordOrder("w", at(3000))
 	is.Equal(put(2900, 0), 1) // sent before the order: it tells nothing of it
 	is.Equal(put(3100, 0), 1)
 	is.Equal(put(4100, 0), 1) // the holder knows by now that the order was answered
@@ -73,7 +73,7 @@
 	is.Equal(put(10000, 1), 1)
 	is.Equal(put(12000, 0), 1) // what ran is gone
 	is.Equal(put(14000, 0), 0)
-	box.put(unreachable{worker: "w"})
+	box.put(holdFailure{worker: "w"})
 	is.Equal(len(box.take()), 1)
 	is.Equal(put(16000, 0), 1) // it answers again
 }
@@ -81,20 +81,20 @@
 // Of each worker the newest word alone waits to be told, so the box is bounded.
 func TestOnlyTheNewestWordOfAWorkerWaits(t *testing.T) {
 	is := is.New(t)
-	box := newKeptBox()
+	box := newOutbox()
 	for range 100 {
-		box.put(holdAnswered{worker: "w", report: HoldReport{Running: make([]placing.RunningTask, 1)}})
+		box.put(holdReply{worker: "w", report: HoldReport{Running: make([]placing.RunningTask, 1)}})
 	}
-	box.put(unreachable{worker: "w"})
+	box.put(holdFailure{worker: "w"})
 	list := box.take()
 	is.Equal(len(list), 1)
-	_, silent := list[0].(unreachable)
+	_, silent := list[0].(holdFailure)
 	is.True(silent)
-	for number := range 3 * boxReports {
-		box.put(unreachable{worker: string(rune('a' + number))})
+	for number := range 3 * maxReportsPerMessage {
+		box.put(holdFailure{worker: string(rune('a' + number))})
 	}
-	is.Equal(len(box.take()), boxReports)
-	is.Equal(len(box.take()), boxReports)
+	is.Equal(len(box.take()), maxReportsPerMessage)
+	is.Equal(len(box.take()), maxReportsPerMessage)
 }
 
 // Times in reports lead to no conclusion too early: a hold counts as sent no later
@@ -103,16 +103,16 @@
 	is := is.New(t)
 	way := 30 * time.Millisecond // of a message
 	ahead := time.Hour           // of the keeping instance's clock
-	k := &keeping{clock: NewClock(), out: newKeptBox()}
+	k := &delegation{clock: NewClock(), outbox: newOutbox()}
 	now := testNow.Add(ahead + way)
-	k.clock.steady = func() time.Time { return now }
-	k.hear(&relaypb.Orders{Clock: testNow.UnixNano(), Echo: 1})
+	k.clock.readTime = func() time.Time { return now }
+	k.renewGrant(&relaypb.Orders{Clock: testNow.UnixNano(), Echo: 1})
 	sent, lapse := now.Add(time.Second), now.Add(7*time.Second)
-	k.out.put(holdAnswered{worker: "w", sent: sent, lapseAt: lapse, report: HoldReport{Running: make([]placing.RunningTask, 1)}})
+	k.outbox.put(holdReply{worker: "w", sent: sent, lapseAt: lapse, report: HoldReport{Running: make([]placing.RunningTask, 1)}})
 	now = now.Add(2 * time.Second)
-	message := k.message(false)
+	message := k.nextMessage(false)
 	came := now.Add(way - ahead) // on the holder's clock
-	report := reportOf(message.Reports[0], came)
+	report := reportFromPB(message.Reports[0], came)
 	is.True(!report.sent.After(sent.Add(-ahead)))
 	is.True(report.sent.After(sent.Add(-ahead - 2*way)))
 	is.True(!report.lapseAt.Before(lapse.Add(-ahead)))
--- /dev/null
+++ b/batch/dispatchers.go
@@ -0,0 +1,332 @@
+package batch
+
+import (
+	"context"
+	"time"
+
+	"github.com/teaselcleat/teaselcleat/placing"
+	"github.com/teaselcleat/teaselcleat/relay"
+	"github.com/teaselcleat/teaselcleat/relay/relaypb"
+	"github.com/teaselcleat/teaselcleat/sharing"
+)
+
+const (
+	// minSessionBackoff is the backoff of an instance after its session ended. It doubles up to
+	// maxSessionBackoff while its sessions last no longer than that.
+	minSessionBackoff = 3 * time.Second
+	maxSessionBackoff = 30 * time.Second
+	// sessionOpenWait is how long a worker waits for sessions that are being opened before an open
+	// one takes it. Opening takes milliseconds; instances that are not reached by then may belong
+	// to a lost availability zone.
+	sessionOpenWait = 100 * time.Millisecond
+	// capacityWait replaces sessionOpenWait while all open sessions have full shards: other
+	// instances are starting, as after a loss of all instances.
+	capacityWait = time.Second
+	// avoidDuration is how long a worker is not assigned to an instance from which it did not
+	// answer; it may answer another instance if only the network path is cut.
+	avoidDuration = 8 * time.Second
+	// idleAssignInterval is the interval between assignment passes while nothing changes.
+	idleAssignInterval = 500 * time.Millisecond
+)
+
+// workerEvent is an answer or a report about one worker.
+type workerEvent interface {
+	event
+	workerID() string
+}
+
+func (h holdReply) workerID() string         { return h.worker }
+func (u holdFailure) workerID() string       { return u.worker }
+func (r incarnationChange) workerID() string { return r.worker }
+func (r workerReleased) workerID() string    { return r.worker }
+func (s startReply) workerID() string        { return s.worker }
+func (s stopReply) workerID() string         { return s.worker }
+func (p paceReply) workerID() string         { return p.pace.Worker }
+
+// dispatcher carries out the leader's orders to workers: the leader's own set of links, or a
+// session with a delegate.
+type dispatcher interface {
+	addWorker(entry placing.WorkerEntry)
+	removeWorker(worker string)
+	start(order placing.Start, open bool) // open: another dispatcher may have sent it before
+	stop(order placing.Stop)
+	pace(order placing.Pace)
+	acknowledge(worker string, number int64)
+}
+
+// assignedWorker is the leader's record of which instance dispatches to a worker.
+type assignedWorker struct {
+	entry         placing.WorkerEntry
+	instance      string // name of the dispatching instance; ownInstance for the leader
+	state         assignmentState
+	avoidInstance string // instance from which the worker did not answer; avoided until avoidUntil
+
+	unassignedSince time.Time // time since which the worker has had no dispatcher
+	avoidUntil      time.Time
+	minLapse        time.Time                  // no lease there lapses earlier, whatever the current dispatcher reports
+	pendingStarts   map[startKey]placing.Start // starts sent and not answered
+}
+
+// assignmentState tells whether an instance may give orders to a worker.
+type assignmentState int
+
+const (
+	unassigned assignmentState = iota // waits for sessions to open
+	assigned                          // to instance
+	releasing                         // instance has been told to release the worker
+)
+
+// ownInstance stands for the leader's own instance.
+const ownInstance = ""
+
+// dispatchers routes the leader's orders to workers: over its own links or, in large deployments,
+// through delegates that each drive a shard of the workers. The leader's loop calls its methods.
+type dispatchers struct {
+	leader        *leader
+	ownLinks      *linkSet
+	workers       map[string]*assignedWorker
+	sessions      map[string]*session // current open sessions by instance
+	opening       map[string]time.Time
+	backoffs      map[string]sessionBackoffState
+	dial          func(ctx context.Context, address string, keep *relaypb.Keep) (*relay.Stream, error)
+	sharing       sharing.Switch
+	shared        bool
+	changed       bool // sessions or workers have changed since the last assignment pass
+	hasUnassigned bool // workers had no dispatcher after the last assignment pass
+	assignedAt    time.Time
+}
+
+// sessionBackoffState is the backoff of an instance that is not requested to drive workers.
+type sessionBackoffState struct {
+	until time.Time
+	delay time.Duration
+}
+
+func newDispatchers(l *leader) *dispatchers {
+	host := l.instance.newLinkEnv(l.epoch, l.log)
+	host.report = func(ctx context.Context, answer event) { l.events.Put(ctx, ownLinkAnswer{answer: answer}) }
+	host.startsAllowed = l.instance.mayStartWithoutGrant
+	return &dispatchers{
+		leader:   l,
+		ownLinks: newLinkSet(l.ctx, host, &l.wg),
+		workers:  map[string]*assignedWorker{},
+		sessions: map[string]*session{},
+		opening:  map[string]time.Time{},
+		backoffs: map[string]sessionBackoffState{},
+		dial:     relay.Open,
+	}
+}
+
+// ownLinkAnswer is an event from one of the leader's own links.
+type ownLinkAnswer struct {
+	answer event
+}
+
+func (o ownLinkAnswer) apply(l *leader, now time.Time) {
+	if workerEvt, ok := o.answer.(workerEvent); ok && !l.dispatchers.dispatchesTo(ownInstance, workerEvt.workerID()) {
+		return
+	}
+	o.answer.apply(l, now)
+}
+
+// dispatchesTo reports whether an instance dispatches to a worker, so that its reports count. An
+// instance that has been told to release the worker counts until it has confirmed the release.
+func (d *dispatchers) dispatchesTo(instance, worker string) bool {
+	w := d.workers[worker]
+	return w != nil && w.state != unassigned && w.instance == instance
+}
+
+// isCurrent reports whether a session is the current one of its instance.
+func (d *dispatchers) isCurrent(s *session) bool { return d.sessions[s.name] == s }
+
+// updateWorkers applies the current list of workers.
+func (d *dispatchers) updateWorkers(entries []placing.WorkerEntry, now time.Time) {
+	for _, entry := range entries {
+		w := d.workers[entry.ID]
+		if w == nil {
+			d.workers[entry.ID] = &assignedWorker{entry: entry, unassignedSince: now, pendingStarts: map[startKey]placing.Start{}}
+			d.changed = true
+			continue
+		}
+		moved := w.entry.Address != entry.Address
+		w.entry = entry
+		if target := d.dispatcherOf(w); target != nil && (moved || w.instance == ownInstance) {
+			target.addWorker(entry)
+		}
+	}
+}
+
+// dispatcherOf returns the dispatcher that may give orders to a worker now; nil if there is none.
+func (d *dispatchers) dispatcherOf(w *assignedWorker) dispatcher {
+	if w == nil || w.state != assigned {
+		return nil
+	}
+	if w.instance == ownInstance {
+		return d.ownLinks
+	}
+	return d.sessions[w.instance] // present, because a session's workers are unassigned when it ends
+}
+
+// removeWorker drops a worker that need not be reached any more.
+func (d *dispatchers) removeWorker(worker string) {
+	w := d.workers[worker]
+	if w == nil {
+		return
+	}
+	if target := d.dispatcherOf(w); target != nil {
+		target.removeWorker(worker)
+	}
+	if s := d.sessions[w.instance]; s != nil && w.state != unassigned {
+		s.workers--
+	}
+	delete(d.workers, worker)
+}
+
+// start sends a start. The order is stored until it is answered, so that the worker's next
+// dispatcher sends it again.
+func (d *dispatchers) start(order placing.Start) {
+	w := d.workers[order.Worker]
+	if w == nil {
+		d.leader.engine.StartAnswered(order.Worker, order.Task, order.Run, placing.StartRefused, d.leader.clock.Now())
+		return
+	}
+	w.pendingStarts[startKey{task: order.Task, run: order.Run}] = order
+	if target := d.dispatcherOf(w); target != nil {
+		target.start(order, false)
+	}
+}
+
+// clearStart records that a start need not be sent again.
+func (d *dispatchers) clearStart(worker string, key startKey) {
+	if w := d.workers[worker]; w != nil {
+		delete(w.pendingStarts, key)
+	}
+}
+
+// stop sends a stop. A stop of a worker without a dispatcher is repeated by the engine later. The
+// start of that run is not sent any more.
+func (d *dispatchers) stop(order placing.Stop) {
+	d.clearStart(order.Worker, startKey{task: order.Task, run: order.Run})
+	if target := d.dispatcherOf(d.workers[order.Worker]); target != nil {
+		target.stop(order)
+	}
+}
+
+func (d *dispatchers) pace(order placing.Pace) {
+	if target := d.dispatcherOf(d.workers[order.Worker]); target != nil {
+		target.pace(order)
+	}
+}
+
+func (d *dispatchers) acknowledge(worker string, number int64) {
+	if target := d.dispatcherOf(d.workers[worker]); target != nil {
+		target.acknowledge(worker, number)
+	}
+}
+
+// effectiveLapse returns when all leases at a worker have lapsed, given the time that its current
+// dispatcher reports: a previous dispatcher may have renewed later.
+func (d *dispatchers) effectiveLapse(worker string, lapseAt time.Time) time.Time {
+	w := d.workers[worker]
+	if w == nil || lapseAt.IsZero() || lapseAt.After(w.minLapse) {
+		return lapseAt
+	}
+	return w.minLapse
+}
+
+// workerSilent records that a worker does not answer its dispatcher. The worker is assigned to
+// another instance once, because only the network path between them may be cut.
+func (d *dispatchers) workerSilent(worker string, now time.Time) {
+	w := d.workers[worker]
+	if w == nil || w.instance == ownInstance || w.state != assigned || now.Before(w.avoidUntil) {
+		return
+	}
+	w.avoidInstance = w.instance
+	w.avoidUntil = now.Add(avoidDuration)
+	d.changed = true
+}
+
+// sessionEnded reassigns the workers of an ended session. Orders sent through it may have been
+// carried out, and the instance may go on renewing leases until its grant expires.
+func (d *dispatchers) sessionEnded(s *session, reason string, now time.Time) {
+	s.cancel()
+	if !d.isCurrent(s) {
+		d.sessionFailed(s.name, reason, now)
+		return
+	}
+	delete(d.sessions, s.name)
+	d.leader.log.WithField("keeper", s.name).WithField("workers", s.workers).WithField("reason", reason).Warn("keeper_lost")
+	d.leader.instance.metrics.count("sharing.keeper_lost")
+	d.backOff(s.name, now)
+	floor := now.Add(grantDuration + placing.LeaseLapse(d.leader.instance.bounds.maxGrantedLease(now)))
+	for id, known := range d.workers {
+		if known.instance != s.name || known.state == unassigned {
+			continue
+		}
+		known.state = unassigned
+		known.unassignedSince = now
+		known.minLapse = floor
+		d.leader.engine.Unreachable(id, floor, now)
+	}
+}
+
+// sessionFailed records that a session could not be opened.
+func (d *dispatchers) sessionFailed(name, reason string, now time.Time) {
+	d.leader.log.WithField("keeper", name).WithField("reason", reason).Info("keeper_not_won")
+	d.backOff(name, now)
+}
+
+func (d *dispatchers) backOff(name string, now time.Time) {
+	delete(d.opening, name)
+	previous := d.backoffs[name]
+	delay := minSessionBackoff
+	if now.Sub(previous.until) < maxSessionBackoff {
+		delay = min(maxSessionBackoff, max(minSessionBackoff, 2*previous.delay))
+	}
+	d.backoffs[name] = sessionBackoffState{until: now.Add(delay), delay: delay}
+	d.changed = true
+}
+
+// sessionOpened adds a session that an instance has accepted.
+func (d *dispatchers) sessionOpened(s *session) {
+	delete(d.opening, s.name)
+	d.sessions[s.name] = s
+	d.leader.log.WithField("keeper", s.name).Info("keeper_won")
+	d.changed = true
+}
+
+// drainSession moves the workers of an instance that is about to stop to others.
+func (d *dispatchers) drainSession(s *session) {
+	if !s.draining {
+		s.draining = true
+		d.changed = true
+		d.leader.log.WithField("keeper", s.name).WithField("workers", s.workers).Info("keeper_draining")
+	}
+}
+
+// workerReleased reports that an instance no longer dispatches to a worker and has no calls to it
+// under way.
+type workerReleased struct {
+	worker  string
+	lapseAt time.Time // when all leases there lapse unless renewed
+}
+
+func (r workerReleased) apply(l *leader, now time.Time) {
+	l.dispatchers.workerReleased(r.worker, r.lapseAt, now)
+}
+
+func (d *dispatchers) workerReleased(worker string, lapseAt, now time.Time) {
+	w := d.workers[worker]
+	if w == nil || w.state != releasing {
+		return
+	}
+	if s := d.sessions[w.instance]; s != nil {
+		s.workers--
+	}
+	w.state = unassigned
+	w.unassignedSince = now
+	if lapseAt.After(w.minLapse) {
+		w.minLapse = lapseAt
+	}
+	d.changed = true
+}
--- a/batch/doc.go
+++ b/batch/doc.go
@@ -1,9 +1,7 @@
-// Package batch owns the duties of an instance that serves jobs of steps: it
-// follows the configuration and the work stream, accepts and answers, and,
-// while it holds the term, places tasks on workers. Links to workers are driven by
-// the holder or, where there are many, by instances that each keep a share of them
-// for it (drivers.go, division.go and session.go on its side, keeper.go on theirs).
-// What it decides is decided
-// in package placing; what it speaks to is behind the interfaces of this file's
-// package, which an adapter implements.
+// Package batch implements the duties of an instance that serves multi-step jobs. It follows the
+// configuration and the work stream, accepts and answers calls and, while it is the leader, places
+// tasks on workers. Links to workers are driven by the leader or, in large deployments, by
+// delegates that each drive a shard of the workers for it (dispatchers.go, shards.go and
+// session.go on the leader's side, delegate.go on theirs). Package placing makes the scheduling
+// decisions. The interfaces to the outside are in outside.go; an adapter implements them.
 package batch
--- a/batch/election.go
+++ b/batch/election.go
@@ -9,57 +9,57 @@
 )
 
 const (
-	// renewEvery is how often the holder of the term writes.
-	renewEvery = 300 * time.Millisecond
-	// termSilence is how long the holder may write nothing before another
-	// instance claims the term: four renewals, or two while the store takes
-	// 0.3 s for each. A holder replaced too soon loses nothing that runs.
-	termSilence = 1100 * time.Millisecond
-	// claimAgain is the pause between an instance's claims, longer than an
-	// append takes while the store is slow.
-	claimAgain = 700 * time.Millisecond
-	// claimSpread sets the instances' claims apart by their names, so that
-	// mostly one of them writes.
-	claimSpread = 300 * time.Millisecond
-	// ampleShare of a core is enough to place for 350 workers; an instance without any
-	// would claim weakPenalty later.
-	ampleShare  = 0.4
-	weakPenalty = 2 * time.Second
-	// holderGone is when a holder that lost the store gives up, whatever the
-	// others may think of it; work that it holds goes on until then, as the
-	// store may be away for everybody.
-	holderGone = 9 * time.Second
+	// renewInterval is how often the leader renews its term.
+	renewInterval = 300 * time.Millisecond
+	// termTimeout is how long the leader may write nothing before another instance claims the
+	// term: four renewals, or two while the store takes 0.3 s for each. Replacing a leader too
+	// early loses no running task.
+	termTimeout = 1100 * time.Millisecond
+	// claimInterval is the pause between an instance's claims. It exceeds the duration of an
+	// append to a slow store.
+	claimInterval = 700 * time.Millisecond
+	// maxClaimJitter spreads the instances' claims by their names, so that mostly one of them
+	// writes.
+	maxClaimJitter = 300 * time.Millisecond
+	// sufficientCPUShare of a core is enough to schedule for 350 workers. An instance with less
+	// claims up to maxLowCPUDelay later.
+	sufficientCPUShare = 0.4
+	maxLowCPUDelay     = 2 * time.Second
+	// leaderGiveUpTime is when a leader that lost the store gives up, whatever other instances
+	// have observed. Its work goes on until then, because the store may be unreachable for all
+	// instances.
+	leaderGiveUpTime = 9 * time.Second
 )
 
-// election decides when an instance claims the term. It is pure: it is told
-// what the log showed and when.
+// election decides when an instance claims the term. It does no I/O: callers pass in the observed
+// log state and the time.
 type election struct {
-	name      string // of the instance
-	holder    string // name and boot of this process
-	rank      time.Duration
-	term      jobs.Term
-	changedAt time.Time // when the term last changed or was renewed, as seen here
-	claimedAt time.Time
-	urged     int64     // epoch of the holder that asked for its term to be claimed
-	vacantAt  time.Time // since when the term is known to be vacant
+	name           string // instance name
+	identity       string // instance name and boot ID of this process
+	claimDelay     time.Duration
+	term           jobs.Term
+	changedAt      time.Time // when this instance observed the last change or renewal of the term
+	claimedAt      time.Time
+	requestedEpoch int64     // epoch of the leader that requested a claim of its term
+	vacantAt       time.Time // time since which the term is known to be vacant
 }
 
-func newElection(name, holder string, rank time.Duration) *election {
-	return &election{name: name, holder: holder, rank: rank}
+func newElection(name, identity string, claimDelay time.Duration) *election {
+	return &election{name: name, identity: identity, claimDelay: claimDelay}
 }
 
-// claimRank is how long an instance leaves a vacant term to others: those with
-// little processor wait longer, as placing takes most of it.
-func claimRank(hash uint64, share float64) time.Duration {
-	rank := time.Duration(hash % uint64(claimSpread))
-	if share > 0 && share < ampleShare {
-		rank += time.Duration((ampleShare - share) / ampleShare * float64(weakPenalty))
+// claimDelay returns how long an instance leaves a vacant term to others. Instances with little
+// CPU wait longer, because scheduling needs most of it.
+func claimDelay(hash uint64, share float64) time.Duration {
+	delay := time.Duration(hash % uint64(maxClaimJitter))
+	if share > 0 && share < sufficientCPUShare {
+		delay += time.Duration((sufficientCPUShare - share) / sufficientCPUShare * float64(maxLowCPUDelay))
 	}
-	return rank
+	return delay
 }
 
-// see takes the newest term of the fold.
-func (e *election) see(term jobs.Term, now time.Time) {
+// observe records the newest term of the fold.
+func (e *election) observe(term jobs.Term, now time.Time) {
 	if term == e.term && !e.changedAt.IsZero() {
 		return
 	}
@@ -71,65 +71,67 @@
 	}
 }
 
-// lost says that what was known of the holder is out of date: the store was
-// away, or this process led meanwhile.
-func (e *election) lost() { e.changedAt = time.Time{} }
+// reset discards the observations of the leader: the store was unreachable, or this process was
+// the leader meanwhile.
+func (e *election) reset() { e.changedAt = time.Time{} }
 
-// held reports whether the log names this process as the holder.
-func (e *election) held() bool { return e.term.Holder == e.holder }
+// isLeader reports whether the log names this process as the leader.
+func (e *election) isLeader() bool { return e.term.Holder == e.identity }
 
-// claim reports whether to claim the next term now. It is asked only while
-// this process does not lead. heardAt is when the newest read of the log was
-// answered: only until then is silence known to be the holder's.
-func (e *election) claim(heardAt, now time.Time) bool {
-	if now.Sub(e.claimedAt) < claimAgain {
+// shouldClaim reports whether to claim the next term now. It is called only while this process is
+// not the leader. The first argument is when the newest read of the log was answered: silence
+// after that may be the store's, not the leader's.
+func (e *election) shouldClaim(answeredAt, now time.Time) bool {
+	if now.Sub(e.claimedAt) < claimInterval {
 		return false
 	}
-	if !e.vacant(heardAt) {
+	if !e.isVacant(answeredAt) {
 		return false
 	}
 	if e.vacantAt.IsZero() {
 		e.vacantAt = now
 	}
-	if !e.formerLife() && !e.isUrged() && now.Sub(e.vacantAt) < e.rank {
+	if !e.heldByFormerIncarnation() && !e.claimRequested() && now.Sub(e.vacantAt) < e.claimDelay {
 		return false
 	}
 	e.claimedAt = now
 	return true
 }
 
-// urge says that the holder of the term of an epoch has lost the store and asked
-// this instance to claim the next.
-func (e *election) urge(epoch int64) { e.urged = epoch }
+// requestClaim records that the leader with the given epoch has lost the store and requested that
+// this instance claim the next term.
+func (e *election) requestClaim(epoch int64) { e.requestedEpoch = epoch }
 
-func (e *election) isUrged() bool { return e.urged > 0 && e.urged == e.term.Epoch }
+func (e *election) claimRequested() bool {
+	return e.requestedEpoch > 0 && e.requestedEpoch == e.term.Epoch
+}
 
-// vacant reports whether nobody holds the term: it was handed over, its holder
-// was an earlier life of this instance, has asked for it or is silent.
-func (e *election) vacant(heardAt time.Time) bool {
-	return e.term.Holder == "" || e.isUrged() || e.formerLife() || heardAt.Sub(e.changedAt) >= termSilence
+// isVacant reports whether the term has no active leader: it was handed over, or its leader was a
+// former incarnation of this instance, has requested a claim or is silent.
+func (e *election) isVacant(answeredAt time.Time) bool {
+	return e.term.Holder == "" || e.claimRequested() || e.heldByFormerIncarnation() || answeredAt.Sub(e.changedAt) >= termTimeout
 }
 
-// formerLife reports whether the holder was an earlier life of this instance.
-func (e *election) formerLife() bool { return instanceOf(e.term) == e.name }
+// heldByFormerIncarnation reports whether the leader was a former incarnation of this instance.
+func (e *election) heldByFormerIncarnation() bool { return leaderName(e.term) == e.name }
 
-// instanceOf is the name of the instance that holds a term; empty if none does.
-func instanceOf(term jobs.Term) string {
+// leaderName returns the name of the instance that holds a term; empty if none does.
+func leaderName(term jobs.Term) string {
 	name, _, _ := strings.Cut(term.Holder, "/")
 	return name
 }
 
-// formerOf is what an instance that won a term knows of the holder of the one before:
-// before is the newest term that it had seen. An earlier life of its own has ended. After
-// all instances were lost the former holder mostly wins again, and waiting for a holder
-// that may go on took 15.5 s in place of 8.5 s for each run at a worker that had left.
-func formerOf(before, won jobs.Term, name string) placing.Former {
+// formerLeaderFate returns what the winner of a term knows about the previous leader; previous is
+// the newest term that it had observed. A former incarnation of its own has ended. After a loss of
+// all instances the former leader usually wins again, and waiting for a leader that may go on took
+// 15.5 s instead of 8.5 s for each run at a worker that had left.
+func formerLeaderFate(previous, won jobs.Term, name string) placing.Former {
 	switch {
-	case before.Epoch != won.Epoch-1:
+	case previous.Epoch != won.Epoch-1:
 		return placing.FormerUnknown
-	case before.Holder == "":
+	case previous.Holder == "":
 		return placing.FormerHandedOver
-	case instanceOf(before) == name:
+	case leaderName(previous) == name:
 		return placing.FormerEnded
 	}
 	return placing.FormerUnknown
--- a/batch/evacuation.go
+++ b/batch/evacuation.go
@@ -10,27 +10,26 @@
 )
 
 const (
-	// evacuationWait is how long a read of the operators' stream may wait on the instance
-	// that places. Its age bounds that of the known evacuations, without which nothing
-	// starts.
-	evacuationWait = 400 * time.Millisecond
-	// startMargin is kept of the time in which an evacuation comes into force for the way
+	// evacuationReadWait is how long a read of the operator stream may wait on the leader. It
+	// bounds the age of the known evacuations; nothing starts while that age is too high.
+	evacuationReadWait = 400 * time.Millisecond
+	// evacuationStartMargin is the part of the evacuation deadline reserved for the transmission
 	// of a start.
-	startMargin = time.Second
-	// retryEvacuated is told while every availability zone is evacuated: nobody knows how
-	// long, and urgent work has some seconds.
-	retryEvacuated = 2 * time.Second
+	evacuationStartMargin = time.Second
+	// evacuatedRetryAfter is returned to callers while every availability zone is evacuated: the
+	// duration is unknown, and urgent work has some seconds.
+	evacuatedRetryAfter = 2 * time.Second
 )
 
-// evacuations are the availability zones whose workers get nothing new, as the operators'
-// stream says. The stream's follower writes them under its lock; anyone reads them.
+// evacuations holds the availability zones whose workers get no new work, as read from the
+// operator stream. The stream's follower writes it under its lock; any goroutine may read it.
 type evacuations struct {
-	zones   map[string]bool
-	current atomic.Pointer[[]string] // sorted; never changed once stored
-	changed atomic.Bool              // since the placing duty last looked
+	pending map[string]bool
+	current atomic.Pointer[[]string] // sorted and immutable
+	changed atomic.Bool              // since the leader last applied them
 }
 
-// list returns the evacuated zones in order. It is not to be changed.
+// list returns the evacuated zones in order. The caller must not modify the result.
 func (e *evacuations) list() []string {
 	if zones := e.current.Load(); zones != nil {
 		return *zones
@@ -43,33 +42,34 @@
 	return found
 }
 
-// reset forgets all before the newest records are read again: a request that was removed
-// meanwhile may not be among the records that are still kept.
-func (e *evacuations) reset() { e.zones = nil }
+// reset clears the pending zones before the newest records are read again: the removal of a
+// request may no longer be among the retained records.
+func (e *evacuations) reset() { e.pending = nil }
 
 func (e *evacuations) set(zone string, evacuated bool) {
 	if !evacuated {
-		delete(e.zones, zone)
+		delete(e.pending, zone)
 		return
 	}
-	if e.zones == nil {
-		e.zones = map[string]bool{}
+	if e.pending == nil {
+		e.pending = map[string]bool{}
 	}
-	e.zones[zone] = true
+	e.pending[zone] = true
 }
 
-// publish shows what was set to all, and returns what is new and what has ended.
+// publish makes the pending zones visible to readers and returns the zones that were added and
+// removed.
 func (e *evacuations) publish() (begun, ended []string) {
-	before := e.list()
-	now := slices.Sorted(maps.Keys(e.zones))
-	e.current.Store(&now)
-	for _, zone := range now {
-		if !slices.Contains(before, zone) {
+	previous := e.list()
+	current := slices.Sorted(maps.Keys(e.pending))
+	e.current.Store(&current)
+	for _, zone := range current {
+		if !slices.Contains(previous, zone) {
 			begun = append(begun, zone)
 		}
 	}
-	for _, zone := range before {
-		if !slices.Contains(now, zone) {
+	for _, zone := range previous {
+		if !slices.Contains(current, zone) {
 			ended = append(ended, zone)
 		}
 	}
@@ -79,7 +79,7 @@
 	return begun, ended
 }
 
-// applyEvacuations takes the operators' requests to leave availability zones alone.
+// applyEvacuations applies operators' requests to evacuate availability zones.
 func (i *Instance) applyEvacuations(batch Batch) {
 	for _, record := range batch.Records {
 		if zone, evacuated, ok := i.decoder.Evacuation(record); ok {
@@ -94,13 +94,13 @@
 		i.log.WithField("zone", zone).Info("zone_taken_back")
 	}
 	if len(begun)+len(ended) > 0 {
-		i.metrics.evacuated.Update(int64(len(i.evacuations.list())))
+		i.metrics.evacuatedZones.Update(int64(len(i.evacuations.list())))
 		i.fold.wake()
 	}
 }
 
-// nowhere reports whether every availability zone of the deployment is evacuated.
-func (i *Instance) nowhere() bool {
+// allZonesEvacuated reports whether every availability zone of the deployment is evacuated.
+func (i *Instance) allZonesEvacuated() bool {
 	for _, zone := range i.settings.Zones {
 		if !i.evacuations.contains(zone) {
 			return false
@@ -109,39 +109,38 @@
 	return len(i.settings.Zones) > 0
 }
 
-// refuseNowhere refuses urgent jobs while every zone is evacuated: they have to begin
-// within seconds, and callers can do something else if they know at once. Other jobs have
-// the time to wait.
-func (i *Instance) refuseNowhere(priority int) (outcome Outcome, refused bool) {
-	if priority > 0 || !i.nowhere() {
+// refuseIfAllEvacuated refuses urgent jobs while every zone is evacuated: they have to start
+// within seconds, and an immediate refusal lets callers use an alternative. Other jobs can wait.
+func (i *Instance) refuseIfAllEvacuated(priority int) (outcome Outcome, refused bool) {
+	if priority > 0 || !i.allZonesEvacuated() {
 		return Outcome{}, false
 	}
-	return Outcome{Verdict: NotRun, Reason: "every availability zone is evacuated", RetryAfter: retryEvacuated}, true
+	return Outcome{Verdict: NotRun, Reason: "every availability zone is evacuated", RetryAfter: evacuatedRetryAfter}, true
 }
 
-// operatorWait is how long a read of the operators' stream may wait for a record.
-func (i *Instance) operatorWait() time.Duration {
+// operatorReadWait returns how long a read of the operator stream may wait for a record.
+func (i *Instance) operatorReadWait() time.Duration {
 	if i.leading.Load() {
-		return evacuationWait
+		return evacuationReadWait
 	}
-	return quietWait
+	return operatorStreamReadWait
 }
 
-// mayStartAt reports whether a start may be sent to a worker: not to one whose zone is
-// evacuated, as far as this instance has read.
-func (i *Instance) mayStartAt(zone string) bool { return !i.evacuations.contains(zone) }
-
-// mayStartUnasked is the same where no grant of another instance bounds how long a start may
-// have waited here, as in one that was frozen: nothing is sent if this instance has not read
-// for so long that it could not know.
-func (i *Instance) mayStartUnasked(zone string) bool {
-	within := i.bounds.newest().Evacuate
-	known := within <= 0 || i.clock.Now().Sub(i.operator.seenAt()) < within-startMargin
-	return known && i.mayStartAt(zone)
+// mayStartInZone reports whether a start may be sent to a worker in a zone: the zone must not be
+// evacuated according to the records read here.
+func (i *Instance) mayStartInZone(zone string) bool { return !i.evacuations.contains(zone) }
+
+// mayStartWithoutGrant is mayStartInZone for an instance without a grant, where nothing else
+// bounds how long a start may have waited here, for example while the process was frozen. It
+// allows no start if the operator stream was last read too long ago.
+func (i *Instance) mayStartWithoutGrant(zone string) bool {
+	within := i.bounds.latest().Evacuate
+	fresh := within <= 0 || i.clock.Now().Sub(i.operator.lastContact()) < within-evacuationStartMargin
+	return fresh && i.mayStartInZone(zone)
 }
 
-// evacuate passes the evacuated zones on to the decisions.
-func (l *leader) evacuate(now time.Time) {
+// passEvacuations passes the evacuated zones to the scheduling engine.
+func (l *leader) passEvacuations(now time.Time) {
 	i := l.instance
 	i.evacuations.changed.Store(false)
 	zones := i.evacuations.list()
--- a/batch/evacuation_test.go
+++ b/batch/evacuation_test.go
@@ -28,27 +28,27 @@
 	return jobs.Record{Key: "zone/" + zone, Value: []byte(value)}
 }
 
-// told has an instance read what the operators wrote.
-func (i *Instance) told(records ...jobs.Record) {
+// applyOperatorRecords has an instance read what the operators wrote.
+func (i *Instance) applyOperatorRecords(records ...jobs.Record) {
 	i.operator.lock.Lock()
 	defer i.operator.lock.Unlock()
 	i.applyOperator(Batch{Records: records})
 }
 
-// pagesStore shows the newest records of a stream.
-type pagesStore struct {
-	outStore
+// recordsStore shows the newest records of a stream.
+type recordsStore struct {
+	unreachableStore
 	records []jobs.Record
 }
 
-func (s *pagesStore) Newest(context.Context, Stream, int) (Batch, error) {
+func (s *recordsStore) Newest(context.Context, Stream, int) (Batch, error) {
 	return Batch{Records: s.records, Next: 9}, nil
 }
 
-func TestEvacuationsAreReadFromTheOperatorsStream(t *testing.T) {
+func TestEvacuationsFollowOperatorStream(t *testing.T) {
 	is := is.New(t)
-	store := &pagesStore{}
-	instance := New(Settings{Name: "a", StoreParts: 8}, store, zoneDecoder{}, nil, metrics.NewRegistry(), quietLog())
+	store := &recordsStore{}
+	instance := New(Settings{Name: "a", StoreParts: 8}, store, zoneDecoder{}, nil, metrics.NewRegistry(), discardLog())
 	for _, step := range []struct {
 		name   string
 		record jobs.Record
@@ -62,7 +62,7 @@
 		{"taken back twice", zoneRecord("z1", ""), []string{"z0"}},
 		{"not readable", zoneRecord("z1", "\xff{"), []string{"z0", "z1"}},
 	} {
-		instance.told(step.record)
+		instance.applyOperatorRecords(step.record)
 		is.Equal(instance.evacuations.list(), step.zones) // step.name
 		is.Equal(instance.Status().Evacuated, step.zones)
 	}
@@ -81,7 +81,7 @@
 func TestUrgentJobsAreRefusedWhileEveryZoneIsEvacuated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store := newPartedStore()
+		store := newPartitionedStore()
 		instance := standbyOf(t, store, "a1")
 		instance.decoder = zoneDecoder{}
 		instance.settings.Zones = []string{"z1", "z2"}
@@ -93,23 +93,23 @@
 		urgent := func(id string) Outcome {
 			return instance.Submit(ctx, &jobs.Submission{ID: id, Steps: []jobs.Step{{Tasks: 1}}})
 		}
-		instance.told(zoneRecord("z1", "{}"))
+		instance.applyOperatorRecords(zoneRecord("z1", "{}"))
 		is.Equal(urgent("a2").Verdict, Accepted)
-		instance.told(zoneRecord("z2", "{}"))
+		instance.applyOperatorRecords(zoneRecord("z2", "{}"))
 		refused := urgent("a3")
 		is.Equal(refused.Verdict, NotRun)
-		is.Equal(refused.RetryAfter, retryEvacuated)
+		is.Equal(refused.RetryAfter, evacuatedRetryAfter)
 		is.Equal(urgent("a1").Verdict, Accepted)
 		patient := &jobs.Submission{ID: "a4", Queue: jobs.Queue{Priority: 1}, Steps: []jobs.Step{{Tasks: 1}}}
 		is.Equal(instance.Submit(ctx, patient).Verdict, Accepted)
-		instance.told(zoneRecord("z1", ""))
+		instance.applyOperatorRecords(zoneRecord("z1", ""))
 		is.Equal(urgent("a3").Verdict, Accepted)
 	})
 }
 
 // A start that waits in an instance which has read of the evacuation is not sent, whether
 // or not the holder of the term knows; one of which a try went unanswered stays open.
-func TestLinkSendsNoStartToAnEvacuatedZone(t *testing.T) {
+func TestLinkSendsNoStartToEvacuatedZone(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		after  int // tries until the instance reads of it
@@ -117,18 +117,18 @@
 	}{
 		{"known before", 0, placing.StartEvacuated},
 		{"known after a try without an answer", 1, placing.StartUnknown},
-		{"not known", orderTries, placing.StartUnknown},
+		{"not known", maxOrderAttempts, placing.StartUnknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				link, workers, answers := scriptedLink(nil)
 				link.entry.Zone = "z1"
-				link.host.mayStartAt = func(zone string) bool { return zone != "z1" || workers.calls < c.after }
+				link.env.startsAllowed = func(zone string) bool { return zone != "z1" || workers.calls < c.after }
 				link.startRun(t.Context(), placing.Start{Worker: "w", Run: 1}, false, nil)
 				answer, ok := answers.TryTake()
 				is.True(ok)
-				is.Equal(answer.(startAnswered).result, c.result)
+				is.Equal(answer.(startReply).result, c.result)
 				is.Equal(workers.calls, c.after)
 			})
 		})
@@ -141,28 +141,28 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		instance := standbyOf(t, &tailStore{}, "a1")
-		virtual(instance.clock)
-		is.True(instance.mayStartUnasked("z1")) // no bound is stated
+		useTestClock(instance.clock)
+		is.True(instance.mayStartWithoutGrant("z1")) // no bound is stated
 		instance.SetBounds(Bounds{Evacuate: 5 * time.Second})
-		instance.operator.touch(instance.clock.Now())
-		is.True(instance.mayStartUnasked("z1"))
-		time.Sleep(5*time.Second - startMargin)
-		is.True(!instance.mayStartUnasked("z1"))
-		instance.operator.touch(instance.clock.Now())
-		is.True(instance.mayStartUnasked("z1"))
+		instance.operator.recordAnswer(instance.clock.Now())
+		is.True(instance.mayStartWithoutGrant("z1"))
+		time.Sleep(5*time.Second - evacuationStartMargin)
+		is.True(!instance.mayStartWithoutGrant("z1"))
+		instance.operator.recordAnswer(instance.clock.Now())
+		is.True(instance.mayStartWithoutGrant("z1"))
 	})
 }
 
-// evacuate has all instances read that a zone is evacuated, or taken back.
-func (f *sharedFleet) evacuate(zone, value string) {
-	for _, instance := range f.others {
-		instance.told(zoneRecord(zone, value))
+// setEvacuated has all instances read that a zone is evacuated, or taken back.
+func (f *testFleet) setEvacuated(zone, value string) {
+	for _, instance := range f.instances {
+		instance.applyOperatorRecords(zoneRecord(zone, value))
 	}
-	f.holder.instance.told(zoneRecord(zone, value))
+	f.leader.instance.applyOperatorRecords(zoneRecord(zone, value))
 }
 
 // startedIn counts the starts in a zone after a moment.
-func (f *sharedFleet) startedIn(zone string, after time.Time) int {
+func (f *testFleet) startedIn(zone string, after time.Time) int {
 	f.workers.lock.Lock()
 	defer f.workers.lock.Unlock()
 	count := 0
@@ -176,10 +176,10 @@
 
 // inZonedFleet runs a test with few workers, held by the holder of the term, and with many,
 // held by others for it.
-func inZonedFleet(t *testing.T, test func(f *sharedFleet, is *is.I, workers int)) {
-	eitherWayHeld(t, func(f *sharedFleet, is *is.I, workers int) {
-		f.holder.instance.decoder = zoneDecoder{}
-		for _, instance := range f.others {
+func inZonedFleet(t *testing.T, test func(f *testFleet, is *is.I, workers int)) {
+	eitherWayHeld(t, func(f *testFleet, is *is.I, workers int) {
+		f.leader.instance.decoder = zoneDecoder{}
+		for _, instance := range f.instances {
 			instance.decoder = zoneDecoder{}
 		}
 		test(f, is, workers)
@@ -189,22 +189,22 @@
 // No order reaches a worker of the zone once the instances have read of the evacuation,
 // though many starts are on their way then over slow links; all work ends elsewhere, and
 // the zone is used again when it is taken back.
-func TestNoStartReachesAnEvacuatedZone(t *testing.T) {
-	inZonedFleet(t, func(f *sharedFleet, is *is.I, workers int) {
+func TestNoStartReachesEvacuatedZone(t *testing.T) {
+	inZonedFleet(t, func(f *testFleet, is *is.I, workers int) {
 		way := 60 * time.Millisecond
 		f.workers.setSlow("a", way)
-		for name := range f.others {
+		for name := range f.instances {
 			f.workers.setSlow(name, way)
 		}
 		f.submit("a1", 2*workers)
 		time.Sleep(way / 2) // its starts are about to be sent
-		f.evacuate("z1", "{}")
+		f.setEvacuated("z1", "{}")
 		sent := time.Now().Add(2 * way) // by then what was sent before has arrived
 		time.Sleep(15 * time.Second)
 		is.Equal(f.startedIn("z1", sent), 0)
 		is.Equal(f.done(), 2*workers)
 		is.Equal(f.doubles(), 0)
-		f.evacuate("z1", "")
+		f.setEvacuated("z1", "")
 		back := time.Now()
 		f.submit("a2", 2*workers)
 		time.Sleep(10 * time.Second)
@@ -215,18 +215,18 @@
 
 // An instance that keeps workers reads the operators' stream itself: it sends no start to
 // the zone though the holder of the term has not read of the evacuation yet.
-func TestKeeperSendsNoStartThoughTheHolderDoesNotKnow(t *testing.T) {
-	inFleet(t, manyWorkers, 8, time.Second, func(f *sharedFleet, is *is.I) {
-		for _, instance := range f.others {
+func TestDelegateStopsStartsBeforeLeaderReadsEvacuation(t *testing.T) {
+	inFleet(t, manyWorkers, 8, time.Second, func(f *testFleet, is *is.I) {
+		for _, instance := range f.instances {
 			instance.decoder = zoneDecoder{}
-			instance.told(zoneRecord("z1", "{}"))
+			instance.applyOperatorRecords(zoneRecord("z1", "{}"))
 		}
 		begin := time.Now()
 		f.submit("a1", 2*manyWorkers)
 		time.Sleep(2 * time.Second)
 		is.Equal(f.startedIn("z1", begin), 0)
-		f.holder.instance.decoder = zoneDecoder{}
-		f.holder.instance.told(zoneRecord("z1", "{}"))
+		f.leader.instance.decoder = zoneDecoder{}
+		f.leader.instance.applyOperatorRecords(zoneRecord("z1", "{}"))
 		time.Sleep(12 * time.Second)
 		is.Equal(f.startedIn("z1", begin), 0)
 		is.Equal(f.done(), 2*manyWorkers)
@@ -234,15 +234,15 @@
 }
 
 // The next holder of the term knows of an evacuation that began under a former one.
-func TestNextHolderKnowsOfAnEvacuation(t *testing.T) {
-	inZonedFleet(t, func(f *sharedFleet, is *is.I, workers int) {
-		next := f.newHolder(6)
+func TestNextLeaderAppliesEvacuation(t *testing.T) {
+	inZonedFleet(t, func(f *testFleet, is *is.I, workers int) {
+		next := f.newLeader(6)
 		next.instance.decoder = zoneDecoder{}
-		next.instance.told(zoneRecord("z1", "{}"))
+		next.instance.applyOperatorRecords(zoneRecord("z1", "{}"))
 		next.instance.evacuations.changed.Store(false) // a former term of this instance has looked
-		next.load(placing.FormerHandedOver)
-		former := f.over
-		f.holder, f.over = next, make(chan struct{})
+		next.loadEngine(placing.FormerHandedOver)
+		former := f.loopDone
+		f.leader, f.loopDone = next, make(chan struct{})
 		f.start()
 		<-former
 		f.submit("a1", 2*workers)
@@ -256,14 +256,14 @@
 // A holder whose own reading of the operators' stream has stopped starts nothing, and goes
 // on once it reads again.
 func TestHolderThatDoesNotReadTheOperatorsStartsNothing(t *testing.T) {
-	inFleet(t, fewWorkers, 0, time.Second, func(f *sharedFleet, is *is.I) {
-		i := f.holder.instance
+	inFleet(t, fewWorkers, 0, time.Second, func(f *testFleet, is *is.I) {
+		i := f.leader.instance
 		i.SetBounds(Bounds{Lease: simLease, StopWithin: simBounds.StopWithin, Evacuate: 5 * time.Second})
 		f.submit("a1", 10)
 		time.Sleep(3 * time.Second)
 		is.Equal(f.done(), 0) // it has read nothing so far
 		i.operator.lock.Lock()
-		i.operator.touch(i.clock.Now())
+		i.operator.recordAnswer(i.clock.Now())
 		i.operator.lock.Unlock()
 		time.Sleep(2 * time.Second)
 		is.Equal(f.done(), 10)
--- a/batch/handover_test.go
+++ b/batch/handover_test.go
@@ -16,20 +16,20 @@
 	"github.com/teaselcleat/teaselcleat/ring"
 )
 
-// leaderOn returns a holder of the term of an epoch that has read everything.
-func leaderOn(ctx context.Context, store Store, epoch int64) *leader {
-	instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), quietLog())
-	l := &leader{instance: instance, clock: instance.clock, log: quietLog(), epoch: epoch, ctx: ctx,
-		engine: placing.New(instance.limits(), epoch, instance.clock.WallMS), events: ring.New[event](eventRing), pools: map[string]bool{}, entries: map[string]placing.WorkerEntry{}}
-	l.drivers = newDrivers(l)
+// newTestLeader returns a holder of the term of an epoch that has read everything.
+func newTestLeader(ctx context.Context, store Store, epoch int64) *leader {
+	instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), discardLog())
+	l := &leader{instance: instance, clock: instance.clock, log: discardLog(), epoch: epoch, ctx: ctx,
+		engine: placing.New(instance.limits(), epoch, instance.clock.WallMS), events: ring.New[event](eventQueueSize), pools: map[string]bool{}, entries: map[string]placing.WorkerEntry{}}
+	l.dispatchers = newDispatchers(l)
 	l.writer = newFencedWriter(l, jobs.Term{Epoch: epoch, Holder: "a/1"}, 1)
-	l.listed = l.newList()
-	l.load(placing.FormerHandedOver)
-	l.start(ctx, l.writer.run)
+	l.workerList = l.newWorkerListFollower()
+	l.loadEngine(placing.FormerHandedOver)
+	l.spawn(ctx, l.writer.run)
 	return l
 }
 
-func (i *Instance) take(t *testing.T, part int, record jobs.Record, err error) {
+func (i *Instance) applyRecord(t *testing.T, part int, record jobs.Record, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -46,11 +46,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		store := newPartedStore()
-		l := leaderOn(ctx, store, 3)
-		over := make(chan struct{})
+		store := newPartitionedStore()
+		l := newTestLeader(ctx, store, 3)
+		loopDone := make(chan struct{})
 		go func() {
-			defer close(over)
+			defer close(loopDone)
 			l.loop(ctx)
 		}()
 		l.instance.Drain()
@@ -60,21 +60,21 @@
 			is.True(!strings.Contains(string(record.Value), "a/1"))
 		}
 		record, err := jobs.SubmissionRecord(&jobs.Submission{ID: "a1", Steps: []jobs.Step{{Tasks: 1}}})
-		l.instance.take(t, partOf("a1", 8), record, err)
+		l.instance.applyRecord(t, partOf("a1", 8), record, err)
 		time.Sleep(time.Second)
 		is.Equal(metrics.GetOrRegisterCounter("decisions.job_taken", l.instance.metrics.registry).Count(), int64(1))
 		record, err = jobs.TermRecord(jobs.Term{Epoch: 4, Holder: "b/1"})
-		l.instance.take(t, statePart, record, err)
-		<-over
-		is.True(l.deposed)
+		l.instance.applyRecord(t, statePart, record, err)
+		<-loopDone
+		is.True(l.termLost)
 		cancel()
-		l.running.Wait()
+		l.wg.Wait()
 	})
 }
 
 // stuckStore answers no append to one part.
 type stuckStore struct {
-	*partedStore
+	*partitionedStore
 	part int
 }
 
@@ -83,7 +83,7 @@
 		<-ctx.Done()
 		return ErrUnknown
 	}
-	return s.partedStore.Append(ctx, part, records, fence)
+	return s.partitionedStore.Append(ctx, part, records, fence)
 }
 
 // A part of the log is away, the one with the progress. The holder keeps the
@@ -92,18 +92,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		store := newPartedStore()
-		l := leaderOn(ctx, &stuckStore{partedStore: store, part: 7}, 3)
+		store := newPartitionedStore()
+		l := newTestLeader(ctx, &stuckStore{partitionedStore: store, part: 7}, 3)
 		progress, err := jobs.ProgressRecord("a1", &jobs.Progress{State: jobs.StateRunning})
 		is.NoErr(err)
-		l.writer.offer([]jobs.Record{progress}, nil)
+		l.writer.enqueue([]jobs.Record{progress}, nil)
 		time.Sleep(2 * time.Second)
 		is.True(len(store.keys(statePart)) >= 4) // renewals
-		l.writer.offerEarly([]jobs.Record{jobs.StateRecord("a2", jobs.StateDone)})
+		l.writer.enqueueEarly([]jobs.Record{jobs.StateRecord("a2", jobs.StateDone)})
 		time.Sleep(10 * time.Millisecond)
 		is.True(slices.Contains(store.keys(statePart), "e/a2"))
 		cancel()
-		l.running.Wait()
+		l.wg.Wait()
 	})
 }
 
@@ -111,9 +111,9 @@
 // anew.
 func TestOpenTermIsClaimedThoughItsHolderGoesOn(t *testing.T) {
 	is := is.New(t)
-	vote := newElection("a", "a/1", 500*time.Millisecond)
-	vote.see(jobs.Term{Epoch: 4}, testNow)
-	is.True(!vote.claim(testNow, testNow))
-	vote.see(jobs.Term{Epoch: 4, Renewals: 1}, testNow.Add(300*time.Millisecond))
-	is.True(vote.claim(testNow, testNow.Add(500*time.Millisecond)))
+	e := newElection("a", "a/1", 500*time.Millisecond)
+	e.observe(jobs.Term{Epoch: 4}, testNow)
+	is.True(!e.shouldClaim(testNow, testNow))
+	e.observe(jobs.Term{Epoch: 4, Renewals: 1}, testNow.Add(300*time.Millisecond))
+	is.True(e.shouldClaim(testNow, testNow.Add(500*time.Millisecond)))
 }
--- a/batch/instance.go
+++ b/batch/instance.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	// standbyPause is the pause after a read that brought progress, on instances
-	// that do not place: each read costs a call, and who asks for a job's state
-	// has the log read at once.
-	standbyPause = 1200 * time.Millisecond
-	// watchfulPause replaces it on the instances that watch the holder of the term, as
-	// they must notice that it is silent, and watchfulWait the wait of their reads: its
-	// silence is known as of the end of one.
-	watchfulPause = 200 * time.Millisecond
-	watchfulWait  = 300 * time.Millisecond
-	// callsPause is the same for what callers wrote; the count of waiting jobs
-	// may be two seconds old.
-	callsPause = 1800 * time.Millisecond
-	// holderPause is the same on the instance that places, of what callers wrote,
-	// and ownPause of what it wrote itself, which it reads only to see whether an
-	// append without an answer took effect.
-	holderPause = 15 * time.Millisecond
-	ownPause    = 150 * time.Millisecond
-	// detailStandby is the same of the progress on those that would place next, so
-	// that they have little left to read when they do.
-	detailStandby = time.Second
-	// yieldTime is how long an instance that has just started leaves the store to those that
-	// would place: a claim, the progress and the list take that long.
-	yieldTime = 300 * time.Millisecond
-	// configPause follows a new configuration.
-	configPause = 20 * time.Millisecond
+	// nonLeaderReadInterval is the pause after a read that brought state changes, on instances
+	// that are not the leader. Each read costs a call, and a request for a job's state has the log
+	// read at once.
+	nonLeaderReadInterval = 1200 * time.Millisecond
+	// standbyReadInterval replaces it on standbys, which must notice a silent leader, and
+	// standbyReadWait is the wait of their reads: silence is established only at the end of a
+	// read.
+	standbyReadInterval = 200 * time.Millisecond
+	standbyReadWait     = 300 * time.Millisecond
+	// nonLeaderCallInterval is the pause between reads of callers' records on instances that are
+	// not the leader. The count of waiting jobs may be two seconds old.
+	nonLeaderCallInterval = 1800 * time.Millisecond
+	// leaderCallInterval is the pause between the leader's reads of callers' records, and
+	// leaderOwnInterval between its reads of its own records, which only show whether an append
+	// without an answer took effect.
+	leaderCallInterval = 15 * time.Millisecond
+	leaderOwnInterval  = 150 * time.Millisecond
+	// standbyProgressInterval is the pause between a standby's reads of job progress. It keeps the
+	// rest to read short when the standby becomes the leader.
+	standbyProgressInterval = time.Second
+	// startupYield is how long an instance that has just started leaves the store to the standbys:
+	// claiming the term and reading progress and the worker list take that long.
+	startupYield = 300 * time.Millisecond
+	// configReadInterval is the pause after a read that brought a new configuration.
+	configReadInterval = 20 * time.Millisecond
 )
 
-// Instance is one process that serves jobs.
+// Instance is one scheduler process that serves jobs.
 type Instance struct {
 	settings Settings
 	bounds   *bounds
-	holder   string // name and boot, as in the term
+	identity string // name and boot, as recorded in the term
 	nameHash uint64
 	log      *logrus.Entry
 	clock    *Clock
@@ -63,34 +63,34 @@
 	configChanged atomic.Bool
 	evacuations   evacuations
 	operator      *follower
-	work          *follower   // of the part with the term and the states
-	detail        *follower   // of the part with the progress; nil if it is the same
-	calls         []*follower // of the parts that callers' records go to
+	work          *follower   // of the part with the term and the job states
+	progress      *follower   // of the part with job progress; nil if it is the same part
+	calls         []*follower // of the parts with callers' records
 	fold          *workFold
 	foldLock      sync.Mutex
-	committers    []*committer // by part, from the first for callers' records on
-	helpers       *helpers
-	keepings      keepings // sessions in which this instance drives workers for the holder
-	chronicle     *chronicle
-
-	draining      atomic.Bool
-	leading       atomic.Bool
-	sharing       atomic.Pointer[SharingStatus] // nil unless this instance places
-	readLostAt    atomic.Int64                  // steady nanoseconds of the newest read, of any stream, without an answer
-	asked         atomic.Int64                  // epoch of the holder that asked for its term to be claimed
-	stalledAt     atomic.Int64                  // steady nanoseconds of when this instance, placing, last could not write progress
-	handOver      chan struct{}                 // closed when the term is to be given up
-	claimed       jobs.Term                     // the last claim of this process
-	claimSequence int64
+	committers    []*committer // by part, starting at the first one for callers' records
+	peers         *peers
+	delegations   delegations // sessions in which this instance drives workers for the leader
+	eventLog      *eventLog
+
+	draining       atomic.Bool
+	leading        atomic.Bool
+	sharing        atomic.Pointer[SharingStatus] // nil unless this instance is the leader
+	readFailedAt   atomic.Int64                  // boot time in nanoseconds of the newest failed read of any stream
+	requestedEpoch atomic.Int64                  // epoch of the leader that requested a claim of its term
+	stalledAt      atomic.Int64                  // boot time in nanoseconds when this instance, as leader, last failed to write progress
+	handOver       chan struct{}                 // closed when the term is to be handed over
+	lastClaim      jobs.Term                     // last term that this process claimed
+	claimSequence  int64
 }
 
-// New returns an instance that has not started.
+// New returns an instance that has not been started.
 func New(settings Settings, store Store, decoder Decoder, workers Workers, registry metrics.Registry, log *logrus.Entry) *Instance {
 	boot := strconv.FormatUint(rand.Uint64(), 36)
 	i := &Instance{
 		settings: settings,
 		bounds:   newBounds(settings.Bounds),
-		holder:   settings.Name + "/" + boot,
+		identity: settings.Name + "/" + boot,
 		nameHash: xxhash.Sum64String(settings.Name),
 		log:      log,
 		clock:    NewClock(),
@@ -102,18 +102,18 @@
 		handOver: make(chan struct{}),
 	}
 	i.fold = newWorkFold(log)
-	i.helpers = newHelpers(i.clock)
-	i.chronicle = newChronicle(i.clock)
-	i.operator = i.newFollower(StreamOperator, 0, &sync.Mutex{}, quietWait)
+	i.peers = newPeers(i.clock)
+	i.eventLog = newEventLog(i.clock)
+	i.operator = i.newFollower(StreamOperator, 0, &sync.Mutex{}, operatorStreamReadWait)
 	i.operator.apply = i.applyOperator
 	i.operator.reset = i.evacuations.reset
-	i.operator.wait = i.operatorWait
-	i.operator.gap = func() time.Duration { return configPause }
+	i.operator.readWait = i.operatorReadWait
+	i.operator.readInterval = func() time.Duration { return configReadInterval }
 	i.work = i.newWorkFollower(statePart)
-	if part := detailPart(settings.StoreParts); part != statePart {
-		i.detail = i.newDetailFollower(part)
+	if part := progressPart(settings.StoreParts); part != statePart {
+		i.progress = i.newProgressFollower(part)
 	}
-	for part := 1; part <= callPartsOf(settings.StoreParts); part++ {
+	for part := 1; part <= callPartCount(settings.StoreParts); part++ {
 		i.calls = append(i.calls, i.newCallFollower(part))
 		i.committers = append(i.committers, i.newCommitter(part))
 	}
@@ -122,8 +122,8 @@
 	}
 	i.kernel.AddDuty("configuration", i.operator.run)
 	i.kernel.AddDuty("work", i.work.run)
-	if i.detail != nil {
-		i.kernel.AddDuty("progress", i.detail.run)
+	if i.progress != nil {
+		i.kernel.AddDuty("progress", i.progress.run)
 	}
 	for _, calls := range i.calls {
 		i.kernel.AddDuty("calls", calls.run)
@@ -131,91 +131,89 @@
 	for _, committer := range i.committers {
 		i.kernel.AddDuty("commit", committer.run)
 	}
-	i.kernel.AddDuty("placing", i.placingDuty)
-	i.kernel.AddDuty("register", i.register)
+	i.kernel.AddDuty("placing", i.leaderDuty)
+	i.kernel.AddDuty("register", i.registerAddress)
 	return i
 }
 
-func (i *Instance) newFollower(stream Stream, part int, lock *sync.Mutex, wait time.Duration) *follower {
+func (i *Instance) newFollower(stream Stream, part int, lock *sync.Mutex, readWait time.Duration) *follower {
 	return &follower{
-		store:  i.store,
-		stream: stream,
-		part:   part,
-		log:    i.log,
-		clock:  i.clock,
-		lock:   lock,
-		roused: make(chan struct{}, 1),
-		wait:   func() time.Duration { return wait },
-		onLost: func() { i.readLostAt.Store(i.clock.Now().UnixNano()) },
+		store:     i.store,
+		stream:    stream,
+		part:      part,
+		log:       i.log,
+		clock:     i.clock,
+		lock:      lock,
+		wakeup:    make(chan struct{}, 1),
+		readWait:  func() time.Duration { return readWait },
+		onFailure: func() { i.readFailedAt.Store(i.clock.Now().UnixNano()) },
 	}
 }
 
-// newWorkFollower follows one part of the work stream; all share one fold.
+// newWorkFollower follows one part of the work stream. All parts share one fold.
 func (i *Instance) newWorkFollower(part int) *follower {
-	made := i.newFollower(StreamWork, part, &i.foldLock, progressWait)
-	made.apply = func(batch Batch) { i.fold.apply(part, batch) }
-	made.gap = func() time.Duration { return i.workPause(part) }
-	made.wait = func() time.Duration { return i.workWait(part) }
-	return made
+	f := i.newFollower(StreamWork, part, &i.foldLock, stateReadWait)
+	f.apply = func(batch Batch) { i.fold.apply(part, batch) }
+	f.readInterval = func() time.Duration { return i.workReadInterval(part) }
+	f.readWait = func() time.Duration { return i.workReadWait(part) }
+	return f
 }
 
-// newCallFollower follows a part with what callers wrote. Instances that would not claim the
-// term first leave the store to those that would: where all start at once, what they read
-// whole competes with what the next holder needs, its own claim first.
+// newCallFollower follows a part with callers' records. Instances that would not claim the term
+// first read later: when all instances start at once, their full reads compete with the next
+// leader's claim and reads.
 func (i *Instance) newCallFollower(part int) *follower {
-	made := i.newWorkFollower(part)
-	if claimRank(i.nameHash, i.settings.CPUShare) >= claimSpread {
-		made.yields = yieldTime
+	f := i.newWorkFollower(part)
+	if claimDelay(i.nameHash, i.settings.CPUShare) >= maxClaimJitter {
+		f.startDelay = startupYield
 	}
-	return made
+	return f
 }
 
-// newDetailFollower follows the progress of jobs, while this instance places or
-// is one of those that would claim a vacant term first.
-func (i *Instance) newDetailFollower(part int) *follower {
-	made := i.newWorkFollower(part)
-	made.gap = i.detailPause
-	made.wait = func() time.Duration { return progressWait }
-	made.wanted = func() bool { return i.leading.Load() || i.watchful() }
-	return made
+// newProgressFollower follows job progress while this instance is the leader or a standby.
+func (i *Instance) newProgressFollower(part int) *follower {
+	f := i.newWorkFollower(part)
+	f.readInterval = i.progressReadInterval
+	f.readWait = func() time.Duration { return stateReadWait }
+	f.active = func() bool { return i.leading.Load() || i.isStandby() }
+	return f
 }
 
-func (i *Instance) detailPause() time.Duration {
+func (i *Instance) progressReadInterval() time.Duration {
 	if i.leading.Load() {
-		return ownPause
+		return leaderOwnInterval
 	}
-	return detailStandby
+	return standbyProgressInterval
 }
 
-// workWait is how long a read of a part may wait for records. The holder of the
-// term waits shortly everywhere, as a connection that has gone silent would hide
-// new jobs from it.
-func (i *Instance) workWait(part int) time.Duration {
+// workReadWait returns how long a read of a part may wait for records. The leader waits briefly on
+// every part, because a silent connection would hide new jobs from it.
+func (i *Instance) workReadWait(part int) time.Duration {
 	switch {
-	case part == statePart && !i.leading.Load() && i.watchful():
-		return watchfulWait
+	case part == statePart && !i.leading.Load() && i.isStandby():
+		return standbyReadWait
 	case part == statePart:
-		return progressWait
+		return stateReadWait
 	case i.leading.Load():
-		return holderWait
+		return leaderCallReadWait
 	}
-	return callsWait
+	return callReadWait
 }
 
-func (i *Instance) workPause(part int) time.Duration {
+func (i *Instance) workReadInterval(part int) time.Duration {
 	if i.leading.Load() && part == statePart {
-		return ownPause
+		return leaderOwnInterval
 	}
 	if i.leading.Load() {
-		return holderPause
+		return leaderCallInterval
 	}
 	if part != statePart {
-		return callsPause
+		return nonLeaderCallInterval
 	}
-	if i.watchful() {
-		return watchfulPause
+	if i.isStandby() {
+		return standbyReadInterval
 	}
-	return standbyPause
+	return nonLeaderReadInterval
 }
 
 func (i *Instance) randomSequence() int64 { return rand.Int64N(1 << 40) }
@@ -223,14 +221,14 @@
 // Start runs the duties and returns at once.
 func (i *Instance) Start() {
 	i.kernel.Start()
-	i.log.WithField("holder", i.holder).Info("instance_started")
+	i.log.WithField("holder", i.identity).Info("instance_started")
 	if i.settings.NotServed != "" {
 		i.log.WithField("reason", i.settings.NotServed).Error("jobs_not_served")
 	}
 }
 
-// Drain says that the instance is to end: it is not ready any more and gives
-// the term up, but still serves callers.
+// Drain prepares the instance to stop: it is no longer ready and hands the term over, but still
+// serves callers.
 func (i *Instance) Drain() {
 	if i.draining.Swap(true) {
 		return
@@ -245,24 +243,24 @@
 	i.log.Info("instance_stopped")
 }
 
-// Config is the newest configuration, or nil before the first was read. It
-// never goes back to an older version.
+// Config returns the newest configuration, or nil before the first was read. It never goes back to
+// an older version.
 func (i *Instance) Config() *Config { return i.config.Load() }
 
-// Ready reports whether callers should be sent here.
+// Ready reports whether callers should be routed to this instance.
 func (i *Instance) Ready() bool {
-	return i.settings.NotServed == "" && i.Config() != nil && i.loaded() && i.work.inContact() && !i.draining.Load()
+	return i.settings.NotServed == "" && i.Config() != nil && i.loaded() && i.work.isReachable() && !i.draining.Load()
 }
 
-// LogPosition is how far this instance has read the part of the log with the
-// term and the states. Whatever it does knows of all before it, so positions
-// order what several instances do where clocks differ.
-func (i *Instance) LogPosition() int64 { return i.work.at.Load() }
+// LogPosition returns the offset up to which this instance has read the part of the log with the
+// term and the job states. Everything the instance does reflects all records before it, so
+// positions order actions of several instances whose clocks differ.
+func (i *Instance) LogPosition() int64 { return i.work.publishedOffset.Load() }
 
-// Draining reports whether the instance is about to end.
+// Draining reports whether the instance is about to stop.
 func (i *Instance) Draining() bool { return i.draining.Load() }
 
-// applyOperator takes what the operators wrote.
+// applyOperator applies operators' records.
 func (i *Instance) applyOperator(batch Batch) {
 	i.applyEvacuations(batch)
 	i.applyConfig(batch)
@@ -292,7 +290,7 @@
 	return i.fold.table.Term()
 }
 
-// loaded reports whether the whole fold was read once.
+// loaded reports whether every followed part has been read completely once.
 func (i *Instance) loaded() bool {
 	for _, calls := range i.calls {
 		if !calls.isLoaded() {
@@ -302,14 +300,14 @@
 	return i.work.isLoaded()
 }
 
-// refreshTerm reads what the last claim brought.
+// refreshTerm reads the outcome of the last claim.
 func (i *Instance) refreshTerm(ctx context.Context) {
 	if err := i.work.refresh(ctx, 0); err != nil && !errors.Is(err, context.Canceled) {
 		i.log.WithField("error", err.Error()).Debug("refresh_failed")
 	}
 }
 
-// refreshCalls reads all that callers have written by now, at any instance.
+// refreshCalls reads all callers' records written by now at any instance.
 func (i *Instance) refreshCalls(ctx context.Context) error {
 	if len(i.calls) == 0 {
 		return i.work.refresh(ctx, 0)
@@ -328,36 +326,38 @@
 }
 
 func (i *Instance) newCommitter(part int) *committer {
-	made := newCommitter(i.store, i.clock, part)
-	made.readBack = func(ctx context.Context, records []jobs.Record) (bool, error) { return i.inLog(ctx, part, records) }
-	return made
+	c := newCommitter(i.store, i.clock, part)
+	c.readBack = func(ctx context.Context, records []jobs.Record) (bool, error) {
+		return i.recordsInLog(ctx, part, records)
+	}
+	return c
 }
 
-// committer is the one that appends a caller's record.
-func (i *Instance) committer(record jobs.Record) *committer {
+// committerFor returns the committer that appends a caller's record.
+func (i *Instance) committerFor(record jobs.Record) *committer {
 	part := partOf(record.Subject(), i.settings.StoreParts)
 	return i.committers[max(0, part-1)]
 }
 
-// follower is the one of a part of the work stream.
-func (i *Instance) follower(part int) *follower {
+// followerOf returns the follower of a part of the work stream.
+func (i *Instance) followerOf(part int) *follower {
 	if part == statePart {
 		return i.work
 	}
 	return i.calls[part-1]
 }
 
-// rouse has the followers of what the holder needs go on at its pace.
-func (i *Instance) rouse() {
-	i.work.rouse()
+// wakeFollowers makes the followers continue at once at the leader's read intervals.
+func (i *Instance) wakeFollowers() {
+	i.work.wake()
 	for _, calls := range i.calls {
-		calls.rouse()
+		calls.wake()
 	}
 }
 
-// inLog reports whether callers' records are in a part of the log, as read now.
-func (i *Instance) inLog(ctx context.Context, part int, records []jobs.Record) (bool, error) {
-	if err := i.follower(part).refresh(ctx, 0); err != nil {
+// recordsInLog reads a part of the log and reports whether it contains all of the records.
+func (i *Instance) recordsInLog(ctx context.Context, part int, records []jobs.Record) (bool, error) {
+	if err := i.followerOf(part).refresh(ctx, 0); err != nil {
 		return false, err
 	}
 	i.foldLock.Lock()
--- /dev/null
+++ b/batch/interfaces.go
@@ -0,0 +1,167 @@
+package batch
+
+import (
+	"context"
+	"strconv"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"github.com/teaselcleat/teaselcleat/jobs"
+	"github.com/teaselcleat/teaselcleat/placing"
+)
+
+// Errors of a Store.
+var (
+	// ErrNotDone is returned if the store certainly did nothing.
+	ErrNotDone = eris.New("the store did nothing")
+	// ErrUnknown is returned if a write may have taken effect, or may still do so.
+	ErrUnknown = eris.New("no answer from the store")
+	// ErrFenced is returned if a leader with a higher epoch has written.
+	ErrFenced = eris.New("a later term has written")
+	// ErrForgotten is returned if the requested records are no longer retained.
+	ErrForgotten = eris.New("records are no longer kept")
+)
+
+// Stream names a stream of keyed records.
+type Stream string
+
+// Streams that an instance reads. It writes only to StreamWork, which has several parts: the store
+// executes the appends to a part one at a time, and those of callers and of the leader must not
+// wait for each other.
+const (
+	StreamWork     Stream = "work"     // submissions, cancellations, progress, the term
+	StreamOperator Stream = "operator" // configuration and evacuations by the operators
+	StreamWorkers  Stream = "workers"  // entries written by the workers
+)
+
+// Fence makes an append conditional: the store refuses it once a higher epoch has written, and
+// writes a repeat of the same sequence number only once.
+type Fence struct {
+	Epoch    int64
+	Sequence int64
+}
+
+// Batch is a sequence of records of a stream. Offsets[i] is the offset of Records[i].
+type Batch struct {
+	Records []jobs.Record
+	Offsets []int64
+	Next    int64 // offset of the next read
+}
+
+// Store is the platform's store of keyed records. Its methods may be called concurrently, and
+// each call ends with its context.
+type Store interface {
+	// Append adds records to a part of StreamWork, all or none. A nil fence sets no condition.
+	// Errors: ErrNotDone, ErrUnknown, ErrFenced.
+	Append(ctx context.Context, part int, records []jobs.Record, fence *Fence) error
+	// Read returns records of a part of a stream from an offset on. It waits up to wait for the
+	// first one. Errors: ErrForgotten, or any failure of the call.
+	Read(ctx context.Context, stream Stream, part int, from int64, wait time.Duration) (Batch, error)
+	// Newest returns the newest record of each key. Next is the offset at which reading has to
+	// continue, as others write while the pages are read.
+	Newest(ctx context.Context, stream Stream, part int) (Batch, error)
+}
+
+// Decoder decodes the records of the outer streams.
+type Decoder interface {
+	// Config decodes a record of StreamOperator; ok is false for other records.
+	Config(record jobs.Record) (config *Config, ok bool, err error)
+	// Evacuation decodes a record of StreamOperator that starts or ends the evacuation of an
+	// availability zone; ok is false for other records.
+	Evacuation(record jobs.Record) (zone string, evacuated, ok bool)
+	// Worker decodes a record of StreamWorkers; gone is true if the entry was removed.
+	Worker(record jobs.Record) (entry placing.WorkerEntry, gone bool, err error)
+}
+
+// Workers sends orders to workers. Calls end with their context. After any error other than an
+// *OrderError the order may still take effect. An order is meant for one incarnation of a worker;
+// an answer from another one is returned as an *OtherLifeError.
+type Workers interface {
+	Start(ctx context.Context, worker placing.WorkerEntry, order StartOrder) (clockMS int64, err error)
+	Stop(ctx context.Context, worker placing.WorkerEntry, order StopOrder) (clockMS int64, err error)
+	Hold(ctx context.Context, worker placing.WorkerEntry, order HoldOrder) (HoldReport, error)
+	Pace(ctx context.Context, worker placing.WorkerEntry, order PaceOrder) error
+	// Advise asks the advisory service which of some workers may run a step. The returned tickets,
+	// by worker ID, have to go with starts of the step while they are valid.
+	Advise(ctx context.Context, ask placing.Ask) (tickets map[string]string, valid time.Duration, err error)
+	// Forget releases the resources held for a worker that is no longer called.
+	Forget(worker placing.WorkerEntry)
+}
+
+// Refusal is the reason why a worker refused an order.
+type Refusal string
+
+// Refusals of workers. A refused order has had and will have no effect.
+const (
+	RefusedFence   Refusal = "fence"   // the worker has served a later term
+	RefusedOld     Refusal = "old"     // the run is not above one that was stopped or ended there
+	RefusedLate    Refusal = "late"    // the requested lease has already ended
+	RefusedRoom    Refusal = "room"    // the task does not fit
+	RefusedBusy    Refusal = "busy"    // the worker is unhealthy
+	RefusedReborn  Refusal = "reborn"  // another incarnation of the worker answered
+	RefusedInvalid Refusal = "invalid" // the worker cannot read the order
+	RefusedTicket  Refusal = "ticket"  // the ticket is missing or not valid
+)
+
+// OrderError is returned if a worker refuses an order.
+type OrderError struct {
+	Refusal Refusal
+	ClockMS int64
+}
+
+// OtherLifeError is returned if another incarnation of the worker answered than the one that the
+// order was meant for. The former one is gone; the one that answered may have carried the order out.
+type OtherLifeError struct {
+	BornMS int64 // start of the incarnation that answered, in Unix milliseconds
+}
+
+// Error describes the incarnation that answered.
+func (e *OtherLifeError) Error() string {
+	return "another incarnation of the worker answered, started at " + strconv.FormatInt(e.BornMS, 10)
+}
+
+// Error describes the refusal.
+func (e *OrderError) Error() string { return "worker refused the order: " + string(e.Refusal) }
+
+// StartOrder starts a run of a task.
+type StartOrder struct {
+	Task       jobs.TaskKey
+	Run        int
+	Spec       string
+	Checkpoint string
+	Ticket     string
+	UntilMS    int64 // lease, on the worker's clock
+	Epoch      int64
+}
+
+// StopOrder stops a run, or makes the worker refuse its start if that arrives later.
+type StopOrder struct {
+	Task  jobs.TaskKey
+	Run   int
+	Epoch int64
+}
+
+// PaceOrder sets the speed of a run to a percentage of its full speed.
+type PaceOrder struct {
+	Task    jobs.TaskKey
+	Run     int
+	Percent int
+	Epoch   int64
+}
+
+// HoldOrder renews the lease of everything that runs on a worker, lets it forget its ends up to
+// Ack, and requests a report of its runs and ends.
+type HoldOrder struct {
+	UntilMS int64 // on the worker's clock; 0 renews nothing
+	Epoch   int64
+	Ack     int64
+	Wait    time.Duration // how long the worker may wait for an end before it answers
+}
+
+// HoldReport is the answer to a hold.
+type HoldReport struct {
+	ClockMS int64
+	Running []placing.RunningTask
+	Ended   []placing.EndedTask
+}
--- a/batch/leader.go
+++ b/batch/leader.go
@@ -14,50 +14,48 @@
 )
 
 const (
-	// eventRing bounds the answers that wait for the placing duty; a worker has
-	// a hold and a few orders under way at a time.
-	eventRing = 1024
-	// leadTick is how often the placing duty looks at the time when nothing
-	// happens: due times and lapses are exact to it.
-	leadTick = 50 * time.Millisecond
-	// prepareTimeout bounds what comes before the first decision: an append and
-	// the reading of all progress. A holder that cannot do it in that time leaves the
-	// term to another.
+	// eventQueueSize bounds the events that wait for the leader's loop. A worker has a hold and a
+	// few orders in flight at a time.
+	eventQueueSize = 1024
+	// tickInterval is how often the loop runs when nothing happens. It is the precision of due
+	// times and lapses.
+	tickInterval = 50 * time.Millisecond
+	// prepareTimeout bounds the work before the first scheduling pass: an append and the reading of
+	// all progress. A leader that cannot finish in that time gives the term up.
 	prepareTimeout = 2500 * time.Millisecond
-	// handOverGrace is how long a holder that is to stop goes on while the term is
-	// open to others: longer than a claim takes while the store is slow, and less than
-	// the process serves after it was told to stop.
-	handOverGrace = 2 * time.Second
+	// handOverTimeout is how long a leader that is about to stop goes on while the term is open to
+	// others. It is longer than a claim takes while the store is slow, and shorter than the time
+	// for which the process serves after it was told to stop.
+	handOverTimeout = 2 * time.Second
 )
 
-// event is an answer or a change that the placing duty takes in.
+// event is an answer or a change that the leader's loop applies.
 type event interface {
 	apply(l *leader, now time.Time)
 }
 
-// leader is the duty of the instance that holds the term.
+// leader runs the duties of the instance that holds the term.
 type leader struct {
-	instance *Instance
-	log      *logrus.Entry
-	clock    *Clock
-	engine   *placing.Engine
-	epoch    int64
-	events   *ring.Ring[event]
-	drivers  *drivers
-	writer   *fencedWriter
-	deposed  bool
-	openedAt time.Time                      // when the term was opened to others; zero before
-	entries  map[string]placing.WorkerEntry // by the worker's name; guarded by the list follower's lock
-	// pools are those that a configuration or a job has named: entries of any other
-	// name no worker to use. A pool that is not routed to any more may still have
-	// work of jobs that were accepted before.
-	pools   map[string]bool
-	listed  *follower
-	running sync.WaitGroup
-	ctx     context.Context // ends with the term
+	instance     *Instance
+	log          *logrus.Entry
+	clock        *Clock
+	engine       *placing.Engine
+	epoch        int64
+	events       *ring.Ring[event]
+	dispatchers  *dispatchers
+	writer       *fencedWriter
+	termLost     bool
+	termOpenedAt time.Time                      // when the term was opened to others; zero before
+	entries      map[string]placing.WorkerEntry // by worker name; guarded by the lock of workerList
+	// pools holds the pools named by a configuration or by a job. Workers of any other pool are
+	// ignored. A pool that is no longer routed to may still have work of jobs accepted before.
+	pools      map[string]bool
+	workerList *follower
+	wg         sync.WaitGroup
+	ctx        context.Context // ends with the term
 }
 
-// lead holds the term until it is lost or ctx ends.
+// lead leads the term until it is lost or ctx ends.
 func (i *Instance) lead(ctx context.Context, term jobs.Term, sequence int64, former placing.Former) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -67,22 +65,22 @@
 		clock:    i.clock,
 		engine:   placing.New(i.limits(), term.Epoch, i.clock.WallMS),
 		epoch:    term.Epoch,
-		events:   ring.New[event](eventRing),
+		events:   ring.New[event](eventQueueSize),
 		entries:  map[string]placing.WorkerEntry{},
 		pools:    map[string]bool{},
 		ctx:      ctx,
 	}
-	l.drivers = newDrivers(l)
+	l.dispatchers = newDispatchers(l)
 	l.writer = newFencedWriter(l, term, sequence)
-	i.keepings.supersede(term.Epoch)
+	i.delegations.supersede(term.Epoch)
 	l.log.WithField("former", former.String()).Info("term_won")
 	i.leading.Store(true)
-	i.rouse()
+	i.wakeFollowers()
 	defer i.leading.Store(false)
-	defer l.running.Wait()
+	defer l.wg.Wait()
 	defer cancel()
-	l.listed = l.newList()
-	l.start(ctx, l.listed.run)
+	l.workerList = l.newWorkerListFollower()
+	l.spawn(ctx, l.workerList.run)
 	if err := l.prepare(ctx); err != nil {
 		l.log.WithField("error", err.Error()).Warn("term_given_up")
 		return
@@ -91,51 +89,51 @@
 	defer i.metrics.leading.Update(0)
 	defer i.metrics.stalled.Update(0)
 	defer i.sharing.Store(nil)
-	l.load(former)
-	l.start(ctx, l.complete)
-	l.start(ctx, l.writer.run)
-	l.start(ctx, l.seekSuccessor)
+	l.loadEngine(former)
+	l.spawn(ctx, l.awaitAllCalls)
+	l.spawn(ctx, l.writer.run)
+	l.spawn(ctx, l.findSuccessor)
 	l.loop(ctx)
 	l.log.Info("term_over")
 }
 
-func (l *leader) start(ctx context.Context, run func(context.Context)) {
-	l.running.Add(1)
+func (l *leader) spawn(ctx context.Context, run func(context.Context)) {
+	l.wg.Add(1)
 	go func() {
-		defer l.running.Done()
+		defer l.wg.Done()
 		run(ctx)
 	}()
 }
 
-// prepare keeps former holders from writing progress, and then reads all of it.
-// What callers wrote is read meanwhile, as each call takes long while the store is slow.
+// prepare fences the progress writes of former leaders and then reads all progress. It reads
+// what callers wrote at the same time, as each call takes long while the store is slow.
 func (l *leader) prepare(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, prepareTimeout)
 	defer cancel()
-	caught := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(caught)
-		l.instance.catchUp(ctx)
+		defer close(done)
+		l.instance.catchUpCalls(ctx)
 	}()
-	defer func() { <-caught }()
-	if err := l.writer.fence(ctx); err != nil {
+	defer func() { <-done }()
+	if err := l.writer.fenceProgress(ctx); err != nil {
 		return err
 	}
-	if detail := l.instance.detail; detail != nil {
+	if detail := l.instance.progress; detail != nil {
 		return detail.catchUp(ctx)
 	}
 	return nil
 }
 
-// load gives the engine the fold as it is, and from then on what changes.
-func (l *leader) load(former placing.Former) {
+// loadEngine loads the state of all jobs into the engine, and starts the tracking of changes.
+func (l *leader) loadEngine(former placing.Former) {
 	i := l.instance
 	i.foldLock.Lock()
 	defer i.foldLock.Unlock()
-	i.fold.watching.Store(true)
+	i.fold.trackDirty.Store(true)
 	clear(i.fold.dirty)
 	l.configure()
-	l.evacuate(l.clock.Now())
+	l.passEvacuations(l.clock.Now())
 	all := i.fold.table.All()
 	for _, job := range all {
 		l.pools[job.Submission.Queue.Pool] = true
@@ -143,33 +141,33 @@
 	l.engine.Load(all, former, l.clock.Now())
 }
 
-// catchUp reads once what callers have written, so that the engine mostly
-// begins with all jobs.
-func (i *Instance) catchUp(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, freshTimeout)
+// catchUpCalls reads once what callers have written, so that the engine mostly starts with
+// all jobs.
+func (i *Instance) catchUpCalls(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	if err := i.refreshCalls(ctx); err != nil {
 		i.log.WithField("error", err.Error()).Info("calls_behind")
 	}
 }
 
-// complete reads what callers wrote until that succeeded after the term was
-// won: from then on the engine knows every job that was ever placed.
-func (l *leader) complete(ctx context.Context) {
+// awaitAllCalls reads what callers wrote until a read succeeds after the term was won. From
+// then on the engine knows every job that was ever placed.
+func (l *leader) awaitAllCalls(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := l.instance.refreshCalls(ctx); err == nil {
-			l.events.Put(ctx, callsComplete{})
+			l.events.Put(ctx, callsCompleteEvent{})
 			return
 		}
-		logstream.Sleep(ctx, retryFirst)
+		logstream.Sleep(ctx, minRetryBackoff)
 	}
 }
 
-// callsComplete says that all submissions of former terms were read.
-type callsComplete struct{}
+// callsCompleteEvent signals that all submissions of former terms have been read.
+type callsCompleteEvent struct{}
 
-func (callsComplete) apply(l *leader, _ time.Time) {
-	l.takeChanges()
+func (callsCompleteEvent) apply(l *leader, _ time.Time) {
+	l.applyChanges()
 	l.engine.Complete()
 }
 
@@ -187,56 +185,56 @@
 		l.pools[pool] = true
 	}
 	l.engine.Configure(queues, config.Guarantees, config.Unguarded)
-	l.offer(listChanged{})
+	l.offer(listChangedEvent{})
 }
 
-// offer hands an event to the loop without waiting; events that may be offered
-// so come again.
+// offer enqueues an event without blocking. If the queue is full the event is dropped, so it
+// has to be one that is repeated.
 func (l *leader) offer(e event) { l.events.Offer(e) }
 
 func (l *leader) loop(ctx context.Context) {
-	timer := time.NewTimer(leadTick)
+	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
-	defer l.unwatch()
+	defer l.stopTracking()
 	handOver := l.instance.handOver
-	for ctx.Err() == nil && !l.deposed {
+	for ctx.Err() == nil && !l.termLost {
 		select {
 		case <-ctx.Done():
 			return
 		case <-handOver:
 			handOver = nil
-			l.open()
+			l.openTerm()
 		case next := <-l.events.Items():
 			next.apply(l, l.clock.Now())
 		case <-l.instance.fold.signal:
 		case <-timer.C:
 		}
 		l.drainEvents()
-		l.drivers.divide(l.clock.Now())
-		l.takeChanges()
-		if !l.termStands() {
+		l.dispatchers.assignWorkers(l.clock.Now())
+		l.applyChanges()
+		if !l.holdsTerm() {
 			return
 		}
-		l.engine.ListSeen(l.listed.seenAt())
-		l.engine.EvacuationsSeen(l.instance.operator.seenAt())
+		l.engine.ListSeen(l.workerList.lastContact())
+		l.engine.EvacuationsSeen(l.instance.operator.lastContact())
 		l.engine.SetLimits(l.instance.limits())
 		plan := l.engine.Decide(l.clock.Now())
-		l.carryOut(ctx, plan)
+		l.execute(ctx, plan)
 		l.writer.renewIfDue(l.clock.Now())
-		timer.Reset(untilNext(plan))
+		timer.Reset(nextTimeout(plan))
 	}
 }
 
-// untilNext is when to decide again if nothing happens before.
-func untilNext(plan placing.Plan) time.Duration {
+// nextTimeout returns the delay until the next scheduling pass if no event arrives before.
+func nextTimeout(plan placing.Plan) time.Duration {
 	if plan.Again > 0 {
-		return min(leadTick, plan.Again)
+		return min(tickInterval, plan.Again)
 	}
-	return leadTick
+	return tickInterval
 }
 
 func (l *leader) drainEvents() {
-	for range eventRing {
+	for range eventQueueSize {
 		next, ok := l.events.TryTake()
 		if !ok {
 			return
@@ -245,8 +243,8 @@
 	}
 }
 
-// takeChanges passes on what other instances wrote.
-func (l *leader) takeChanges() {
+// applyChanges passes what other instances wrote to the engine.
+func (l *leader) applyChanges() {
 	i := l.instance
 	i.foldLock.Lock()
 	defer i.foldLock.Unlock()
@@ -261,83 +259,83 @@
 	}
 	clear(i.fold.dirty)
 	if i.fold.table.Term().Epoch > l.epoch {
-		l.depose("a later term is on record")
+		l.loseTerm("a later term was recorded")
 	}
 	if i.configChanged.Swap(false) {
 		l.configure()
 	}
 	if i.evacuations.changed.Load() {
-		l.evacuate(now)
+		l.passEvacuations(now)
 	}
 }
 
-// termStands reports whether this instance may go on. Without the store it
-// does for some time, as the store may be away for everybody; workers that have
-// met a later holder refuse it meanwhile.
-func (l *leader) termStands() bool {
-	if l.deposed {
+// holdsTerm reports whether this instance may go on leading. It goes on for some time while the
+// store is unreachable, as the store may be down for everybody. Workers that have served a later
+// leader refuse its orders meanwhile.
+func (l *leader) holdsTerm() bool {
+	if l.termLost {
 		return false
 	}
 	now := l.clock.Now()
-	if now.Sub(l.writer.confirmed()) > holderGone {
-		l.depose("the store is out of reach")
+	if now.Sub(l.writer.lastConfirmed()) > leaderGiveUpTime {
+		l.loseTerm("the store is out of reach")
 	}
-	if !l.openedAt.IsZero() && now.Sub(l.openedAt) > handOverGrace {
-		l.depose("it was handed over")
+	if !l.termOpenedAt.IsZero() && now.Sub(l.termOpenedAt) > handOverTimeout {
+		l.loseTerm("the term was handed over")
 	}
-	return !l.deposed
+	return !l.termLost
 }
 
-func (l *leader) depose(why string) {
-	if !l.deposed {
-		l.log.WithField("reason", why).Warn("term_lost")
+func (l *leader) loseTerm(reason string) {
+	if !l.termLost {
+		l.log.WithField("reason", reason).Warn("term_lost")
 	}
-	l.deposed = true
+	l.termLost = true
 }
 
-func (l *leader) unwatch() {
+func (l *leader) stopTracking() {
 	i := l.instance
 	i.foldLock.Lock()
 	defer i.foldLock.Unlock()
-	i.fold.watching.Store(false)
+	i.fold.trackDirty.Store(false)
 	clear(i.fold.dirty)
 }
 
-// carryOut starts what a plan asks for.
-func (l *leader) carryOut(ctx context.Context, plan placing.Plan) {
+// execute carries out a plan of the engine.
+func (l *leader) execute(ctx context.Context, plan placing.Plan) {
 	for _, note := range plan.Notes {
-		l.logNote(note)
+		l.logDecision(note)
 	}
 	if len(plan.Records) > 0 {
-		l.writer.offer(plan.Records, plan.States)
+		l.writer.enqueue(plan.Records, plan.States)
 	}
 	if len(plan.EarlyStates) > 0 {
-		l.writer.offerEarly(plan.EarlyStates)
+		l.writer.enqueueEarly(plan.EarlyStates)
 	}
 	for _, stop := range plan.Stops {
-		l.drivers.stop(stop)
+		l.dispatchers.stop(stop)
 	}
 	for _, order := range plan.Starts {
-		l.drivers.start(order)
+		l.dispatchers.start(order)
 	}
 	for _, pace := range plan.Paces {
-		l.drivers.pace(pace)
+		l.dispatchers.pace(pace)
 	}
 	if plan.Ask != nil {
-		l.start(ctx, func(ctx context.Context) { l.advise(ctx, *plan.Ask) })
+		l.spawn(ctx, func(ctx context.Context) { l.requestAdvice(ctx, *plan.Ask) })
 	}
 	for worker, number := range plan.Acks {
-		l.drivers.acknowledge(worker, number)
+		l.dispatchers.acknowledge(worker, number)
 	}
 	for _, worker := range plan.Forget {
-		l.drivers.forget(worker)
+		l.dispatchers.removeWorker(worker)
 	}
 	if len(plan.Expired) > 0 {
-		l.start(ctx, func(ctx context.Context) { l.expire(ctx, plan.Expired) })
+		l.spawn(ctx, func(ctx context.Context) { l.expireJobs(ctx, plan.Expired) })
 	}
 }
 
-func (l *leader) logNote(note placing.Note) {
+func (l *leader) logDecision(note placing.Note) {
 	fields := logrus.Fields{}
 	if note.Job != "" {
 		fields["job"] = note.Job
@@ -348,15 +346,15 @@
 	if note.Detail != "" {
 		fields["detail"] = note.Detail
 	}
-	l.instance.chronicle.write(l.log, note.Event, fields)
+	l.instance.eventLog.write(l.log, note.Event, fields)
 	l.instance.metrics.count("decisions." + note.Event)
 }
 
-// open has the term renewed without a holder from now on, so that another
-// instance claims it at once. This one goes on until then, as the others take
-// over from a holder that is lost: by the store's and the workers' fences.
-func (l *leader) open() {
-	l.openedAt = l.clock.Now()
-	l.writer.open()
+// openTerm makes further renewals name no leader, so that another instance claims the term at
+// once. This leader goes on until then. The others take over as from a lost leader, protected
+// by the fences of the store and of the workers.
+func (l *leader) openTerm() {
+	l.termOpenedAt = l.clock.Now()
+	l.writer.openTerm()
 	l.log.Info("term_opened")
 }
--- a/batch/giveup_test.go
+++ b/batch/leaderstall_test.go
@@ -14,9 +14,9 @@
 	"github.com/teaselcleat/teaselcleat/placing"
 )
 
-// placesWithin is how long the term may be with an instance that cannot place while
+// failoverTimeout is how long the term may be with an instance that cannot place while
 // another can.
-const placesWithin = 30 * time.Second
+const failoverTimeout = 30 * time.Second
 
 // sharedLog is the work stream as all instances have it, and the workers' list.
 type sharedLog struct {
@@ -26,28 +26,28 @@
 	fences map[int]Fence // the newest of each part
 }
 
-// wayToLog is one instance's way to it.
-type wayToLog struct {
+// logClient is one instance's way to it.
+type logClient struct {
 	*sharedLog
-	lock  sync.Mutex
-	stuck bool          // appends of progress are not answered and not carried out
-	slow  time.Duration // of a read of all progress
+	lock        sync.Mutex
+	stuck       bool          // appends of progress are not answered and not carried out
+	newestDelay time.Duration // of a read of all progress
 }
 
-func (w *wayToLog) setStuck(stuck bool) {
+func (w *logClient) setStuck(stuck bool) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.stuck = stuck
 }
 
-func (w *wayToLog) isStuck() bool {
+func (w *logClient) isStuck() bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return w.stuck
 }
 
-func (w *wayToLog) Append(ctx context.Context, part int, records []jobs.Record, fence *Fence) error {
-	if part == detailPart(8) && w.isStuck() {
+func (w *logClient) Append(ctx context.Context, part int, records []jobs.Record, fence *Fence) error {
+	if part == progressPart(8) && w.isStuck() {
 		<-ctx.Done()
 		return ErrUnknown
 	}
@@ -69,9 +69,9 @@
 	return nil
 }
 
-func (w *wayToLog) Read(ctx context.Context, stream Stream, part int, from int64, wait time.Duration) (Batch, error) {
+func (w *logClient) Read(ctx context.Context, stream Stream, part int, from int64, wait time.Duration) (Batch, error) {
 	for until := time.Now().Add(wait); ; time.Sleep(5 * time.Millisecond) {
-		batch := w.from(stream, part, from)
+		batch := w.readFrom(stream, part, from)
 		if len(batch.Records) > 0 || !time.Now().Before(until) || ctx.Err() != nil {
 			time.Sleep(time.Millisecond)
 			return batch, ctx.Err()
@@ -79,19 +79,19 @@
 	}
 }
 
-func (w *wayToLog) Newest(ctx context.Context, stream Stream, part int) (Batch, error) {
-	if stream == StreamWork && part == detailPart(8) {
+func (w *logClient) Newest(ctx context.Context, stream Stream, part int) (Batch, error) {
+	if stream == StreamWork && part == progressPart(8) {
 		select {
 		case <-ctx.Done():
 			return Batch{}, ctx.Err()
-		case <-time.After(w.slow):
+		case <-time.After(w.newestDelay):
 		}
 	}
 	time.Sleep(time.Millisecond)
-	return w.from(stream, part, 0), ctx.Err()
+	return w.readFrom(stream, part, 0), ctx.Err()
 }
 
-func (l *sharedLog) from(stream Stream, part int, from int64) Batch {
+func (l *sharedLog) readFrom(stream Stream, part int, from int64) Batch {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	batch := Batch{Next: from}
@@ -120,25 +120,25 @@
 }
 
 func (d fleetDecoder) Worker(record jobs.Record) (placing.WorkerEntry, bool, error) {
-	entry, known := d.fleet.entries()[record.Key]
-	return entry, !known, nil
+	entry, found := d.fleet.entries()[record.Key]
+	return entry, !found, nil
 }
 
-// holders is instances on one log, of which those that can place do.
-type holders struct {
-	fleet *simWorkers
-	ways  map[string]*wayToLog
-	all   map[string]*Instance
+// twoInstances is instances on one log, of which those that can place do.
+type twoInstances struct {
+	fleet     *simWorkers
+	clients   map[string]*logClient
+	instances map[string]*Instance
 }
 
-// inHolders runs a test with the instances a and b.
-func inHolders(t *testing.T, prepare func(h *holders), test func(h *holders, is *is.I)) {
+// withTwoInstances runs a test with the instances a and b.
+func withTwoInstances(t *testing.T, prepare func(h *twoInstances), test func(h *twoInstances, is *is.I)) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newSimWorkers(4, time.Second)
 		log := &sharedLog{fleet: fleet, parts: map[int][]jobs.Record{}, fences: map[int]Fence{}}
-		h := &holders{fleet: fleet, ways: map[string]*wayToLog{}, all: map[string]*Instance{}}
+		h := &twoInstances{fleet: fleet, clients: map[string]*logClient{}, instances: map[string]*Instance{}}
 		for _, name := range []string{"a", "b"} {
-			h.ways[name] = &wayToLog{sharedLog: log}
+			h.clients[name] = &logClient{sharedLog: log}
 			record, err := jobs.InstanceRecord(name, jobs.Instance{Address: "127.0.0.1:1", CPUShare: 1})
 			if err != nil {
 				t.Fatal(err)
@@ -152,24 +152,24 @@
 		defer running.Wait()
 		defer cancel()
 		for _, name := range []string{"a", "b"} {
-			made := New(Settings{Name: name, StoreParts: 8, CPUShare: 1}, h.ways[name], fleetDecoder{fleet: fleet}, &simPort{fleet: fleet, instance: name}, metrics.NewRegistry(), quietLog())
-			made.bounds = newBounds(simBounds)
-			virtual(made.clock)
-			made.config.Store(&Config{Version: 1, Pools: []string{"pool"}})
-			h.all[name] = made
-			for _, duty := range append([]*follower{made.operator, made.work, made.detail}, made.calls...) {
+			instance := New(Settings{Name: name, StoreParts: 8, CPUShare: 1}, h.clients[name], fleetDecoder{fleet: fleet}, &simPort{fleet: fleet, instance: name}, metrics.NewRegistry(), discardLog())
+			instance.bounds = newBounds(simBounds)
+			useTestClock(instance.clock)
+			instance.config.Store(&Config{Version: 1, Pools: []string{"pool"}})
+			h.instances[name] = instance
+			for _, duty := range append([]*follower{instance.operator, instance.work, instance.progress}, instance.calls...) {
 				running.Go(func() { duty.run(ctx) })
 			}
-			running.Go(func() { made.placingDuty(ctx) })
+			running.Go(func() { instance.leaderDuty(ctx) })
 		}
 		time.Sleep(5 * time.Second)
 		test(h, is.New(t))
 	})
 }
 
-// placing is the instance that has come to place; empty if none has.
-func (h *holders) placing() string {
-	for name, instance := range h.all {
+// leader is the instance that has come to place; empty if none has.
+func (h *twoInstances) leader() string {
+	for name, instance := range h.instances {
 		if instance.leading.Load() && instance.metrics.leading.Value() == 1 {
 			return name
 		}
@@ -177,19 +177,19 @@
 	return ""
 }
 
-// roles are the instance that places, and the one that does not.
-func (h *holders) roles(is *is.I) (first, other string) {
-	first = h.placing()
-	is.True(first != "")
-	if first == "a" {
+// leaderAndStandby are the instance that places, and the one that does not.
+func (h *twoInstances) leaderAndStandby(is *is.I) (leader, standby string) {
+	leader = h.leader()
+	is.True(leader != "")
+	if leader == "a" {
 		return "a", "b"
 	}
 	return "b", "a"
 }
 
-func (h *holders) placingIs(name string, within time.Duration) bool {
+func (h *twoInstances) becomesLeader(name string, within time.Duration) bool {
 	for begin := time.Now(); time.Since(begin) < within; time.Sleep(50 * time.Millisecond) {
-		if h.placing() == name {
+		if h.leader() == name {
 			return true
 		}
 	}
@@ -197,16 +197,16 @@
 }
 
 // submit hands in a job of one task by way of an instance.
-func (h *holders) submit(by, id string, is *is.I) {
+func (h *twoInstances) submit(by, id string, is *is.I) {
 	submission := &jobs.Submission{ID: id, Queue: jobs.Queue{Name: "q", Pool: "pool", MaxAttempts: 4, Stretch: 3, TargetMS: 1000}}
 	submission.Steps = []jobs.Step{{Tasks: 1, EstimateMS: 1000, Need: jobs.Resources{MilliCores: 1000, MemoryMB: 100, Accelerators: 8}}}
 	record, err := jobs.SubmissionRecord(submission)
 	is.NoErr(err)
-	is.NoErr(h.ways[by].Append(context.Background(), partOf(id, 8), []jobs.Record{record}, nil))
+	is.NoErr(h.clients[by].Append(context.Background(), partOf(id, 8), []jobs.Record{record}, nil))
 }
 
 // startsWithin reports whether the task of a job is started within a time.
-func (h *holders) startsWithin(id string, within time.Duration) bool {
+func (h *twoInstances) startsWithin(id string, within time.Duration) bool {
 	for begin := time.Now(); time.Since(begin) < within; time.Sleep(50 * time.Millisecond) {
 		h.fleet.lock.Lock()
 		started := h.fleet.newest[jobs.TaskKey{Job: id}] > 0
@@ -219,36 +219,36 @@
 }
 
 // An instance that wins the term and cannot begin does not keep it from others that can.
-func TestTermOfAnInstanceThatCannotBeginGoesToAnother(t *testing.T) {
-	inHolders(t, func(h *holders) { h.ways["a"].setStuck(true) }, func(h *holders, is *is.I) {
-		is.True(h.placingIs("b", placesWithin))
+func TestTermMovesWhenItsLeaderCannotStart(t *testing.T) {
+	withTwoInstances(t, func(h *twoInstances) { h.clients["a"].setStuck(true) }, func(h *twoInstances, is *is.I) {
+		is.True(h.becomesLeader("b", failoverTimeout))
 		h.submit("a", "a1", is)
 		is.True(h.startsWithin("a1", turnWithin))
 	})
 }
 
 // A holder whose way to the progress alone is cut keeps the term and starts nothing.
-func TestJobIsStartedThoughItsHolderCannotWriteProgress(t *testing.T) {
-	inHolders(t, func(*holders) {}, func(h *holders, is *is.I) {
-		first, other := h.roles(is)
+func TestJobStartsAfterLeaderLosesProgressWrites(t *testing.T) {
+	withTwoInstances(t, func(*twoInstances) {}, func(h *twoInstances, is *is.I) {
+		first, other := h.leaderAndStandby(is)
 		h.submit(other, "a1", is)
 		is.True(h.startsWithin("a1", turnWithin))
-		h.ways[first].setStuck(true)
+		h.clients[first].setStuck(true)
 		h.submit(other, "a2", is)
-		is.True(h.startsWithin("a2", placesWithin))
+		is.True(h.startsWithin("a2", failoverTimeout))
 	})
 }
 
 // It takes longer to read than a holder may take to begin.
-func TestTermIsTakenUpThoughReadingAllProgressTakesLong(t *testing.T) {
-	slow := func(h *holders) {
-		for _, way := range h.ways {
-			way.slow = 2 * prepareTimeout
+func TestTermIsTakenOverDespiteSlowProgressRead(t *testing.T) {
+	slow := func(h *twoInstances) {
+		for _, way := range h.clients {
+			way.newestDelay = 2 * prepareTimeout
 		}
 	}
-	inHolders(t, slow, func(h *holders, is *is.I) {
-		for begin := time.Now(); h.placing() == ""; time.Sleep(50 * time.Millisecond) {
-			is.True(time.Since(begin) < placesWithin)
+	withTwoInstances(t, slow, func(h *twoInstances, is *is.I) {
+		for begin := time.Now(); h.leader() == ""; time.Sleep(50 * time.Millisecond) {
+			is.True(time.Since(begin) < failoverTimeout)
 		}
 	})
 }
--- a/batch/link.go
+++ b/batch/link.go
@@ -13,325 +13,324 @@
 )
 
 const (
-	// holdWait is how long a worker may keep a hold open for an end; the
-	// workers allow two seconds. A lease of six lasts three of these.
+	// holdWait is how long a worker may keep a hold call open while it waits for an end. Workers
+	// allow two seconds. A lease of six seconds outlasts three such calls.
 	holdWait = 1900 * time.Millisecond
-	// holdSlack is added before a hold counts as unanswered.
-	holdSlack = 600 * time.Millisecond
-	// holdPauseFirst and holdPauseMost bound the pause after such a hold.
-	holdPauseFirst = 100 * time.Millisecond
-	holdPauseMost  = 600 * time.Millisecond
-	// ackPatience is how long a link waits for ends to be durable before it
-	// looks again: an append takes milliseconds unless the store is away.
-	ackPatience = 600 * time.Millisecond
-	// lifeTrust is for how long after its last answer a life counts as the one that takes
-	// the next order: a worker takes longer than this to start again.
-	lifeTrust = 250 * time.Millisecond
-	// leaseLow is the rest of a lease below which a start extends it.
-	leaseLow = 3 * time.Second
+	// holdMargin is added to the wait of a hold before the call times out.
+	holdMargin = 600 * time.Millisecond
+	// minHoldBackoff and maxHoldBackoff bound the backoff after a failed hold.
+	minHoldBackoff = 100 * time.Millisecond
+	maxHoldBackoff = 600 * time.Millisecond
+	// ackTimeout is how long a link waits until ends are durable before it sends the next hold. An
+	// append takes milliseconds unless the store is down.
+	ackTimeout = 600 * time.Millisecond
+	// maxAnswerAge is how long after its last answer a worker incarnation is assumed to receive
+	// the next order. A restart of a worker takes longer than this.
+	maxAnswerAge = 250 * time.Millisecond
+	// minStartLease is the remaining lease below which a start extends it.
+	minStartLease = 3 * time.Second
 )
 
-// link is the connection to one worker: it renews leases, brings ends and passes
-// orders on.
+// link is the connection to one worker. It renews leases, receives ends and sends orders.
 type link struct {
-	host    *linkHost
-	ctx     context.Context
-	cancel  context.CancelFunc
-	running sync.WaitGroup // its hold and its orders
-	wake    chan struct{}  // an acknowledgement has come
-
-	lock      sync.Mutex
-	entry     placing.WorkerEntry
-	acked     int64     // ends that the worker may forget
-	ackTaken  int64     // of these, up to where it was told so
-	clockMS   int64     // of the worker, at clockAt; 0 while unknown
-	clockAt   time.Time //
-	untilMS   int64     // lease granted, on the worker's clock
-	lapseAt   time.Time // when it has lapsed for certain
-	answering bool
-	holdSent  time.Time                  // of the newest hold
-	holdEnd   context.CancelCauseFunc    // gives that hold up
-	waiting   map[startKey]chan struct{} // starts under way, closed to withdraw one
+	env    *linkEnv
+	ctx    context.Context
+	cancel context.CancelFunc
+	wg     sync.WaitGroup // the hold loop and the orders
+	wake   chan struct{}  // an acknowledgement has arrived
+
+	lock          sync.Mutex
+	entry         placing.WorkerEntry
+	acked         int64 // newest end that the worker may forget
+	ackedByWorker int64 // newest end that the worker was told to forget
+	workerClockMS int64 // clock of the worker at workerClockAt; 0 while unknown
+	workerClockAt time.Time
+	leaseUntilMS  int64     // granted lease, on the worker's clock
+	lapseAt       time.Time // when the lease has lapsed for certain
+	reachable     bool
+	holdSentAt    time.Time                  // of the newest hold
+	cancelHold    context.CancelCauseFunc    // cancels the newest hold
+	pendingStarts map[startKey]chan struct{} // starts in flight; closing the channel withdraws one
 }
 
-func newLink(host *linkHost, entry placing.WorkerEntry) *link {
-	return &link{host: host, wake: make(chan struct{}, 1), entry: entry, waiting: map[startKey]chan struct{}{}}
+func newLink(env *linkEnv, entry placing.WorkerEntry) *link {
+	return &link{env: env, wake: make(chan struct{}, 1), entry: entry, pendingStarts: map[startKey]chan struct{}{}}
 }
 
-func (k *link) setEntry(entry placing.WorkerEntry) {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	k.entry = entry
+func (l *link) setEntry(entry placing.WorkerEntry) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	l.entry = entry
 }
 
-// errLook ends a hold in favour of a newer one.
-var errLook = eris.New("a newer look at the worker is needed")
+// errHoldSuperseded cancels a hold in favor of a newer one.
+var errHoldSuperseded = eris.New("hold superseded by a newer one")
 
-// errNotGranted says that this instance may not give orders any more.
-var errNotGranted = eris.New("the holder of the term has not been heard of")
+// errNoGrant is returned while this instance may not send orders.
+var errNoGrant = eris.New("no valid grant from the leader")
 
-// run holds the worker until ctx ends.
-func (k *link) run(ctx context.Context) {
-	pause := holdPauseFirst
+// run sends holds to the worker until ctx ends.
+func (l *link) run(ctx context.Context) {
+	backoff := minHoldBackoff
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
-		report, sent, err := k.hold(ctx, wait)
+		report, sent, err := l.hold(ctx, wait)
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errLook) {
+		if errors.Is(err, errHoldSuperseded) {
 			wait = 0
 			continue
 		}
 		if err != nil {
-			k.failed(ctx, err)
-			logstream.Sleep(ctx, pause)
-			pause = min(holdPauseMost, 2*pause)
+			l.handleHoldError(ctx, err)
+			logstream.Sleep(ctx, backoff)
+			backoff = min(maxHoldBackoff, 2*backoff)
 			wait = 0
 			continue
 		}
-		pause = holdPauseFirst
-		k.host.report(ctx, holdAnswered{worker: k.worker().ID, report: report, sent: sent, lapseAt: k.lapse()})
-		wait = k.afterReport(ctx, report, wait)
+		backoff = minHoldBackoff
+		l.env.report(ctx, holdReply{worker: l.worker().ID, report: report, sent: sent, lapseAt: l.lapse()})
+		wait = l.awaitAck(ctx, report, wait)
 	}
 }
 
-// afterReport waits until the ends that came are durable, and returns how long
-// the next hold may wait: not at all if it would only bring the same ends.
-func (k *link) afterReport(ctx context.Context, report HoldReport, waited time.Duration) time.Duration {
+// awaitAck waits until the reported ends are durable, and returns how long the worker may keep
+// the next hold open: 0 if that hold would only bring the same ends.
+func (l *link) awaitAck(ctx context.Context, report HoldReport, waited time.Duration) time.Duration {
 	if len(report.Ended) == 0 {
 		return holdWait
 	}
 	newest := report.Ended[len(report.Ended)-1].Number
-	timer := time.NewTimer(ackPatience)
+	timer := time.NewTimer(ackTimeout)
 	defer timer.Stop()
-	for k.acknowledged() < newest {
+	for l.acknowledged() < newest {
 		select {
 		case <-ctx.Done():
 			return 0
 		case <-timer.C:
 			return 0
-		case <-k.wake:
+		case <-l.wake:
 		}
 	}
 	return holdWait
 }
 
-func (k *link) hold(ctx context.Context, wait time.Duration) (HoldReport, time.Time, error) {
-	if !k.host.mayOrder() {
-		return HoldReport{}, time.Time{}, errNotGranted
+func (l *link) hold(ctx context.Context, wait time.Duration) (HoldReport, time.Time, error) {
+	if !l.env.ordersAllowed() {
+		return HoldReport{}, time.Time{}, errNoGrant
 	}
-	sent := k.host.clock.Now()
-	order := HoldOrder{UntilMS: k.extend(sent), Epoch: k.host.epoch, Wait: wait}
-	if !k.nextAck(sent, &order) {
+	sent := l.env.clock.Now()
+	order := HoldOrder{UntilMS: l.extendLease(sent), Epoch: l.env.epoch, Wait: wait}
+	if !l.attachAck(sent, &order) {
 		order.Wait = 0
 	}
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
-	k.holding(sent, end)
-	call, cancel := context.WithTimeout(ctx, wait+holdSlack)
+	l.setHold(sent, end)
+	call, cancel := context.WithTimeout(ctx, wait+holdMargin)
 	defer cancel()
-	report, err := k.host.workers.Hold(call, k.worker(), order)
-	if err != nil && errors.Is(context.Cause(ctx), errLook) {
-		return report, sent, errLook
+	report, err := l.env.workers.Hold(call, l.worker(), order)
+	if err != nil && errors.Is(context.Cause(ctx), errHoldSuperseded) {
+		return report, sent, errHoldSuperseded
 	}
 	if err != nil {
 		return report, sent, err
 	}
-	k.answered(report.ClockMS)
-	k.tookAck(order.Ack)
+	l.recordAnswer(report.ClockMS)
+	l.confirmAck(order.Ack)
 	return report, sent, nil
 }
 
-// nextAck has an order let the worker forget its newest ends, once. While the life that
-// takes the order may be a later one it carries no such number: a later life's own ends
-// would be forgotten unseen. It returns false if there is a number to send that has to
-// wait for an answer of this life.
-func (k *link) nextAck(sent time.Time, order *HoldOrder) bool {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	if k.acked <= k.ackTaken {
+// attachAck adds to an order the number up to which the worker may forget its ends, once. It
+// adds none while a later incarnation may receive the order, as that one would forget ends of its
+// own that nobody has read. It returns false if a number has to wait for an answer of the
+// current incarnation.
+func (l *link) attachAck(sent time.Time, order *HoldOrder) bool {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	if l.acked <= l.ackedByWorker {
 		return true
 	}
-	if k.entry.BornMS != 0 && (!k.answering || sent.Sub(k.clockAt) > lifeTrust) {
+	if l.entry.BornMS != 0 && (!l.reachable || sent.Sub(l.workerClockAt) > maxAnswerAge) {
 		return false
 	}
-	order.Ack = k.acked
+	order.Ack = l.acked
 	return true
 }
 
-func (k *link) tookAck(number int64) {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	k.ackTaken = max(k.ackTaken, number)
+func (l *link) confirmAck(number int64) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	l.ackedByWorker = max(l.ackedByWorker, number)
 }
 
-// holding notes the hold on its way, for look.
-func (k *link) holding(sent time.Time, end context.CancelCauseFunc) {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	k.holdSent = sent
-	k.holdEnd = end
+// setHold records the hold in flight, for requestReport.
+func (l *link) setHold(sent time.Time, end context.CancelCauseFunc) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	l.holdSentAt = sent
+	l.cancelHold = end
 }
 
-// look makes sure that a report is asked for after some moment: a hold sent
-// earlier, which may have been lost, is given up for a new one.
-func (k *link) look(after time.Time) {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	if k.holdEnd != nil && !k.holdSent.After(after) {
-		k.holdEnd(errLook)
+// requestReport makes sure that a report is requested later than the given time. It cancels an
+// earlier hold, which may have been lost, so that a new one is sent.
+func (l *link) requestReport(after time.Time) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	if l.cancelHold != nil && !l.holdSentAt.After(after) {
+		l.cancelHold(errHoldSuperseded)
 	}
 }
 
-// extend returns the lease to ask for. While the worker does not answer, it is
-// not extended, so that the time at which all has lapsed stands fast.
-func (k *link) extend(now time.Time) int64 {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	if k.clockMS == 0 || !k.answering {
-		return k.untilMS
+// extendLease returns the lease to request. The lease is not extended while the worker does not
+// answer, so that the time at which everything has lapsed does not move.
+func (l *link) extendLease(now time.Time) int64 {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	if l.workerClockMS == 0 || !l.reachable {
+		return l.leaseUntilMS
 	}
-	lease := k.host.bounds.askedLease(now)
-	k.untilMS = max(k.untilMS, k.clockMS+now.Sub(k.clockAt).Milliseconds()+lease.Milliseconds())
-	// A lease that was asked for under a longer bound is not shortened by this one.
-	if lapseAt := now.Add(placing.LeaseLapse(lease)); lapseAt.After(k.lapseAt) {
-		k.lapseAt = lapseAt
+	lease := l.env.bounds.leaseToRequest(now)
+	l.leaseUntilMS = max(l.leaseUntilMS, l.workerClockMS+now.Sub(l.workerClockAt).Milliseconds()+lease.Milliseconds())
+	// A lease requested under a longer bound is not shortened.
+	if lapseAt := now.Add(placing.LeaseLapse(lease)); lapseAt.After(l.lapseAt) {
+		l.lapseAt = lapseAt
 	}
-	return k.untilMS
+	return l.leaseUntilMS
 }
 
 // leaseForStart returns the lease that a start carries.
-func (k *link) leaseForStart(now time.Time) int64 {
-	k.lock.Lock()
-	left := k.untilMS - k.clockMS - now.Sub(k.clockAt).Milliseconds()
-	until := k.untilMS
-	k.lock.Unlock()
-	if left > leaseLow.Milliseconds() {
+func (l *link) leaseForStart(now time.Time) int64 {
+	l.lock.Lock()
+	left := l.leaseUntilMS - l.workerClockMS - now.Sub(l.workerClockAt).Milliseconds()
+	until := l.leaseUntilMS
+	l.lock.Unlock()
+	if left > minStartLease.Milliseconds() {
 		return until
 	}
-	return k.extend(now)
+	return l.extendLease(now)
 }
 
-func (k *link) answered(clockMS int64) {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	k.clockMS = clockMS
-	k.clockAt = k.host.clock.Now()
-	k.answering = true
+func (l *link) recordAnswer(clockMS int64) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	l.workerClockMS = clockMS
+	l.workerClockAt = l.env.clock.Now()
+	l.reachable = true
 }
 
-func (k *link) failed(ctx context.Context, err error) {
-	k.lock.Lock()
-	was := k.answering
-	k.answering = false
-	k.lock.Unlock()
-	if was {
-		k.host.log.WithField("worker", k.worker().ID).WithField("error", err.Error()).Info("worker_silent")
+func (l *link) handleHoldError(ctx context.Context, err error) {
+	l.lock.Lock()
+	wasReachable := l.reachable
+	l.reachable = false
+	l.lock.Unlock()
+	if wasReachable {
+		l.env.log.WithField("worker", l.worker().ID).WithField("error", err.Error()).Info("worker_silent")
 	}
 	var refused *OrderError
 	if errors.As(err, &refused) {
-		k.refused(ctx, refused)
+		l.handleRefusal(ctx, refused)
 		return
 	}
-	k.host.report(ctx, unreachable{worker: k.worker().ID, lapseAt: k.lapse()})
-	k.outlived(ctx, err)
+	l.env.report(ctx, holdFailure{worker: l.worker().ID, lapseAt: l.lapse()})
+	l.reportIncarnation(ctx, err)
 }
 
-// outlived passes on that an answer came from another life of the worker.
-func (k *link) outlived(ctx context.Context, err error) {
+// reportIncarnation reports that another incarnation of the worker has answered.
+func (l *link) reportIncarnation(ctx context.Context, err error) {
 	var other *OtherLifeError
 	if !errors.As(err, &other) {
 		return
 	}
-	k.host.log.WithField("worker", k.worker().ID).WithField("born", other.BornMS).Info("worker_life")
-	k.host.report(ctx, reborn{worker: k.worker().ID, bornMS: other.BornMS})
+	l.env.log.WithField("worker", l.worker().ID).WithField("born", other.BornMS).Info("worker_life")
+	l.env.report(ctx, incarnationChange{worker: l.worker().ID, bornMS: other.BornMS})
 }
 
-// refused passes on refusals that say more than that an order was not taken.
-func (k *link) refused(ctx context.Context, refused *OrderError) {
+// handleRefusal reports refusals that concern more than the refused order.
+func (l *link) handleRefusal(ctx context.Context, refused *OrderError) {
 	switch refused.Refusal {
 	case RefusedFence:
-		k.host.report(ctx, fencedOff{})
+		l.env.report(ctx, termFencedEvent{})
 	case RefusedReborn:
-		k.host.report(ctx, reborn{worker: k.worker().ID})
+		l.env.report(ctx, incarnationChange{worker: l.worker().ID})
 	}
 }
 
-func (k *link) worker() placing.WorkerEntry {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	return k.entry
+func (l *link) worker() placing.WorkerEntry {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	return l.entry
 }
 
-// mayLapseFrom takes that a start was sent at some moment and not answered. A later life of
-// the worker may have taken it, and shortens the lease, which is on the clock of the
-// former one, to the longest that it grants from then on.
-func (k *link) mayLapseFrom(sent time.Time) {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	if k.entry.BornMS == 0 {
+// extendLapse accounts for a start sent at the given time that was not answered. A later
+// incarnation of the worker may have accepted it. That one reads the lease, which is on the clock
+// of the former incarnation, as the longest lease that it grants from then on.
+func (l *link) extendLapse(sent time.Time) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	if l.entry.BornMS == 0 {
 		return
 	}
-	if lapseAt := sent.Add(placing.LeaseLapse(k.host.bounds.grantedLease(sent))); lapseAt.After(k.lapseAt) {
-		k.lapseAt = lapseAt
+	if lapseAt := sent.Add(placing.LeaseLapse(l.env.bounds.maxGrantedLease(sent))); lapseAt.After(l.lapseAt) {
+		l.lapseAt = lapseAt
 	}
 }
 
-func (k *link) lapse() time.Time {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	return k.lapseAt
+func (l *link) lapse() time.Time {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	return l.lapseAt
 }
 
-func (k *link) acknowledged() int64 {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	return k.acked
+func (l *link) acknowledged() int64 {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	return l.acked
 }
 
-func (k *link) acknowledge(number int64) {
-	k.lock.Lock()
-	k.acked = max(k.acked, number)
-	k.lock.Unlock()
+func (l *link) acknowledge(number int64) {
+	l.lock.Lock()
+	l.acked = max(l.acked, number)
+	l.lock.Unlock()
 	select {
-	case k.wake <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// holdAnswered brings a worker's report.
-type holdAnswered struct {
+// holdReply delivers the report of a worker.
+type holdReply struct {
 	worker  string
 	report  HoldReport
 	sent    time.Time
 	lapseAt time.Time
 }
 
-func (h holdAnswered) apply(l *leader, now time.Time) {
-	l.engine.Report(h.worker, h.sent, h.report.Running, h.report.Ended, l.drivers.lapse(h.worker, h.lapseAt), now)
+func (r holdReply) apply(l *leader, now time.Time) {
+	l.engine.Report(r.worker, r.sent, r.report.Running, r.report.Ended, l.dispatchers.effectiveLapse(r.worker, r.lapseAt), now)
 }
 
-// unreachable says that a hold was not answered.
-type unreachable struct {
+// holdFailure signals that a hold was not answered.
+type holdFailure struct {
 	worker  string
 	lapseAt time.Time
 }
 
-func (u unreachable) apply(l *leader, now time.Time) {
-	l.engine.Unreachable(u.worker, l.drivers.lapse(u.worker, u.lapseAt), now)
-	l.drivers.silent(u.worker, now)
+func (f holdFailure) apply(l *leader, now time.Time) {
+	l.engine.Unreachable(f.worker, l.dispatchers.effectiveLapse(f.worker, f.lapseAt), now)
+	l.dispatchers.workerSilent(f.worker, now)
 }
 
-// reborn says that another life answers in place of a worker's.
-type reborn struct {
+// incarnationChange signals that another incarnation answers at the address of a worker.
+type incarnationChange struct {
 	worker string
-	bornMS int64 // of a later life of the same worker; 0 for another worker at the address
+	bornMS int64 // of a later incarnation of the same worker; 0 for another worker at the address
 }
 
-func (r reborn) apply(l *leader, now time.Time) {
-	next, watch := l.engine.Reborn(r.worker, r.bornMS, now)
-	if watch {
-		l.drivers.list([]placing.WorkerEntry{next}, now)
+func (c incarnationChange) apply(l *leader, now time.Time) {
+	next, ok := l.engine.Reborn(c.worker, c.bornMS, now)
+	if ok {
+		l.dispatchers.updateWorkers([]placing.WorkerEntry{next}, now)
 	}
 }
--- a/batch/linkset.go
+++ b/batch/linkset.go
@@ -11,143 +11,142 @@
 	"github.com/teaselcleat/teaselcleat/placing"
 )
 
-// linkHost is what links to workers share: the term that they act for, and where
-// their answers go.
-type linkHost struct {
-	clock     *Clock
-	log       *logrus.Entry
-	workers   Workers
-	epoch     int64 // fences orders
-	bounds    *bounds
-	startTime metrics.Histogram
-	orders    chan struct{} // one for each order under way
-	patience  patience      // with orders
-	// report brings an answer to whom the links are driven for; it may wait.
+// linkEnv holds what the links to workers share: the term they act for, the limits of orders,
+// and the receiver of their answers.
+type linkEnv struct {
+	clock      *Clock
+	log        *logrus.Entry
+	workers    Workers
+	epoch      int64 // fences orders
+	bounds     *bounds
+	startTime  metrics.Histogram
+	orderSlots chan struct{}   // semaphore of the orders in flight
+	timeout    adaptiveTimeout // of orders
+	// report delivers an answer to the instance on whose behalf the links are driven; it may block.
 	report func(ctx context.Context, answer event)
-	// granted reports whether orders may be given now; nil for always.
-	granted func() bool
-	// mayStartAt reports whether starts may be sent to an availability zone. It is asked
-	// before each try, as a start may wait here while its zone is evacuated.
-	mayStartAt func(zone string) bool
+	// hasGrant reports whether orders may be sent now; nil means always.
+	hasGrant func() bool
+	// startsAllowed reports whether starts may be sent to an availability zone. It is checked before
+	// each attempt, as a start may wait here while its zone is evacuated.
+	startsAllowed func(zone string) bool
 }
 
-func (i *Instance) newLinkHost(epoch int64, log *logrus.Entry) *linkHost {
-	return &linkHost{
-		clock:      i.clock,
-		log:        log,
-		workers:    i.workers,
-		epoch:      epoch,
-		bounds:     i.bounds,
-		startTime:  i.metrics.startTime,
-		orders:     make(chan struct{}, orderSlots),
-		patience:   patience{least: orderTimeout},
-		mayStartAt: i.mayStartAt,
+func (i *Instance) newLinkEnv(epoch int64, log *logrus.Entry) *linkEnv {
+	return &linkEnv{
+		clock:         i.clock,
+		log:           log,
+		workers:       i.workers,
+		epoch:         epoch,
+		bounds:        i.bounds,
+		startTime:     i.metrics.startTime,
+		orderSlots:    make(chan struct{}, maxConcurrentOrders),
+		timeout:       adaptiveTimeout{minimum: minOrderTimeout},
+		startsAllowed: i.mayStartInZone,
 	}
 }
 
-func (h *linkHost) mayOrder() bool { return h.granted == nil || h.granted() }
+func (h *linkEnv) ordersAllowed() bool { return h.hasGrant == nil || h.hasGrant() }
 
-// linkSet is the links that one instance drives for a term. Its methods are
-// called by one goroutine; orders are carried out by goroutines of their own.
+// linkSet holds the links that one instance drives for a term. Its methods are called by one
+// goroutine; each order runs in a goroutine of its own.
 type linkSet struct {
-	host    *linkHost
-	ctx     context.Context // ends with all links
-	running *sync.WaitGroup // of the links and of their orders
-	links   map[string]*link
+	env   *linkEnv
+	ctx   context.Context // ends with all links
+	wg    *sync.WaitGroup // the links and their orders
+	links map[string]*link
 }
 
-func newLinkSet(ctx context.Context, host *linkHost, running *sync.WaitGroup) *linkSet {
-	return &linkSet{host: host, ctx: ctx, running: running, links: map[string]*link{}}
+func newLinkSet(ctx context.Context, env *linkEnv, wg *sync.WaitGroup) *linkSet {
+	return &linkSet{env: env, ctx: ctx, wg: wg, links: map[string]*link{}}
 }
 
-// watch opens a link to a worker, or tells the one there is of a new entry.
-func (s *linkSet) watch(entry placing.WorkerEntry) {
-	if known := s.links[entry.ID]; known != nil {
-		known.setEntry(entry)
+// addWorker opens a link to a worker, or updates the entry of the existing one.
+func (s *linkSet) addWorker(entry placing.WorkerEntry) {
+	if l := s.links[entry.ID]; l != nil {
+		l.setEntry(entry)
 		return
 	}
-	made := newLink(s.host, entry)
-	made.ctx, made.cancel = context.WithCancel(s.ctx)
-	s.links[entry.ID] = made
-	s.spawn(made, made.run)
+	l := newLink(s.env, entry)
+	l.ctx, l.cancel = context.WithCancel(s.ctx)
+	s.links[entry.ID] = l
+	s.spawn(l, l.run)
 }
 
-// spawn runs a goroutine of a link, which ends with it.
-func (s *linkSet) spawn(of *link, run func(context.Context)) {
-	s.running.Add(1)
-	of.running.Add(1)
+// spawn runs a goroutine of a link. Its context ends with the link.
+func (s *linkSet) spawn(l *link, run func(context.Context)) {
+	s.wg.Add(1)
+	l.wg.Add(1)
 	go func() {
-		defer s.running.Done()
-		defer of.running.Done()
-		run(of.ctx)
+		defer s.wg.Done()
+		defer l.wg.Done()
+		run(l.ctx)
 	}()
 }
 
-// forget closes the link to a worker that need not be reached any more.
-func (s *linkSet) forget(worker string) {
-	if known := s.links[worker]; known != nil {
-		known.cancel()
+// removeWorker closes the link to a worker that need not be reached anymore.
+func (s *linkSet) removeWorker(worker string) {
+	if l := s.links[worker]; l != nil {
+		l.cancel()
 		delete(s.links, worker)
-		s.host.workers.Forget(known.worker())
+		s.env.workers.Forget(l.worker())
 	}
 }
 
-// release closes the link to a worker that another instance is to drive, and
-// calls released once nothing is under way from here: with the moment when all
-// has lapsed there unless somebody renews it, zero if nothing was ever granted.
-func (s *linkSet) release(worker string, released func(lapseAt time.Time)) {
-	known := s.links[worker]
-	s.forget(worker)
-	if known == nil {
-		released(time.Time{})
+// release closes the link to a worker that another instance is going to drive. It calls done once
+// nothing is in flight from here, with the time at which all leases there have lapsed unless
+// somebody renews them; zero if none was ever granted.
+func (s *linkSet) release(worker string, done func(lapseAt time.Time)) {
+	l := s.links[worker]
+	s.removeWorker(worker)
+	if l == nil {
+		done(time.Time{})
 		return
 	}
-	s.running.Add(1)
+	s.wg.Add(1)
 	go func() {
-		defer s.running.Done()
-		known.running.Wait()
-		released(known.lapse())
+		defer s.wg.Done()
+		l.wg.Wait()
+		done(l.lapse())
 	}()
 }
 
-// start has a start sent, unless it is withdrawn before. open says that it may
-// have been sent before, by another instance.
-func (s *linkSet) start(order placing.Start, open bool) {
-	link := s.links[order.Worker]
-	if link == nil {
+// start sends a start, unless it is withdrawn before. maybeSent means that another instance may
+// have sent it already.
+func (s *linkSet) start(order placing.Start, maybeSent bool) {
+	l := s.links[order.Worker]
+	if l == nil {
 		result := placing.StartRefused
-		if open {
+		if maybeSent {
 			result = placing.StartUnknown
 		}
-		s.running.Add(1)
+		s.wg.Add(1)
 		go func() {
-			defer s.running.Done()
-			s.host.report(s.ctx, startAnswered{worker: order.Worker, task: order.Task, run: order.Run, result: result})
+			defer s.wg.Done()
+			s.env.report(s.ctx, startReply{worker: order.Worker, task: order.Task, run: order.Run, result: result})
 		}()
 		return
 	}
-	withdrawn := link.starting(order)
-	s.spawn(link, func(ctx context.Context) { link.startRun(ctx, order, open, withdrawn) })
+	withdrawn := l.registerStart(order)
+	s.spawn(l, func(ctx context.Context) { l.startRun(ctx, order, maybeSent, withdrawn) })
 }
 
-// stop has a stop sent. The start of the same run, if it still waits, is
-// withdrawn.
+// stop sends a stop. It withdraws the start of the same run if that still waits.
 func (s *linkSet) stop(order placing.Stop) {
-	if link := s.links[order.Worker]; link != nil {
-		link.withdraw(startKey{task: order.Task, run: order.Run})
-		s.spawn(link, func(ctx context.Context) { link.stop(ctx, order) })
+	if l := s.links[order.Worker]; l != nil {
+		l.withdrawStart(startKey{task: order.Task, run: order.Run})
+		s.spawn(l, func(ctx context.Context) { l.stop(ctx, order) })
 	}
 }
 
 func (s *linkSet) pace(order placing.Pace) {
-	if link := s.links[order.Worker]; link != nil {
-		s.spawn(link, func(ctx context.Context) { link.pace(ctx, order) })
+	if l := s.links[order.Worker]; l != nil {
+		s.spawn(l, func(ctx context.Context) { l.pace(ctx, order) })
 	}
 }
 
-// acknowledge lets a worker forget its ends up to a number.
+// acknowledge lets a worker forget its ends up to number.
 func (s *linkSet) acknowledge(worker string, number int64) {
-	if link := s.links[worker]; link != nil {
-		link.acknowledge(number)
+	if l := s.links[worker]; l != nil {
+		l.acknowledge(number)
 	}
 }
--- a/batch/metrics.go
+++ b/batch/metrics.go
@@ -5,36 +5,36 @@
 // sampleSize bounds the memory of a latency histogram.
 const sampleSize = 256
 
-// instruments are the metrics of an instance. Times are in microseconds.
+// instruments holds the metrics of an instance. Times are in microseconds.
 type instruments struct {
-	registry      metrics.Registry
-	leading       metrics.Gauge     // 1 on the instance that places
-	stalled       metrics.Gauge     // 1 on the instance that places while it cannot write progress
-	configVersion metrics.Gauge     // version in force here
-	appendTime    metrics.Histogram // of the holder's appends
-	submitTime    metrics.Histogram // from a submission's arrival to its answer
-	startTime     metrics.Histogram // of orders to start
-	sessions      metrics.Gauge     // instances that keep workers for this one
-	ownWorkers    metrics.Gauge     // workers that the holder drives itself
-	moving        metrics.Gauge     // workers that are being handed over
-	evacuated     metrics.Gauge     // availability zones that get nothing new
+	registry       metrics.Registry
+	leading        metrics.Gauge     // 1 on the leader
+	stalled        metrics.Gauge     // 1 on the leader while it cannot write progress
+	configVersion  metrics.Gauge     // version of the configuration in use
+	appendTime     metrics.Histogram // appends of the leader
+	submitTime     metrics.Histogram // from the arrival of a submission to its answer
+	startTime      metrics.Histogram // start orders
+	sessions       metrics.Gauge     // delegates of this leader
+	ownWorkers     metrics.Gauge     // workers that the leader drives itself
+	movingWorkers  metrics.Gauge     // workers in transfer between instances
+	evacuatedZones metrics.Gauge     // evacuated availability zones
 }
 
 func newInstruments(registry metrics.Registry) *instruments {
-	made := &instruments{
+	m := &instruments{
 		registry:      registry,
 		leading:       metrics.NewRegisteredGauge("term.leading", registry),
 		stalled:       metrics.NewRegisteredGauge("term.stalled", registry),
 		configVersion: metrics.NewRegisteredGauge("configuration.version", registry),
 	}
-	made.sessions = metrics.NewRegisteredGauge("sharing.sessions", registry)
-	made.ownWorkers = metrics.NewRegisteredGauge("sharing.own_workers", registry)
-	made.moving = metrics.NewRegisteredGauge("sharing.moving", registry)
-	made.evacuated = metrics.NewRegisteredGauge("zones.evacuated", registry)
-	made.appendTime = made.histogram("store.append_us")
-	made.submitTime = made.histogram("calls.submit_us")
-	made.startTime = made.histogram("workers.start_us")
-	return made
+	m.sessions = metrics.NewRegisteredGauge("sharing.sessions", registry)
+	m.ownWorkers = metrics.NewRegisteredGauge("sharing.own_workers", registry)
+	m.movingWorkers = metrics.NewRegisteredGauge("sharing.moving", registry)
+	m.evacuatedZones = metrics.NewRegisteredGauge("zones.evacuated", registry)
+	m.appendTime = m.histogram("store.append_us")
+	m.submitTime = m.histogram("calls.submit_us")
+	m.startTime = m.histogram("workers.start_us")
+	return m
 }
 
 func (m *instruments) histogram(name string) metrics.Histogram {
