--- a/batch/batch_test.go
+++ b/batch/batch_test.go
@@ -25,12 +25,12 @@
 	e := newElection("a", "a/1", 100*time.Millisecond)
 	e.observe(jobs.Term{Epoch: 4, Holder: "b/1"}, testNow)
 	is.True(!e.shouldClaim(testNow, testNow.Add(time.Hour))) // no read was answered since
-	heard := testNow.Add(termTimeout)
-	is.True(!e.shouldClaim(heard, heard)) // others may come first
-	is.True(e.shouldClaim(heard, heard.Add(100*time.Millisecond)))
-	is.True(!e.shouldClaim(heard, heard.Add(200*time.Millisecond))) // the claim is on its way
-	e.observe(jobs.Term{Epoch: 5, Holder: "c/1"}, heard.Add(time.Second))
-	is.True(!e.shouldClaim(heard.Add(time.Second), heard.Add(2*time.Second)))
+	silentAt := testNow.Add(termTimeout)
+	is.True(!e.shouldClaim(silentAt, silentAt)) // others may come first
+	is.True(e.shouldClaim(silentAt, silentAt.Add(100*time.Millisecond)))
+	is.True(!e.shouldClaim(silentAt, silentAt.Add(200*time.Millisecond))) // the claim is on its way
+	e.observe(jobs.Term{Epoch: 5, Holder: "c/1"}, silentAt.Add(time.Second))
+	is.True(!e.shouldClaim(silentAt.Add(time.Second), silentAt.Add(2*time.Second)))
 }
 
 func TestReleasedOrOwnFormerTermIsClaimedAtOnce(t *testing.T) {
@@ -39,7 +39,7 @@
 	e.observe(jobs.Term{Epoch: 4}, testNow)
 	is.True(e.shouldClaim(testNow, testNow))
 	e = newElection("a", "a/2", time.Second)
-	e.observe(jobs.Term{Epoch: 4, Holder: "a/1"}, testNow) // this instance's life before
+	e.observe(jobs.Term{Epoch: 4, Holder: "a/1"}, testNow) // a former incarnation of this instance
 	is.True(e.shouldClaim(testNow, testNow))
 }
 
@@ -79,13 +79,13 @@
 	is.Equal(submission.Subject(), jobs.CancelRecord("a1").Subject())
 }
 
-// scriptedStore answers appends as told, one result a call.
+// scriptedStore answers appends with the given results, one per call.
 type scriptedStore struct {
 	Store
 	lock    sync.Mutex
 	results []error
 	groups  [][]jobs.Record
-	block   chan struct{} // closed to let appends go on; nil for no wait
+	block   chan struct{} // appends wait until it is closed; nil for no wait
 }
 
 func (s *scriptedStore) Append(ctx context.Context, _ int, records []jobs.Record, _ *Fence) error {
@@ -113,7 +113,7 @@
 
 func TestCommitFates(t *testing.T) {
 	is := is.New(t)
-	for _, example := range []struct {
+	for _, c := range []struct {
 		results []error
 		fate    error
 	}{
@@ -123,13 +123,13 @@
 		{[]error{ErrUnknown, ErrNotDone}, ErrUnknown}, // the first try may still take effect
 		{[]error{ErrUnknown, ErrUnknown}, ErrUnknown},
 	} {
-		committer := startCommitter(t, &scriptedStore{results: example.results})
-		is.Equal(committer.write(context.Background(), jobs.CancelRecord("a")), example.fate)
+		committer := startCommitter(t, &scriptedStore{results: c.results})
+		is.Equal(committer.write(context.Background(), jobs.CancelRecord("a")), c.fate)
 	}
 }
 
-// A record that its caller gave up before it was sent is never sent, so it may
-// be called not done.
+// A record that its caller withdrew before it was sent is never sent, so the outcome ErrNotDone is
+// correct.
 func TestGivenUpBeforeSendingIsNotDone(t *testing.T) {
 	is := is.New(t)
 	store := &scriptedStore{block: make(chan struct{})}
@@ -139,9 +139,9 @@
 	for committer.openGroups.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	is.Equal(committer.write(gone, jobs.CancelRecord("second")), ErrNotDone)
+	is.Equal(committer.write(cancelled, jobs.CancelRecord("second")), ErrNotDone)
 	close(store.block)
 	is.NoErr(<-first)
 	is.NoErr(committer.write(context.Background(), jobs.CancelRecord("third")))
@@ -154,7 +154,7 @@
 	}
 }
 
-// unreachableStore cannot be reached at all.
+// unreachableStore fails every call.
 type unreachableStore struct{}
 
 var errUnreachable = errors.New("out of reach")
@@ -173,8 +173,8 @@
 	return logrus.NewEntry(log)
 }
 
-// Without the log, nothing is accepted, nothing is denied, and a refusal is
-// given at once with a time to come back.
+// Without the log no job is accepted and none is reported as nonexistent. Submissions are refused
+// at once with a retry time.
 func TestUnreachableLogDeniesNoJob(t *testing.T) {
 	is := is.New(t)
 	instance := New(Settings{Name: "a", StoreParts: 8}, unreachableStore{}, nil, nil, metrics.NewRegistry(), discardLog())
@@ -187,8 +187,8 @@
 	is.True(!instance.Ready())
 }
 
-// A read that begins before what is known, or leaves a gap, is not applied
-// twice nor out of order.
+// A read that starts before the applied records, or leaves a gap after them, is not applied twice
+// or out of order.
 func TestFollowerSkipsAppliedRecords(t *testing.T) {
 	is := is.New(t)
 	var seen []string
@@ -204,8 +204,8 @@
 	is.Equal(f.nextOffset, int64(4))
 }
 
-// After an append whose fate stayed open, nothing is sent until the store has
-// answered again: callers are told truthfully that their job did not run.
+// After an append with an unknown outcome, nothing is sent until the store has answered again, so
+// that callers get the definite answer that their job did not run.
 func TestUnresponsiveStoreIsNotWrittenTo(t *testing.T) {
 	is := is.New(t)
 	committer := startCommitter(t, &scriptedStore{results: []error{ErrUnknown, ErrUnknown}})
@@ -227,7 +227,7 @@
 	is.Equal(retryDelayFor(1, earlyOutage, true), retryOtherInstance)
 }
 
-// lossyStore takes appends into its log and loses their answers.
+// lossyStore adds appends to its log and loses their answers.
 type lossyStore struct {
 	Store
 	lock    sync.Mutex
@@ -248,15 +248,15 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for _, record := range records {
-		if !slices.ContainsFunc(s.records, func(kept jobs.Record) bool { return kept.Key == record.Key }) {
+		if !slices.ContainsFunc(s.records, func(stored jobs.Record) bool { return stored.Key == record.Key }) {
 			return false, nil
 		}
 	}
 	return true, nil
 }
 
-// An append whose answer is lost is found in the log, and not sent again: in a
-// slow store repeats would only add to what waits there.
+// An append whose answer is lost is found in the log and not sent again: in a slow store repeats
+// would only lengthen the queue.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -268,7 +268,7 @@
 		committer.readBack = func(context.Context, []jobs.Record) (bool, error) { return false, nil }
 		is.Equal(committer.append(t.Context(), []*commit{{record: jobs.CancelRecord("a")}}), ErrUnknown)
 		is.Equal(store.appends, 1+maxCommitTries)
-		// Where reads go unanswered too, others are asked without another try.
+		// If reads fail too, the call goes to other instances without another try.
 		committer.readBack = func(context.Context, []jobs.Record) (bool, error) { return false, errUnreachable }
 		err := committer.append(t.Context(), []*commit{{record: jobs.CancelRecord("a")}})
 		is.True(errors.Is(err, errStoreUnreachable) && errors.Is(err, ErrUnknown))
@@ -276,29 +276,29 @@
 	})
 }
 
-// The holder of the term reads its own renewals, so a lost answer does not hold
-// up its records; but only the very renewal that it sent counts.
+// The leader reads its own renewals, so a lost answer does not delay its records. Only the renewal
+// that it sent last counts.
 func TestHolderReadsItsRenewalBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &lossyStore{}
 		instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), discardLog())
 		l := &leader{instance: instance, clock: instance.clock, log: discardLog()}
-		sent := jobs.Term{Epoch: 3, Holder: "a/1", Renewals: 7}
-		writer := newFencedWriter(l, sent, 1)
+		renewed := jobs.Term{Epoch: 3, Holder: "a/1", Renewals: 7}
+		writer := newFencedWriter(l, renewed, 1)
 		record, err := jobs.TermRecord(jobs.Term{Epoch: 3, Holder: "a/1", Renewals: 6})
 		is.NoErr(err)
 		instance.fold.apply(statePart, Batch{Records: []jobs.Record{record}, Offsets: []int64{0}})
 		is.Equal(writer.states.tryAppend(t.Context(), nil), ErrUnknown)
-		record, err = jobs.TermRecord(sent)
+		record, err = jobs.TermRecord(renewed)
 		is.NoErr(err)
 		instance.fold.apply(statePart, Batch{Records: []jobs.Record{record}, Offsets: []int64{1}})
 		is.NoErr(writer.states.tryAppend(t.Context(), nil))
 	})
 }
 
-// partitionedStore keeps the appends of each part, and refuses epochs below the
-// highest of the part.
+// partitionedStore stores the appends of each part, and refuses epochs below the highest of the
+// part.
 type partitionedStore struct {
 	Store
 	lock   sync.Mutex
@@ -337,8 +337,8 @@
 	return newFencedWriter(l, jobs.Term{Epoch: epoch, Holder: "a/1"}, 1)
 }
 
-// Progress goes to a part of its own; only states come with the term, so that
-// standbys read little. A group counts only once both are durable.
+// Progress goes to its own part and only states share a part with the term, so that instances that
+// are not the leader read little. A group is durable only once both parts are written.
 func TestProgressAndStatesUseSeparateParts(t *testing.T) {
 	is := is.New(t)
 	store := newPartitionedStore()
@@ -348,13 +348,13 @@
 	is.NoErr(writer.writeGroup(t.Context(), recordGroup{progress: []jobs.Record{progress}, states: []jobs.Record{jobs.StateRecord("a1", jobs.StateDone)}}))
 	is.Equal(store.keys(7), []string{"mark", "p/a1"})
 	is.Equal(store.keys(statePart), []string{"term", "e/a1"})
-	store.epochs[7] = 9 // a later holder has fenced the progress
+	store.epochs[7] = 9 // a later leader has fenced the progress
 	err = writer.writeGroup(t.Context(), recordGroup{progress: []jobs.Record{progress}, states: []jobs.Record{jobs.StateRecord("a1", jobs.StateDone)}})
 	is.True(errors.Is(err, ErrFenced))
 }
 
-// From the fence on, a former holder writes no progress; what it wrote before is
-// read after it.
+// After the fence a former leader cannot write progress. What it wrote before precedes the fence
+// in the log.
 func TestFenceEndsFormerProgress(t *testing.T) {
 	is := is.New(t)
 	store := newPartitionedStore()
@@ -367,9 +367,8 @@
 	is.Equal(store.keys(7), []string{"mark", "p/a1", "mark"})
 }
 
-// A job's progress may be written twice with the same content. That it stands in
-// the log from before does not make a group durable whose answer is awaited: its
-// ends would be acknowledged and lost.
+// A job's progress may be written twice with the same content. An earlier copy in the log must not
+// make the second group count as durable: its ends would be acknowledged and lost.
 func TestProgressOfBeforeIsNotTakenForTheGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/batch/bounds_test.go
+++ b/batch/bounds_test.go
@@ -18,14 +18,14 @@
 	longLease   = 6 * time.Second
 )
 
-// Instances read a changed file at different times: until all have, none may hold for
-// lapsed what another has asked for by the bounds of before, or already by the new ones.
+// Instances read a changed settings file at different times. Until all have, no instance may treat
+// a lease as lapsed that another requested under the previous or the new bounds.
 func TestLeasesHoldWhileInstancesDifferInTheirBounds(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, c := range []struct {
 		name    string
-		leases  []time.Duration // in force one after the other, a second apart
-		asked   time.Duration   // until the instances have settled
+		leases  []time.Duration // in force one after another, a second apart
+		asked   time.Duration   // until the change has propagated
 		granted time.Duration
 	}{
 		{"shorter", []time.Duration{longLease, shortLease}, shortLease, longLease},
@@ -45,7 +45,7 @@
 			}
 			newest := c.leases[len(c.leases)-1]
 			is.Equal(b.latest().Lease, newest)
-			// The last that another asked for by the bounds of before has not lapsed yet.
+			// The last lease that another instance requested under the previous bounds has not lapsed yet.
 			lastHeld := now.Add(boundsPropagationTime + placing.LeaseLapse(longLease) - time.Millisecond)
 			for _, at := range []time.Time{now, lastHeld} {
 				is.Equal(b.leaseToRequest(at), c.asked)
@@ -58,7 +58,7 @@
 	}
 }
 
-// A worker keeps to the longer lease that it was asked for before the bound shrank.
+// A worker keeps the longer lease that was requested before the bound was reduced.
 func TestShorterLeaseBoundKeepsGrantedLease(t *testing.T) {
 	is := is.New(t)
 	link, _, _ := scriptedLink(nil)
@@ -66,17 +66,17 @@
 	link.recordAnswer(1)
 	now := link.env.clock.Now()
 	link.extendLease(now)
-	granted := link.lapse()
+	grantedLapse := link.lapse()
 	link.env.bounds.update(Bounds{Lease: shortLease}, now)
 	link.extendLease(now.Add(100 * time.Millisecond))
-	is.Equal(link.lapse(), granted)
+	is.Equal(link.lapse(), grantedLapse)
 	later := now.Add(3 * time.Second)
 	link.extendLease(later)
 	is.Equal(link.lapse(), later.Add(placing.LeaseLapse(shortLease)))
 }
 
-// The holder goes by changed bounds within its term: an ended job is known for as long as
-// the newest say.
+// The leader applies changed bounds within its term: ended jobs are retained for as long as the
+// newest bounds say.
 func TestHolderGoesByChangedBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/batch/claim.go
+++ b/batch/claim.go
@@ -39,8 +39,8 @@
 // leaderDuty claims the term when it is vacant and leads while it is held.
 func (i *Instance) leaderDuty(ctx context.Context) {
 	e := newElection(i.settings.Name, i.identity, claimDelay(i.nameHash, i.settings.CPUShare))
-	relief := &stallTakeover{instance: i}
-	defer relief.wg.Wait()
+	takeover := &stallTakeover{instance: i}
+	defer takeover.wg.Wait()
 	for ctx.Err() == nil && i.settings.NotServed == "" {
 		select {
 		case <-i.fold.signal:
@@ -63,7 +63,7 @@
 			i.lastClaim = jobs.Term{}
 			continue
 		}
-		relief.maybeStart(ctx, e.term)
+		takeover.maybeStart(ctx, e.term)
 		e.requestClaim(i.requestedEpoch.Load())
 		if e.shouldClaim(i.work.lastAnswer(), now) {
 			i.claimTerm(ctx, e.term)
--- a/batch/config_test.go
+++ b/batch/config_test.go
@@ -16,12 +16,12 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// propertySteps is rapid's usual number of steps; the property draws few.
+// propertySteps is rapid's default number of steps; the property uses few.
 const propertySteps = "30"
 
 func TestMain(m *testing.M) { prooftest.Main(m, propertySteps) }
 
-// versionDecoder decodes configurations that are their version alone.
+// versionDecoder decodes configurations that consist of a version only.
 type versionDecoder struct{ Decoder }
 
 func (versionDecoder) Config(record jobs.Record) (*Config, bool, error) {
@@ -29,8 +29,8 @@
 	return &Config{Version: version}, true, err
 }
 
-// Whatever the order in which configurations are read, from pages or from the
-// tail, doubled or unreadable, the version in force never falls.
+// The version in force never decreases, whatever the order in which configurations are read, from
+// pages or the tail, with duplicates or unreadable records.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instance := New(Settings{Name: "a", StoreParts: 8}, unreachableStore{}, versionDecoder{}, nil, metrics.NewRegistry(), discardLog())
@@ -49,7 +49,8 @@
 	})
 }
 
-// pausingStore brings one record with each read, and waits for ever once told.
+// pausingStore returns one record per read, except that the second read blocks until its context
+// ends.
 type pausingStore struct {
 	Store
 	reads   atomic.Int64
@@ -65,8 +66,8 @@
 	return Batch{Records: []jobs.Record{{Key: "x"}}, Offsets: []int64{from}, Next: from + 1}, nil
 }
 
-// A standby reads slowly. When it becomes the holder, neither the pause nor the
-// long read that it is in delays what callers hand in.
+// An instance that is not the leader reads at long intervals. When it becomes the leader, neither
+// the pause nor the long read in progress may delay new submissions.
 func TestRousedFollowerReadsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -81,7 +82,7 @@
 		is.Equal(store.reads.Load(), int64(1)) // in the pause after a record
 		begin := time.Now()
 		f.wake()
-		<-store.waiting // in the long read
+		<-store.waiting // the long read has begun
 		is.Equal(time.Since(begin), time.Duration(0))
 		f.wake()
 		synctest.Wait()
--- a/batch/delegation_test.go
+++ b/batch/delegation_test.go
@@ -16,7 +16,7 @@
 func TestNoOrderWithoutAGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		link, workers, _ := scriptedLink(taken)
+		link, workers, _ := scriptedLink(accept)
 		granted := true
 		link.env.hasGrant = func() bool { return granted }
 		_, _, err := link.hold(t.Context(), 0)
@@ -36,17 +36,17 @@
 		is := is.New(t)
 		clock := NewClock()
 		useTestClock(clock)
-		k := &delegation{clock: clock, outbox: newOutbox()}
-		is.True(!k.hasGrant()) // nothing was heard yet
-		asked := clock.Now().UnixNano()
+		d := &delegation{clock: clock, outbox: newOutbox()}
+		is.True(!d.hasGrant()) // nothing was heard yet
+		requestedAt := clock.Now().UnixNano()
 		time.Sleep(grantDuration / 2)
-		k.renewGrant(&relaypb.Orders{Clock: 1, Echo: asked})
-		is.True(k.hasGrant())
+		d.renewGrant(&relaypb.Orders{Clock: 1, Echo: requestedAt})
+		is.True(d.hasGrant())
 		time.Sleep(grantDuration / 2)
-		is.True(!k.hasGrant())
-		is.True(k.grantExpired())
-		k.renewGrant(&relaypb.Orders{Clock: 1, Echo: asked})
-		is.True(!k.hasGrant())
+		is.True(!d.hasGrant())
+		is.True(d.grantExpired())
+		d.renewGrant(&relaypb.Orders{Clock: 1, Echo: requestedAt})
+		is.True(!d.hasGrant())
 	})
 }
 
@@ -101,20 +101,20 @@
 // than it was, and a lease as lapsed no earlier.
 func TestTimesOfReportsAreOnTheSafeSide(t *testing.T) {
 	is := is.New(t)
-	way := 30 * time.Millisecond // of a message
-	ahead := time.Hour           // of the keeping instance's clock
-	k := &delegation{clock: NewClock(), outbox: newOutbox()}
-	now := testNow.Add(ahead + way)
-	k.clock.readTime = func() time.Time { return now }
-	k.renewGrant(&relaypb.Orders{Clock: testNow.UnixNano(), Echo: 1})
+	transit := 30 * time.Millisecond // of a message
+	clockLead := time.Hour           // of the keeping instance's clock
+	d := &delegation{clock: NewClock(), outbox: newOutbox()}
+	now := testNow.Add(clockLead + transit)
+	d.clock.readTime = func() time.Time { return now }
+	d.renewGrant(&relaypb.Orders{Clock: testNow.UnixNano(), Echo: 1})
 	sent, lapse := now.Add(time.Second), now.Add(7*time.Second)
-	k.outbox.put(holdReply{worker: "w", sent: sent, lapseAt: lapse, report: HoldReport{Running: make([]placing.RunningTask, 1)}})
+	d.outbox.put(holdReply{worker: "w", sent: sent, lapseAt: lapse, report: HoldReport{Running: make([]placing.RunningTask, 1)}})
 	now = now.Add(2 * time.Second)
-	message := k.nextMessage(false)
-	came := now.Add(way - ahead) // on the holder's clock
-	report := reportFromPB(message.Reports[0], came)
-	is.True(!report.sent.After(sent.Add(-ahead)))
-	is.True(report.sent.After(sent.Add(-ahead - 2*way)))
-	is.True(!report.lapseAt.Before(lapse.Add(-ahead)))
-	is.True(report.lapseAt.Before(lapse.Add(2*way - ahead)))
+	message := d.nextMessage(false)
+	receivedAt := now.Add(transit - clockLead) // on the holder's clock
+	report := reportFromPB(message.Reports[0], receivedAt)
+	is.True(!report.sent.After(sent.Add(-clockLead)))
+	is.True(report.sent.After(sent.Add(-clockLead - 2*transit)))
+	is.True(!report.lapseAt.Before(lapse.Add(-clockLead)))
+	is.True(report.lapseAt.Before(lapse.Add(2*transit - clockLead)))
 }
--- a/batch/dispatchers.go
+++ b/batch/dispatchers.go
@@ -87,7 +87,7 @@
 	workers       map[string]*assignedWorker
 	sessions      map[string]*session // current open sessions by instance
 	opening       map[string]time.Time
-	backoffs      map[string]sessionBackoffState
+	backoffs      map[string]sessionBackoff
 	dial          func(ctx context.Context, address string, keep *relaypb.Keep) (*relay.Stream, error)
 	sharing       sharing.Switch
 	shared        bool
@@ -96,37 +96,37 @@
 	assignedAt    time.Time
 }
 
-// sessionBackoffState is the backoff of an instance that is not requested to drive workers.
-type sessionBackoffState struct {
+// sessionBackoff is the backoff of an instance that is not requested to drive workers.
+type sessionBackoff struct {
 	until time.Time
 	delay time.Duration
 }
 
 func newDispatchers(l *leader) *dispatchers {
-	host := l.instance.newLinkEnv(l.epoch, l.log)
-	host.report = func(ctx context.Context, answer event) { l.events.Put(ctx, ownLinkAnswer{answer: answer}) }
-	host.startsAllowed = l.instance.mayStartWithoutGrant
+	env := l.instance.newLinkEnv(l.epoch, l.log)
+	env.report = func(ctx context.Context, e event) { l.events.Put(ctx, ownLinkEvent{event: e}) }
+	env.startsAllowed = l.instance.mayStartWithoutGrant
 	return &dispatchers{
 		leader:   l,
-		ownLinks: newLinkSet(l.ctx, host, &l.wg),
+		ownLinks: newLinkSet(l.ctx, env, &l.wg),
 		workers:  map[string]*assignedWorker{},
 		sessions: map[string]*session{},
 		opening:  map[string]time.Time{},
-		backoffs: map[string]sessionBackoffState{},
+		backoffs: map[string]sessionBackoff{},
 		dial:     relay.Open,
 	}
 }
 
-// ownLinkAnswer is an event from one of the leader's own links.
-type ownLinkAnswer struct {
-	answer event
+// ownLinkEvent is an event from one of the leader's own links.
+type ownLinkEvent struct {
+	event event
 }
 
-func (o ownLinkAnswer) apply(l *leader, now time.Time) {
-	if workerEvt, ok := o.answer.(workerEvent); ok && !l.dispatchers.dispatchesTo(ownInstance, workerEvt.workerID()) {
+func (o ownLinkEvent) apply(l *leader, now time.Time) {
+	if we, ok := o.event.(workerEvent); ok && !l.dispatchers.dispatchesTo(ownInstance, we.workerID()) {
 		return
 	}
-	o.answer.apply(l, now)
+	o.event.apply(l, now)
 }
 
 // dispatchesTo reports whether an instance dispatches to a worker, so that its reports count. An
@@ -258,15 +258,15 @@
 	d.leader.log.WithField("keeper", s.name).WithField("workers", s.workers).WithField("reason", reason).Warn("keeper_lost")
 	d.leader.instance.metrics.count("sharing.keeper_lost")
 	d.backOff(s.name, now)
-	floor := now.Add(grantDuration + placing.LeaseLapse(d.leader.instance.bounds.maxGrantedLease(now)))
-	for id, known := range d.workers {
-		if known.instance != s.name || known.state == unassigned {
+	minLapse := now.Add(grantDuration + placing.LeaseLapse(d.leader.instance.bounds.maxGrantedLease(now)))
+	for id, w := range d.workers {
+		if w.instance != s.name || w.state == unassigned {
 			continue
 		}
-		known.state = unassigned
-		known.unassignedSince = now
-		known.minLapse = floor
-		d.leader.engine.Unreachable(id, floor, now)
+		w.state = unassigned
+		w.unassignedSince = now
+		w.minLapse = minLapse
+		d.leader.engine.Unreachable(id, minLapse, now)
 	}
 }
 
@@ -283,7 +283,7 @@
 	if now.Sub(previous.until) < maxSessionBackoff {
 		delay = min(maxSessionBackoff, max(minSessionBackoff, 2*previous.delay))
 	}
-	d.backoffs[name] = sessionBackoffState{until: now.Add(delay), delay: delay}
+	d.backoffs[name] = sessionBackoff{until: now.Add(delay), delay: delay}
 	d.changed = true
 }
 
--- a/batch/election_test.go
+++ b/batch/election_test.go
@@ -9,8 +9,8 @@
 	"github.com/teaselcleat/teaselcleat/placing"
 )
 
-// Only an earlier life of the winner itself is known to have ended; any other holder may
-// be cut off and go on, also if terms were missed in between.
+// Only a former incarnation of the winner is known to have ended. Any other leader may be cut off
+// and go on, also if terms were missed in between.
 func TestFateOfTheFormerHolder(t *testing.T) {
 	is := is.New(t)
 	won := jobs.Term{Epoch: 7, Holder: "a/2"}
--- a/batch/evacuation_test.go
+++ b/batch/evacuation_test.go
@@ -14,7 +14,7 @@
 	"github.com/teaselcleat/teaselcleat/placing"
 )
 
-// zoneDecoder reads requests to leave a zone alone, and takes other records for none.
+// zoneDecoder decodes evacuation requests and ignores other records.
 type zoneDecoder struct{ Decoder }
 
 func (zoneDecoder) Config(jobs.Record) (*Config, bool, error) { return nil, false, nil }
@@ -28,14 +28,14 @@
 	return jobs.Record{Key: "zone/" + zone, Value: []byte(value)}
 }
 
-// applyOperatorRecords has an instance read what the operators wrote.
+// applyOperatorRecords applies operators' records to an instance.
 func (i *Instance) applyOperatorRecords(records ...jobs.Record) {
 	i.operator.lock.Lock()
 	defer i.operator.lock.Unlock()
 	i.applyOperator(Batch{Records: records})
 }
 
-// recordsStore shows the newest records of a stream.
+// recordsStore returns its records as the newest of every stream.
 type recordsStore struct {
 	unreachableStore
 	records []jobs.Record
@@ -66,8 +66,8 @@
 		is.Equal(instance.evacuations.list(), step.zones) // step.name
 		is.Equal(instance.Status().Evacuated, step.zones)
 	}
-	// Once the log has forgotten its history, requests that were removed meanwhile are
-	// gone without a word, and others stand.
+	// Once the log has dropped its history, requests that were removed meanwhile no longer appear,
+	// and others remain in force.
 	store.records = []jobs.Record{zoneRecord("z1", "{}")}
 	is.NoErr(instance.operator.load(t.Context()))
 	is.Equal(instance.evacuations.list(), []string{"z1"})
@@ -76,13 +76,13 @@
 	is.Equal(len(instance.evacuations.list()), 0)
 }
 
-// While no zone is left an urgent job is refused as never to run, with a time to come
-// back; others are taken and wait. A job that was taken before stays so.
+// While every zone is evacuated an urgent job is refused for good, with a retry time; other jobs
+// are accepted and wait. A job that was accepted before stays accepted.
 func TestUrgentJobsAreRefusedWhileEveryZoneIsEvacuated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newPartitionedStore()
-		instance := standbyOf(t, store, "a1")
+		instance := newLoadedInstance(t, store, "a1")
 		instance.decoder = zoneDecoder{}
 		instance.settings.Zones = []string{"z1", "z2"}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -90,29 +90,29 @@
 		for _, committer := range instance.committers {
 			go committer.run(ctx)
 		}
-		urgent := func(id string) Outcome {
+		submitUrgent := func(id string) Outcome {
 			return instance.Submit(ctx, &jobs.Submission{ID: id, Steps: []jobs.Step{{Tasks: 1}}})
 		}
 		instance.applyOperatorRecords(zoneRecord("z1", "{}"))
-		is.Equal(urgent("a2").Verdict, Accepted)
+		is.Equal(submitUrgent("a2").Verdict, Accepted)
 		instance.applyOperatorRecords(zoneRecord("z2", "{}"))
-		refused := urgent("a3")
+		refused := submitUrgent("a3")
 		is.Equal(refused.Verdict, NotRun)
 		is.Equal(refused.RetryAfter, evacuatedRetryAfter)
-		is.Equal(urgent("a1").Verdict, Accepted)
-		patient := &jobs.Submission{ID: "a4", Queue: jobs.Queue{Priority: 1}, Steps: []jobs.Step{{Tasks: 1}}}
-		is.Equal(instance.Submit(ctx, patient).Verdict, Accepted)
+		is.Equal(submitUrgent("a1").Verdict, Accepted)
+		deferrable := &jobs.Submission{ID: "a4", Queue: jobs.Queue{Priority: 1}, Steps: []jobs.Step{{Tasks: 1}}}
+		is.Equal(instance.Submit(ctx, deferrable).Verdict, Accepted)
 		instance.applyOperatorRecords(zoneRecord("z1", ""))
-		is.Equal(urgent("a3").Verdict, Accepted)
+		is.Equal(submitUrgent("a3").Verdict, Accepted)
 	})
 }
 
-// A start that waits in an instance which has read of the evacuation is not sent, whether
-// or not the holder of the term knows; one of which a try went unanswered stays open.
+// A start that is queued in an instance that has read the evacuation is not sent, whether or not
+// the leader has read it. The outcome of a start with an unanswered try stays unknown.
 func TestLinkSendsNoStartToEvacuatedZone(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		after  int // tries until the instance reads of it
+		after  int // tries before the instance reads the evacuation
 		result placing.StartResult
 	}{
 		{"known before", 0, placing.StartEvacuated},
@@ -135,12 +135,12 @@
 	}
 }
 
-// An instance that was frozen, or whose reading has stopped, sends no start that has waited
-// in it: a zone may have been evacuated meanwhile.
+// An instance that was frozen, or that no longer reads the operator stream, sends no queued start:
+// a zone may have been evacuated meanwhile.
 func TestInstanceThatHasNotReadSendsNoStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		instance := standbyOf(t, &tailStore{}, "a1")
+		instance := newLoadedInstance(t, &tailStore{}, "a1")
 		useTestClock(instance.clock)
 		is.True(instance.mayStartWithoutGrant("z1")) // no bound is stated
 		instance.SetBounds(Bounds{Evacuate: 5 * time.Second})
@@ -153,7 +153,7 @@
 	})
 }
 
-// setEvacuated has all instances read that a zone is evacuated, or taken back.
+// setEvacuated makes all instances read that a zone is evacuated, or no longer is.
 func (f *testFleet) setEvacuated(zone, value string) {
 	for _, instance := range f.instances {
 		instance.applyOperatorRecords(zoneRecord(zone, value))
@@ -161,23 +161,23 @@
 	f.leader.instance.applyOperatorRecords(zoneRecord(zone, value))
 }
 
-// startedIn counts the starts in a zone after a moment.
+// startedIn counts the workers of a zone whose last start was after a moment.
 func (f *testFleet) startedIn(zone string, after time.Time) int {
 	f.workers.lock.Lock()
 	defer f.workers.lock.Unlock()
 	count := 0
 	for id, worker := range f.workers.workers {
-		if zoneOf(id) == zone && worker.startedAt.After(after) {
+		if zoneOfWorker(id) == zone && worker.startedAt.After(after) {
 			count++
 		}
 	}
 	return count
 }
 
-// inZonedFleet runs a test with few workers, held by the holder of the term, and with many,
-// held by others for it.
+// inZonedFleet runs a test with few workers, driven by the leader, and with many, driven by
+// delegates.
 func inZonedFleet(t *testing.T, test func(f *testFleet, is *is.I, workers int)) {
-	eitherWayHeld(t, func(f *testFleet, is *is.I, workers int) {
+	withAndWithoutDelegates(t, func(f *testFleet, is *is.I, workers int) {
 		f.leader.instance.decoder = zoneDecoder{}
 		for _, instance := range f.instances {
 			instance.decoder = zoneDecoder{}
@@ -186,35 +186,35 @@
 	})
 }
 
-// No order reaches a worker of the zone once the instances have read of the evacuation,
-// though many starts are on their way then over slow links; all work ends elsewhere, and
-// the zone is used again when it is taken back.
+// No start reaches a worker of the zone once the instances have read the evacuation, although many
+// starts are in flight over slow links. All work ends in other zones, and the zone is used again
+// after the evacuation ends.
 func TestNoStartReachesEvacuatedZone(t *testing.T) {
 	inZonedFleet(t, func(f *testFleet, is *is.I, workers int) {
-		way := 60 * time.Millisecond
-		f.workers.setSlow("a", way)
+		latency := 60 * time.Millisecond
+		f.workers.setSlow("a", latency)
 		for name := range f.instances {
-			f.workers.setSlow(name, way)
+			f.workers.setSlow(name, latency)
 		}
 		f.submit("a1", 2*workers)
-		time.Sleep(way / 2) // its starts are about to be sent
+		time.Sleep(latency / 2) // the job's starts are about to be sent
 		f.setEvacuated("z1", "{}")
-		sent := time.Now().Add(2 * way) // by then what was sent before has arrived
+		arrivedBy := time.Now().Add(2 * latency) // starts sent earlier have arrived by then
 		time.Sleep(15 * time.Second)
-		is.Equal(f.startedIn("z1", sent), 0)
-		is.Equal(f.done(), 2*workers)
-		is.Equal(f.doubles(), 0)
+		is.Equal(f.startedIn("z1", arrivedBy), 0)
+		is.Equal(f.doneTasks(), 2*workers)
+		is.Equal(f.doubleRuns(), 0)
 		f.setEvacuated("z1", "")
-		back := time.Now()
+		reopenedAt := time.Now()
 		f.submit("a2", 2*workers)
 		time.Sleep(10 * time.Second)
-		is.True(f.startedIn("z1", back) > 0)
-		is.Equal(f.done(), 4*workers)
+		is.True(f.startedIn("z1", reopenedAt) > 0)
+		is.Equal(f.doneTasks(), 4*workers)
 	})
 }
 
-// An instance that keeps workers reads the operators' stream itself: it sends no start to
-// the zone though the holder of the term has not read of the evacuation yet.
+// A delegate reads the operator stream itself: it sends no start to the zone although the leader
+// has not read the evacuation yet.
 func TestDelegateStopsStartsBeforeLeaderReadsEvacuation(t *testing.T) {
 	inFleet(t, manyWorkers, 8, time.Second, func(f *testFleet, is *is.I) {
 		for _, instance := range f.instances {
@@ -229,47 +229,47 @@
 		f.leader.instance.applyOperatorRecords(zoneRecord("z1", "{}"))
 		time.Sleep(12 * time.Second)
 		is.Equal(f.startedIn("z1", begin), 0)
-		is.Equal(f.done(), 2*manyWorkers)
+		is.Equal(f.doneTasks(), 2*manyWorkers)
 	})
 }
 
-// The next holder of the term knows of an evacuation that began under a former one.
+// The next leader applies an evacuation that began under a former leader.
 func TestNextLeaderAppliesEvacuation(t *testing.T) {
 	inZonedFleet(t, func(f *testFleet, is *is.I, workers int) {
 		next := f.newLeader(6)
 		next.instance.decoder = zoneDecoder{}
 		next.instance.applyOperatorRecords(zoneRecord("z1", "{}"))
-		next.instance.evacuations.changed.Store(false) // a former term of this instance has looked
+		next.instance.evacuations.changed.Store(false) // already taken in a former term of this instance
 		next.loadEngine(placing.FormerHandedOver)
-		former := f.loopDone
+		formerDone := f.loopDone
 		f.leader, f.loopDone = next, make(chan struct{})
 		f.start()
-		<-former
+		<-formerDone
 		f.submit("a1", 2*workers)
 		begin := time.Now()
 		time.Sleep(12 * time.Second)
 		is.Equal(f.startedIn("z1", begin), 0)
-		is.Equal(f.done(), 2*workers)
+		is.Equal(f.doneTasks(), 2*workers)
 	})
 }
 
-// A holder whose own reading of the operators' stream has stopped starts nothing, and goes
-// on once it reads again.
+// A leader that no longer reads the operator stream starts nothing, and continues once it reads
+// again.
 func TestHolderThatDoesNotReadTheOperatorsStartsNothing(t *testing.T) {
 	inFleet(t, fewWorkers, 0, time.Second, func(f *testFleet, is *is.I) {
 		i := f.leader.instance
 		i.SetBounds(Bounds{Lease: simLease, StopWithin: simBounds.StopWithin, Evacuate: 5 * time.Second})
 		f.submit("a1", 10)
 		time.Sleep(3 * time.Second)
-		is.Equal(f.done(), 0) // it has read nothing so far
+		is.Equal(f.doneTasks(), 0) // it has read nothing so far
 		i.operator.lock.Lock()
 		i.operator.recordAnswer(i.clock.Now())
 		i.operator.lock.Unlock()
 		time.Sleep(2 * time.Second)
-		is.Equal(f.done(), 10)
-		time.Sleep(time.Second) // what was read is too old by now
+		is.Equal(f.doneTasks(), 10)
+		time.Sleep(time.Second) // the last read is too old by now
 		f.submit("a2", 10)
 		time.Sleep(3 * time.Second)
-		is.Equal(f.done(), 10)
+		is.Equal(f.doneTasks(), 10)
 	})
 }
--- a/batch/eventlog.go
+++ b/batch/eventlog.go
@@ -24,13 +24,13 @@
 }
 
 // write logs an event, or counts it as dropped if its budget is used up.
-func (c *eventLog) write(log *logrus.Entry, event string, fields logrus.Fields) {
-	ok, droppedKinds := c.budget.Allow(event, c.clock.Now())
+func (l *eventLog) write(logger *logrus.Entry, event string, fields logrus.Fields) {
+	ok, droppedKinds := l.budget.Allow(event, l.clock.Now())
 	for _, dropped := range droppedKinds {
-		log.WithField("kind", dropped.Kind).WithField("count", dropped.Count).Warn("lines_left_out")
+		logger.WithField("kind", dropped.Kind).WithField("count", dropped.Count).Warn("lines_left_out")
 	}
 	if ok {
-		log.WithFields(fields).Info(event)
+		logger.WithFields(fields).Info(event)
 	}
 }
 
--- a/batch/follower.go
+++ b/batch/follower.go
@@ -76,7 +76,7 @@
 // run follows the stream until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	logstream.Sleep(ctx, f.startDelay)
-	pause := minRetryBackoff
+	backoff := minRetryBackoff
 	for ctx.Err() == nil {
 		if f.active != nil && !f.active() {
 			f.unload()
@@ -85,13 +85,13 @@
 		}
 		if err := f.readOnce(ctx); err != nil && ctx.Err() == nil {
 			f.recordFailure(err)
-			if !logstream.Sleep(ctx, pause) {
+			if !logstream.Sleep(ctx, backoff) {
 				return
 			}
-			pause = min(maxRetryBackoff, 2*pause)
+			backoff = min(maxRetryBackoff, 2*backoff)
 			continue
 		}
-		pause = minRetryBackoff
+		backoff = minRetryBackoff
 	}
 }
 
@@ -132,9 +132,9 @@
 	return batch, err
 }
 
-// pause waits for a duration or until it is woken.
-func (f *follower) pause(ctx context.Context, pause time.Duration) {
-	timer := time.NewTimer(pause)
+// d waits for a duration or until it is woken.
+func (f *follower) pause(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -192,12 +192,12 @@
 		return f.load(ctx)
 	}
 	for {
-		before := f.position()
+		previous := f.position()
 		err := f.refresh(ctx, 0)
 		if errors.Is(err, ErrForgotten) {
 			return f.load(ctx)
 		}
-		if err != nil || f.position() == before {
+		if err != nil || f.position() == previous {
 			return err
 		}
 	}
--- a/batch/handover_test.go
+++ b/batch/handover_test.go
@@ -16,7 +16,7 @@
 	"github.com/teaselcleat/teaselcleat/ring"
 )
 
-// newTestLeader returns a holder of the term of an epoch that has read everything.
+// newTestLeader returns the leader of an epoch that has read the whole log.
 func newTestLeader(ctx context.Context, store Store, epoch int64) *leader {
 	instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), discardLog())
 	l := &leader{instance: instance, clock: instance.clock, log: discardLog(), epoch: epoch, ctx: ctx,
@@ -39,9 +39,9 @@
 	i.fold.apply(part, Batch{Records: []jobs.Record{record}, Offsets: []int64{1}})
 }
 
-// A holder that is to stop opens the term, and goes on placing until another
-// has claimed it: with a store that takes 0.2 s for a call nothing was placed
-// and no end was written for 2.6 s.
+// A leader that is to stop opens the term and goes on placing tasks until another instance has
+// claimed it. Otherwise, with a store that takes 0.2 s for a call, nothing was placed and no end
+// was written for 2.6 s.
 func TestHolderGoesOnUntilTheTermIsClaimed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -86,8 +86,8 @@
 	return s.partitionedStore.Append(ctx, part, records, fence)
 }
 
-// A part of the log is away, the one with the progress. The holder keeps the
-// term, as another could write no better, and callers are told of ends.
+// The part of the log with the progress is unreachable. The leader keeps the term, as another
+// instance could write no better, and still reports ended jobs to callers.
 func TestStatesAreWrittenWhileProgressCannotBe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -107,8 +107,7 @@
 	})
 }
 
-// The renewals of an open term do not start the wait of those who would claim it
-// anew.
+// Renewals of an open term do not restart the claim delay of other instances.
 func TestOpenTermIsClaimedThoughItsHolderGoesOn(t *testing.T) {
 	is := is.New(t)
 	e := newElection("a", "a/1", 500*time.Millisecond)
--- a/batch/leaderstall_test.go
+++ b/batch/leaderstall_test.go
@@ -14,24 +14,24 @@
 	"github.com/teaselcleat/teaselcleat/placing"
 )
 
-// failoverTimeout is how long the term may be with an instance that cannot place while
-// another can.
+// failoverTimeout bounds how long an instance that cannot place tasks may hold the term while
+// another instance can.
 const failoverTimeout = 30 * time.Second
 
-// sharedLog is the work stream as all instances have it, and the workers' list.
+// sharedLog is the work stream and the worker list shared by all instances.
 type sharedLog struct {
 	fleet  *simWorkers
 	lock   sync.Mutex
 	parts  map[int][]jobs.Record
-	fences map[int]Fence // the newest of each part
+	fences map[int]Fence // newest fence of each part
 }
 
-// logClient is one instance's way to it.
+// logClient is one instance's access to the shared log.
 type logClient struct {
 	*sharedLog
 	lock        sync.Mutex
-	stuck       bool          // appends of progress are not answered and not carried out
-	newestDelay time.Duration // of a read of all progress
+	stuck       bool          // appends of progress are neither answered nor carried out
+	newestDelay time.Duration // duration of a read of all progress
 }
 
 func (w *logClient) setStuck(stuck bool) {
@@ -113,7 +113,7 @@
 	return batch
 }
 
-// fleetDecoder reads the entries of simulated workers.
+// fleetDecoder decodes the entries of simulated workers.
 type fleetDecoder struct {
 	Decoder
 	fleet *simWorkers
@@ -124,7 +124,7 @@
 	return entry, !found, nil
 }
 
-// twoInstances is instances on one log, of which those that can place do.
+// twoInstances is two instances that share a log and elect a leader.
 type twoInstances struct {
 	fleet     *simWorkers
 	clients   map[string]*logClient
@@ -152,7 +152,7 @@
 		defer running.Wait()
 		defer cancel()
 		for _, name := range []string{"a", "b"} {
-			instance := New(Settings{Name: name, StoreParts: 8, CPUShare: 1}, h.clients[name], fleetDecoder{fleet: fleet}, &simPort{fleet: fleet, instance: name}, metrics.NewRegistry(), discardLog())
+			instance := New(Settings{Name: name, StoreParts: 8, CPUShare: 1}, h.clients[name], fleetDecoder{fleet: fleet}, &simClient{fleet: fleet, instance: name}, metrics.NewRegistry(), discardLog())
 			instance.bounds = newBounds(simBounds)
 			useTestClock(instance.clock)
 			instance.config.Store(&Config{Version: 1, Pools: []string{"pool"}})
@@ -167,7 +167,7 @@
 	})
 }
 
-// leader is the instance that has come to place; empty if none has.
+// leader returns the name of the instance that leads and has begun to place; empty if none has.
 func (h *twoInstances) leader() string {
 	for name, instance := range h.instances {
 		if instance.leading.Load() && instance.metrics.leading.Value() == 1 {
@@ -177,7 +177,7 @@
 	return ""
 }
 
-// leaderAndStandby are the instance that places, and the one that does not.
+// leaderAndStandby returns the names of the instance that leads and of the other one.
 func (h *twoInstances) leaderAndStandby(is *is.I) (leader, standby string) {
 	leader = h.leader()
 	is.True(leader != "")
@@ -196,20 +196,20 @@
 	return false
 }
 
-// submit hands in a job of one task by way of an instance.
-func (h *twoInstances) submit(by, id string, is *is.I) {
+// submit submits a job of one task through an instance.
+func (h *twoInstances) submit(instance, id string, is *is.I) {
 	submission := &jobs.Submission{ID: id, Queue: jobs.Queue{Name: "q", Pool: "pool", MaxAttempts: 4, Stretch: 3, TargetMS: 1000}}
 	submission.Steps = []jobs.Step{{Tasks: 1, EstimateMS: 1000, Need: jobs.Resources{MilliCores: 1000, MemoryMB: 100, Accelerators: 8}}}
 	record, err := jobs.SubmissionRecord(submission)
 	is.NoErr(err)
-	is.NoErr(h.clients[by].Append(context.Background(), partOf(id, 8), []jobs.Record{record}, nil))
+	is.NoErr(h.clients[instance].Append(context.Background(), partOf(id, 8), []jobs.Record{record}, nil))
 }
 
 // startsWithin reports whether the task of a job is started within a time.
 func (h *twoInstances) startsWithin(id string, within time.Duration) bool {
 	for begin := time.Now(); time.Since(begin) < within; time.Sleep(50 * time.Millisecond) {
 		h.fleet.lock.Lock()
-		started := h.fleet.newest[jobs.TaskKey{Job: id}] > 0
+		started := h.fleet.newestRun[jobs.TaskKey{Job: id}] > 0
 		h.fleet.lock.Unlock()
 		if started {
 			return true
@@ -218,35 +218,38 @@
 	return false
 }
 
-// An instance that wins the term and cannot begin does not keep it from others that can.
+// An instance that wins the term and cannot write progress must not keep the term from an instance
+// that can.
 func TestTermMovesWhenItsLeaderCannotStart(t *testing.T) {
 	withTwoInstances(t, func(h *twoInstances) { h.clients["a"].setStuck(true) }, func(h *twoInstances, is *is.I) {
 		is.True(h.becomesLeader("b", failoverTimeout))
 		h.submit("a", "a1", is)
-		is.True(h.startsWithin("a1", turnWithin))
+		is.True(h.startsWithin("a1", maxTaskWait))
 	})
 }
 
-// A holder whose way to the progress alone is cut keeps the term and starts nothing.
+// A leader that can only not write progress renews its term but starts nothing, so another
+// instance must take over.
 func TestJobStartsAfterLeaderLosesProgressWrites(t *testing.T) {
 	withTwoInstances(t, func(*twoInstances) {}, func(h *twoInstances, is *is.I) {
 		first, other := h.leaderAndStandby(is)
 		h.submit(other, "a1", is)
-		is.True(h.startsWithin("a1", turnWithin))
+		is.True(h.startsWithin("a1", maxTaskWait))
 		h.clients[first].setStuck(true)
 		h.submit(other, "a2", is)
 		is.True(h.startsWithin("a2", failoverTimeout))
 	})
 }
 
-// It takes longer to read than a holder may take to begin.
+// Reading all progress takes longer than prepareTimeout, the time in which a new leader has to
+// begin.
 func TestTermIsTakenOverDespiteSlowProgressRead(t *testing.T) {
-	slow := func(h *twoInstances) {
-		for _, way := range h.clients {
-			way.newestDelay = 2 * prepareTimeout
+	prepare := func(h *twoInstances) {
+		for _, client := range h.clients {
+			client.newestDelay = 2 * prepareTimeout
 		}
 	}
-	withTwoInstances(t, slow, func(h *twoInstances, is *is.I) {
+	withTwoInstances(t, prepare, func(h *twoInstances, is *is.I) {
 		for begin := time.Now(); h.leader() == ""; time.Sleep(50 * time.Millisecond) {
 			is.True(time.Since(begin) < failoverTimeout)
 		}
--- a/batch/order_test.go
+++ b/batch/order_test.go
@@ -58,7 +58,7 @@
 
 func (w *scriptedWorkers) Forget(placing.WorkerEntry) {}
 
-func taken() error { return nil }
+func accept() error { return nil }
 
 func refusedFor(refusal Refusal) func() error {
 	return func() error { return &OrderError{Refusal: refusal} }
@@ -71,10 +71,10 @@
 	instance := &Instance{workers: workers, metrics: newInstruments(metrics.NewRegistry()), bounds: newBounds(Bounds{})}
 	instance.clock = NewClock()
 	useTestClock(instance.clock)
-	host := instance.newLinkEnv(1, logrus.NewEntry(logger))
+	env := instance.newLinkEnv(1, logrus.NewEntry(logger))
 	answers := ring.New[event](16)
-	host.report = func(ctx context.Context, answer event) { answers.Put(ctx, answer) }
-	return newLink(host, placing.WorkerEntry{ID: "w"}), workers, answers
+	env.report = func(ctx context.Context, answer event) { answers.Put(ctx, answer) }
+	return newLink(env, placing.WorkerEntry{ID: "w"}), workers, answers
 }
 
 // A start without an answer is sent again: an order may be lost or come late,
@@ -87,8 +87,8 @@
 		result  placing.StartResult
 		calls   int
 	}{
-		{"answered at once", []func() error{taken}, placing.StartAccepted, 1},
-		{"second is answered", []func() error{nil, taken}, placing.StartAccepted, 2},
+		{"answered at once", []func() error{accept}, placing.StartAccepted, 1},
+		{"second is answered", []func() error{nil, accept}, placing.StartAccepted, 2},
 		{"none is answered", []func() error{nil}, placing.StartUnknown, maxOrderAttempts},
 		{"refused at once", []func() error{refused}, placing.StartNoRoom, 1},
 		// The first may yet be carried out, so the run is not known to be off.
@@ -110,9 +110,9 @@
 
 // A hold that was sent before a stop was taken does not tell whether the run is
 // over, and may have been lost: it is given up for a new one.
-func TestOlderHoldGivesWayToALook(t *testing.T) {
+func TestOlderHoldIsCancelledForANewReport(t *testing.T) {
 	is := is.New(t)
-	link, _, _ := scriptedLink(taken)
+	link, _, _ := scriptedLink(accept)
 	sent := time.Unix(100, 0)
 	ctx, end := context.WithCancelCause(t.Context())
 	link.setHold(sent, end)
@@ -126,31 +126,31 @@
 // or some time has passed.
 func TestInstanceThatNobodyAnswersIsAlone(t *testing.T) {
 	is := is.New(t)
-	h := newPeers(NewClock())
-	h.recordCall(false)
-	is.True(!h.isolated()) // one may be down
-	h.recordCall(false)
-	is.True(h.isolated())
-	h.recordCall(true)
-	is.True(!h.isolated())
-	h.recordCall(false)
-	h.recordCall(false)
-	h.failedAt = h.clock.Now().Add(-isolationDuration)
-	is.True(!h.isolated()) // they are asked again
+	p := newPeers(NewClock())
+	p.recordCall(false)
+	is.True(!p.isolated()) // one may be down
+	p.recordCall(false)
+	is.True(p.isolated())
+	p.recordCall(true)
+	is.True(!p.isolated())
+	p.recordCall(false)
+	p.recordCall(false)
+	p.failedAt = p.clock.Now().Add(-isolationDuration)
+	is.True(!p.isolated()) // they are asked again
 }
 
 // Where this instance is so slow that answers take a second, orders are given
 // longer, as repeats would make it slower still.
 func TestOrdersArePatientWhereAnswersAreSlow(t *testing.T) {
 	is := is.New(t)
-	p := adaptiveTimeout{minimum: minOrderTimeout}
-	is.Equal(p.currentIgnoringLosses(), minOrderTimeout)
+	timeout := adaptiveTimeout{minimum: minOrderTimeout}
+	is.Equal(timeout.currentIgnoringLosses(), minOrderTimeout)
 	for range 20 {
-		p.observe(400 * time.Millisecond)
+		timeout.observe(400 * time.Millisecond)
 	}
-	is.True(p.currentIgnoringLosses() > time.Second)
-	p.recordLoss()
-	is.True(p.currentIgnoringLosses() <= maxCallTimeout)
+	is.True(timeout.currentIgnoringLosses() > time.Second)
+	timeout.recordLoss()
+	is.True(timeout.currentIgnoringLosses() <= maxCallTimeout)
 }
 
 // On a slow instance starts wait for a slot. One whose run is stopped meanwhile
@@ -160,7 +160,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		link, workers, answers := scriptedLink(taken)
+		link, workers, answers := scriptedLink(accept)
 		link.ctx = ctx
 		links := newLinkSet(ctx, link.env, &sync.WaitGroup{})
 		links.links["w"] = link
--- a/batch/outage_test.go
+++ b/batch/outage_test.go
@@ -14,16 +14,16 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// cuttingStore answers until it is away; then reads that wait are cut, and what is
+// failingStore answers until it is away; then reads that wait are cut, and what is
 // sent stays without an answer.
-type cuttingStore struct {
+type failingStore struct {
 	Store
 	away    chan struct{}
 	appends atomic.Int64
 	reads   atomic.Int64
 }
 
-func (s *cuttingStore) isAway() bool {
+func (s *failingStore) isAway() bool {
 	select {
 	case <-s.away:
 		return true
@@ -32,7 +32,7 @@
 	}
 }
 
-func (s *cuttingStore) Read(ctx context.Context, _ Stream, _ int, from int64, wait time.Duration) (Batch, error) {
+func (s *failingStore) Read(ctx context.Context, _ Stream, _ int, from int64, wait time.Duration) (Batch, error) {
 	s.reads.Add(1)
 	if !s.isAway() {
 		select {
@@ -46,7 +46,7 @@
 	return Batch{}, eris.New("connection reset")
 }
 
-func (s *cuttingStore) Append(context.Context, int, []jobs.Record, *Fence) error {
+func (s *failingStore) Append(context.Context, int, []jobs.Record, *Fence) error {
 	s.appends.Add(1)
 	if s.isAway() {
 		return ErrUnknown
@@ -62,8 +62,8 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		store := &cuttingStore{away: make(chan struct{})}
-		instance := standbyOf(t, store, "a1")
+		store := &failingStore{away: make(chan struct{})}
+		instance := newLoadedInstance(t, store, "a1")
 		useTestClock(instance.clock)
 		for _, follower := range append([]*follower{instance.operator, instance.work}, instance.calls...) {
 			follower.loaded = true
@@ -97,37 +97,37 @@
 // lateStore answers no append and carries each out after a time of its own.
 type lateStore struct {
 	Store
-	lock  sync.Mutex
-	late  []time.Duration // of each append, the last for all others
-	never string          // key of a record that is not carried out in time
-	sent  int
-	known map[string]bool
+	lock    sync.Mutex
+	delays  []time.Duration // of each append, the last for all others
+	never   string          // key of a record that is not carried out in time
+	sent    int
+	written map[string]bool
 }
 
 func (s *lateStore) Append(ctx context.Context, _ int, records []jobs.Record, _ *Fence) error {
 	s.lock.Lock()
-	late := s.late[min(s.sent, len(s.late)-1)]
+	delay := s.delays[min(s.sent, len(s.delays)-1)]
 	if records[0].Key == s.never {
-		late = 20 * time.Second
+		delay = 20 * time.Second
 	}
 	s.sent++
 	s.lock.Unlock()
-	time.AfterFunc(late, func() {
+	time.AfterFunc(delay, func() {
 		s.lock.Lock()
 		defer s.lock.Unlock()
 		for _, record := range records {
-			s.known[record.Key] = true
+			s.written[record.Key] = true
 		}
 	})
 	<-ctx.Done()
 	return ErrUnknown
 }
 
-func (s *lateStore) holds(_ context.Context, records []jobs.Record) (bool, error) {
+func (s *lateStore) contains(_ context.Context, records []jobs.Record) (bool, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for _, record := range records {
-		if !s.known[record.Key] {
+		if !s.written[record.Key] {
 			return false, nil
 		}
 	}
@@ -152,17 +152,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx, cancel := context.WithCancel(t.Context())
-				store := &lateStore{late: c.late, known: map[string]bool{}}
-				made := newCommitter(store, NewClock(), 1)
-				useTestClock(made.clock)
-				made.readBack = store.holds
-				go made.run(ctx)
-				call, left := context.WithTimeout(ctx, 2850*time.Millisecond)
+				store := &lateStore{delays: c.late, written: map[string]bool{}}
+				committer := newCommitter(store, NewClock(), 1)
+				useTestClock(committer.clock)
+				committer.readBack = store.contains
+				go committer.run(ctx)
+				callCtx, cancelCall := context.WithTimeout(ctx, 2850*time.Millisecond)
 				begin := time.Now()
-				fate := made.write(call, jobs.CancelRecord("a"))
-				is.Equal(fate, c.fate)
+				err := committer.write(callCtx, jobs.CancelRecord("a"))
+				is.Equal(err, c.fate)
 				is.True(time.Since(begin) <= c.by)
-				left()
+				cancelCall()
 				time.Sleep(time.Second)
 				sent := store.sent
 				time.Sleep(5 * time.Second)
@@ -180,15 +180,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		store := &lateStore{late: []time.Duration{0}, never: jobs.CancelRecord("first").Key, known: map[string]bool{}}
-		made := newCommitter(store, NewClock(), 1)
-		useTestClock(made.clock)
-		made.readBack = store.holds
-		go made.run(ctx)
-		go func() { _ = made.write(ctx, jobs.CancelRecord("first")) }()
+		store := &lateStore{delays: []time.Duration{0}, never: jobs.CancelRecord("first").Key, written: map[string]bool{}}
+		committer := newCommitter(store, NewClock(), 1)
+		useTestClock(committer.clock)
+		committer.readBack = store.contains
+		go committer.run(ctx)
+		go func() { _ = committer.write(ctx, jobs.CancelRecord("first")) }()
 		time.Sleep(time.Millisecond)
 		begin := time.Now()
-		is.NoErr(made.write(ctx, jobs.CancelRecord("second")))
+		is.NoErr(committer.write(ctx, jobs.CancelRecord("second")))
 		is.True(time.Since(begin) < 2*overtakeDelay)
 		cancel()
 		time.Sleep(25 * time.Second)
@@ -202,12 +202,12 @@
 	appends atomic.Int64
 }
 
-const slowAnswer = 300 * time.Millisecond
+const slowLatency = 300 * time.Millisecond
 
 func (s *slowStore) Append(ctx context.Context, _ int, _ []jobs.Record, _ *Fence) error {
 	s.appends.Add(1)
 	s.busy <- struct{}{}
-	time.Sleep(slowAnswer)
+	time.Sleep(slowLatency)
 	<-s.busy
 	if ctx.Err() != nil {
 		return ErrUnknown
@@ -215,8 +215,8 @@
 	return nil
 }
 
-func (s *slowStore) holds(context.Context, []jobs.Record) (bool, error) {
-	time.Sleep(slowAnswer)
+func (s *slowStore) contains(context.Context, []jobs.Record) (bool, error) {
+	time.Sleep(slowLatency)
 	return false, nil
 }
 
@@ -231,15 +231,15 @@
 			go func() { _ = store.Append(ctx, 1, nil, nil) }()
 		}
 		time.Sleep(time.Millisecond)
-		made := newCommitter(store, NewClock(), 1)
-		useTestClock(made.clock)
-		made.readBack = store.holds
-		go made.run(ctx)
-		call, left := context.WithTimeout(ctx, 2850*time.Millisecond)
-		defer left()
+		committer := newCommitter(store, NewClock(), 1)
+		useTestClock(committer.clock)
+		committer.readBack = store.contains
+		go committer.run(ctx)
+		callCtx, cancelCall := context.WithTimeout(ctx, 2850*time.Millisecond)
+		defer cancelCall()
 		began := time.Now()
-		err := made.write(call, jobs.CancelRecord("a"))
-		t.Logf("after %s, %d appends, slow %t", time.Since(began), store.appends.Load(), made.storeSlow.Load())
+		err := committer.write(callCtx, jobs.CancelRecord("a"))
+		t.Logf("after %s, %d appends, slow %t", time.Since(began), store.appends.Load(), committer.storeSlow.Load())
 		is.NoErr(err)
 		is.Equal(store.appends.Load(), int64(7))
 		cancel()
@@ -253,18 +253,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		store := &lateStore{late: []time.Duration{20 * time.Second}, known: map[string]bool{}}
-		made := newCommitter(store, NewClock(), 1)
-		useTestClock(made.clock)
-		made.readBack = store.holds
-		go made.run(ctx)
-		made.openGroups.Store(maxOpenGroups)
-		is.Equal(made.write(ctx, jobs.CancelRecord("a")), ErrNotDone)
+		store := &lateStore{delays: []time.Duration{20 * time.Second}, written: map[string]bool{}}
+		committer := newCommitter(store, NewClock(), 1)
+		useTestClock(committer.clock)
+		committer.readBack = store.contains
+		go committer.run(ctx)
+		committer.openGroups.Store(maxOpenGroups)
+		is.Equal(committer.write(ctx, jobs.CancelRecord("a")), ErrNotDone)
 		is.Equal(store.sent, 0)
-		made.openGroups.Store(0)
-		go func() { _ = made.write(ctx, jobs.CancelRecord("b")) }()
+		committer.openGroups.Store(0)
+		go func() { _ = committer.write(ctx, jobs.CancelRecord("b")) }()
 		time.Sleep(10 * time.Second)
-		is.Equal(made.openGroups.Load(), int32(0)) // given up after its time
+		is.Equal(committer.openGroups.Load(), int32(0)) // given up after its time
 		cancel()
 		time.Sleep(25 * time.Second)
 	})
--- a/batch/peers.go
+++ b/batch/peers.go
@@ -49,13 +49,13 @@
 }
 
 // choose returns addresses of peers in random order, to spread load.
-func (h *peers) choose(instances map[string]jobs.Instance, self string) []string {
-	h.lock.Lock()
-	defer h.lock.Unlock()
-	now := h.clock.Now()
+func (p *peers) choose(instances map[string]jobs.Instance, self string) []string {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	now := p.clock.Now()
 	var list []string
 	for name, instance := range instances {
-		if name != self && instance.Address != "" && !now.Before(h.backoffUntil[instance.Address]) {
+		if name != self && instance.Address != "" && !now.Before(p.backoffUntil[instance.Address]) {
 			list = append(list, instance.Address)
 		}
 	}
@@ -63,53 +63,53 @@
 	return list[:min(maxPeerTries, len(list))]
 }
 
-func (h *peers) backOff(address string) {
-	h.lock.Lock()
-	defer h.lock.Unlock()
-	h.backoffUntil[address] = h.clock.Now().Add(peerBackoff)
+func (p *peers) backOff(address string) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.backoffUntil[address] = p.clock.Now().Add(peerBackoff)
 }
 
-func (h *peers) call(ctx context.Context, address string, call *relaypb.Call) (*relaypb.Answer, error) {
+func (p *peers) call(ctx context.Context, address string, call *relaypb.Call) (*relaypb.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	answer, err := h.client.Call(ctx, address, call)
-	h.recordCall(err == nil)
+	answer, err := p.client.Call(ctx, address, call)
+	p.recordCall(err == nil)
 	if err != nil {
-		h.backOff(address)
+		p.backOff(address)
 	}
 	return answer, err
 }
 
 // recordCall records whether a call was answered.
-func (h *peers) recordCall(answered bool) {
-	h.lock.Lock()
-	defer h.lock.Unlock()
+func (p *peers) recordCall(answered bool) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	if answered {
-		h.unansweredCalls = 0
+		p.unansweredCalls = 0
 		return
 	}
-	h.unansweredCalls++
-	h.failedAt = h.clock.Now()
+	p.unansweredCalls++
+	p.failedAt = p.clock.Now()
 }
 
 // isolated reports whether none of the other instances seems reachable.
-func (h *peers) isolated() bool {
-	h.lock.Lock()
-	defer h.lock.Unlock()
-	return h.unansweredCalls >= isolatedAfterFailures && h.clock.Now().Sub(h.failedAt) < isolationDuration
+func (p *peers) isolated() bool {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	return p.unansweredCalls >= isolatedAfterFailures && p.clock.Now().Sub(p.failedAt) < isolationDuration
 }
 
 // write has another instance append a record. ErrNotDone means that none did or will.
-func (h *peers) write(ctx context.Context, addresses []string, record jobs.Record) error {
+func (p *peers) write(ctx context.Context, addresses []string, record jobs.Record) error {
 	call := &relaypb.Call{Body: &relaypb.Call_Write{Write: &relaypb.Write{Key: record.Key, Value: record.Value}}}
 	result := ErrNotDone
 	for _, address := range addresses {
-		answer, err := h.call(ctx, address, call)
+		answer, err := p.call(ctx, address, call)
 		switch {
 		case err == nil && answer.Fate == relaypb.Fate_FATE_DONE:
 			return nil
 		case err == nil && answer.Fate == relaypb.Fate_FATE_NOT_DONE:
-			h.backOff(address)
+			p.backOff(address)
 		case !errors.Is(err, relay.ErrNotSent):
 			result = ErrUnknown
 		}
@@ -118,14 +118,14 @@
 }
 
 // lookUpJob has another instance read the state of a job; answered is false if none could.
-func (h *peers) lookUpJob(ctx context.Context, addresses []string, id string) (state jobs.State, answered bool) {
+func (p *peers) lookUpJob(ctx context.Context, addresses []string, id string) (state jobs.State, answered bool) {
 	call := &relaypb.Call{Body: &relaypb.Call_Look{Look: &relaypb.Look{Job: id}}}
 	for _, address := range addresses {
-		answer, err := h.call(ctx, address, call)
+		answer, err := p.call(ctx, address, call)
 		if err == nil && answer.Looked {
 			return jobs.State(answer.State), true
 		}
-		h.backOff(address)
+		p.backOff(address)
 	}
 	return "", false
 }
@@ -188,7 +188,7 @@
 	case *relaypb.Call_Write:
 		return &relaypb.Answer{Fate: i.relayedWrite(ctx, body.Write)}
 	case *relaypb.Call_Look:
-		return i.relayedLook(ctx, body.Look.Job)
+		return i.relayedLookUp(ctx, body.Look.Job)
 	case *relaypb.Call_Claim:
 		return &relaypb.Answer{Fate: i.handleClaimRequest(ctx, body.Claim.Epoch)}
 	}
@@ -210,7 +210,7 @@
 	return relaypb.Fate_FATE_UNKNOWN
 }
 
-func (i *Instance) relayedLook(ctx context.Context, id string) *relaypb.Answer {
+func (i *Instance) relayedLookUp(ctx context.Context, id string) *relaypb.Answer {
 	if !i.loaded() || !i.work.isReachable() {
 		return &relaypb.Answer{}
 	}
--- a/batch/resolve.go
+++ b/batch/resolve.go
@@ -55,8 +55,8 @@
 }
 
 func (c *committer) deliver(group []*commit, err error) {
-	for _, member := range group {
-		member.result <- err
+	for _, pending := range group {
+		pending.result <- err
 	}
 }
 
@@ -110,8 +110,8 @@
 
 // hasWaiters reports whether any caller of a group still waits.
 func (c *committer) hasWaiters(group []*commit) bool {
-	for _, member := range group {
-		if member.state.Load() != commitAbandoned {
+	for _, pending := range group {
+		if pending.state.Load() != commitAbandoned {
 			return true
 		}
 	}
@@ -120,8 +120,8 @@
 
 func recordsOf(group []*commit) []jobs.Record {
 	records := make([]jobs.Record, 0, len(group))
-	for _, member := range group {
-		records = append(records, member.record)
+	for _, pending := range group {
+		records = append(records, pending.record)
 	}
 	return records
 }
--- a/batch/restart_test.go
+++ b/batch/restart_test.go
@@ -14,9 +14,9 @@
 const (
 	// restartPause is how long a worker is away between two lives.
 	restartPause = 500 * time.Millisecond
-	// turnWithin is how long tasks may wait, with room free, once their turn has come:
+	// maxTaskWait is how long tasks may wait, with room free, once their turn has come:
 	// the users' own bound.
-	turnWithin = 3 * time.Second
+	maxTaskWait = 3 * time.Second
 )
 
 // The story: workers lost power and started again half a second later under the IDs that
@@ -31,25 +31,25 @@
 // The evidence: of the runs that were lost after the workers were back, all were on workers
 // that had started again, each within one hold of its end; and here the number of tasks run
 // again is that of the ends whose numbers the former life had reached.
-func TestWorkerThatStartsAgainUnderItsIDRunsNothingTwice(t *testing.T) {
-	eitherWayHeld(t, func(f *testFleet, is *is.I, workers int) {
+func TestRestartedWorkerRunsNothingTwice(t *testing.T) {
+	withAndWithoutDelegates(t, func(f *testFleet, is *is.I, workers int) {
 		f.submit("a1", 3*workers)
 		time.Sleep(8 * time.Second)
-		is.Equal(f.done(), 3*workers)
+		is.Equal(f.doneTasks(), 3*workers)
 		f.workers.restartAll(restartPause)
 		time.Sleep(2 * restartPause)
-		f.relist()
+		f.refreshWorkerList()
 		f.submit("a2", 2*workers)
 		time.Sleep(20 * time.Second)
-		is.Equal(f.doubles(), 0)
-		is.Equal(f.done(), 5*workers)
+		is.Equal(f.doubleRuns(), 0)
+		is.Equal(f.doneTasks(), 5*workers)
 		is.Equal(f.decisionCount("job_ended"), int64(2))
 	})
 }
 
-// eitherWayHeld runs a test with few workers, which the holder of the term holds, and with
+// withAndWithoutDelegates runs a test with few workers, which the holder of the term holds, and with
 // many, which others hold for it. Tasks take a second.
-func eitherWayHeld(t *testing.T, test func(f *testFleet, is *is.I, workers int)) {
+func withAndWithoutDelegates(t *testing.T, test func(f *testFleet, is *is.I, workers int)) {
 	for _, c := range []struct {
 		name      string
 		workers   int
@@ -79,39 +79,39 @@
 	inFleet(t, 8, 0, time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", 8*8)
 		time.Sleep(20 * time.Second)
-		is.Equal(f.done(), 8*8)
+		is.Equal(f.doneTasks(), 8*8)
 		f.workers.restartAll(restartPause)
 		time.Sleep(2 * restartPause)
-		f.relist()
+		f.refreshWorkerList()
 		f.submit("a2", 4, 4)
-		for begin := time.Now(); !f.stepNoted("a2", 0, 4) && time.Since(begin) < time.Minute; {
+		for begin := time.Now(); !f.stepAcknowledged("a2", 0, 4) && time.Since(begin) < time.Minute; {
 			time.Sleep(10 * time.Millisecond)
 		}
-		time.Sleep(turnWithin)
-		is.Equal(f.stepStarted("a2", 1, 4), 4)
+		time.Sleep(maxTaskWait)
+		is.Equal(f.startedTasks("a2", 1, 4), 4)
 	})
 }
 
-// stepNoted reports whether all tasks of a step have ended as done and these ends were
+// stepAcknowledged reports whether all tasks of a step have ended as done and these ends were
 // taken note of.
-func (f *testFleet) stepNoted(id string, step, tasks int) bool {
+func (f *testFleet) stepAcknowledged(id string, step, tasks int) bool {
 	f.workers.lock.Lock()
 	defer f.workers.lock.Unlock()
 	for index := range tasks {
-		if !f.workers.noted[jobs.TaskKey{Job: id, Step: step, Index: index}] {
+		if !f.workers.acknowledged[jobs.TaskKey{Job: id, Step: step, Index: index}] {
 			return false
 		}
 	}
 	return true
 }
 
-// stepStarted is how many tasks of a step were ever started.
-func (f *testFleet) stepStarted(id string, step, tasks int) int {
+// startedTasks is how many tasks of a step were ever started.
+func (f *testFleet) startedTasks(id string, step, tasks int) int {
 	f.workers.lock.Lock()
 	defer f.workers.lock.Unlock()
 	count := 0
 	for index := range tasks {
-		if f.workers.newest[jobs.TaskKey{Job: id, Step: step, Index: index}] > 0 {
+		if f.workers.newestRun[jobs.TaskKey{Job: id, Step: step, Index: index}] > 0 {
 			count++
 		}
 	}
@@ -120,8 +120,8 @@
 
 // However the list of workers lags behind, and however often they start again between two
 // looks at it: nothing runs twice, and all is done once they stay.
-func TestListThatLagsBehindLivesMisleadsNobody(t *testing.T) {
-	eitherWayHeld(t, func(f *testFleet, is *is.I, workers int) {
+func TestStaleWorkerListCausesNoDoubleRuns(t *testing.T) {
+	withAndWithoutDelegates(t, func(f *testFleet, is *is.I, workers int) {
 		f.submit("a1", 2*workers)
 		time.Sleep(1500 * time.Millisecond) // some have ended, the others run
 		f.workers.restartAll(restartPause)
@@ -129,42 +129,42 @@
 		f.submit("a2", workers)
 		f.workers.restartAll(restartPause) // the list still shows the first lives
 		time.Sleep(3 * restartPause)
-		f.relist()
+		f.refreshWorkerList()
 		time.Sleep(4 * time.Second)
 		f.workers.restartAll(restartPause / 2)
-		f.relist() // it shows lives that are over
+		f.refreshWorkerList() // it shows lives that are over
 		time.Sleep(restartPause)
-		f.relist()
+		f.refreshWorkerList()
 		time.Sleep(16 * time.Second)
-		is.Equal(f.doubles(), 0)
-		is.Equal(f.done(), 3*workers)
+		is.Equal(f.doubleRuns(), 0)
+		is.Equal(f.doneTasks(), 3*workers)
 		is.Equal(f.decisionCount("job_ended"), int64(2))
 	})
 }
 
 // An entry that says of no life, on workers that do, was made by another writer: it names no
 // worker to use, and what runs there goes on.
-func TestEntryWithoutALifeNamesNoWorkerToUse(t *testing.T) {
+func TestEntryWithoutIncarnationIsNotUsed(t *testing.T) {
 	inFleet(t, 2, 0, 3*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", 2)
 		time.Sleep(time.Second)
 		is.Equal(f.workers.sum(func(w *simWorker) int { return len(w.runs) }), 2)
-		f.edit("w0000", func(entry *placing.WorkerEntry) { entry.ID, entry.BornMS = entry.Name, 0 })
+		f.editWorkerEntry("w0000", func(entry *placing.WorkerEntry) { entry.ID, entry.BornMS = entry.Name, 0 })
 		f.submit("a2", 2)
 		time.Sleep(20 * time.Second)
-		is.Equal(f.doubles(), 0)
-		is.Equal(f.done(), 4)
+		is.Equal(f.doubleRuns(), 0)
+		is.Equal(f.doneTasks(), 4)
 		is.Equal(f.decisionCount("job_ended"), int64(2))
-		is.Equal(f.workers.started("w0000"), 1) // what it had before
+		is.Equal(f.workers.startCount("w0000"), 1) // what it had before
 	})
 }
 
 // A worker is told once which ends it may forget, and not while the life that takes the
 // order may be a later one, whose own ends would be forgotten unread.
-func TestAcknowledgementGoesToTheLifeItIsFor(t *testing.T) {
+func TestAcknowledgementGoesToItsIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		link, workers, _ := scriptedLink(taken)
+		link, workers, _ := scriptedLink(accept)
 		link.entry.BornMS = 7
 		hold := func() int64 {
 			_, _, err := link.hold(t.Context(), 0)
@@ -189,7 +189,7 @@
 // A later life of a worker may take a start that was meant for the former, and grants it the
 // longest lease from then on, as the former's clock says nothing to it. So nothing there has
 // lapsed before such a lease that began with the last try.
-func TestStartWithoutAnAnswerHoldsTheLapseBack(t *testing.T) {
+func TestUnansweredStartDelaysTheLapse(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		bornMS int64
@@ -208,9 +208,9 @@
 				link.extendLease(link.env.clock.Now())
 				granted := link.lapse()
 				link.startRun(t.Context(), placing.Start{Worker: "w", Run: 1}, false, nil)
-				lastTry := link.env.clock.Now()
+				lastAttempt := link.env.clock.Now()
 				is.Equal(link.lapse().After(granted), c.held)
-				is.Equal(!link.lapse().Before(lastTry.Add(placing.LeaseLapse(simLease))), c.held)
+				is.Equal(!link.lapse().Before(lastAttempt.Add(placing.LeaseLapse(simLease))), c.held)
 			})
 		})
 	}
--- a/batch/shards_test.go
+++ b/batch/shards_test.go
@@ -18,8 +18,8 @@
 	// manyWorkers are shared out, fewWorkers are not.
 	manyWorkers = 600
 	fewWorkers  = 300
-	// settled is when the links stand after the start of a holder.
-	settled = 3 * time.Second
+	// settleTime is when the links stand after the start of a holder.
+	settleTime = 3 * time.Second
 )
 
 // inFleet runs a test in virtual time on a holder, instances and workers.
@@ -28,29 +28,31 @@
 		f := newTestFleet(t, newSimWorkers(workers, taskTime), instances)
 		f.start()
 		defer f.stop()
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		test(f, is.New(t))
 	})
 }
 
-func (f *testFleet) doubles() int {
-	return f.workers.sum(func(w *simWorker) int { return w.doubles })
+func (f *testFleet) doubleRuns() int {
+	return f.workers.sum(func(w *simWorker) int { return w.doubleRuns })
 }
 
-// done is how many tasks have ended as done.
-func (f *testFleet) done() int {
+// doneTasks is how many tasks have ended as done.
+func (f *testFleet) doneTasks() int {
 	f.workers.lock.Lock()
 	defer f.workers.lock.Unlock()
 	return len(f.workers.done)
 }
 
-func (f *testFleet) lapsed() int { return f.workers.sum(func(w *simWorker) int { return w.lapsed }) }
+func (f *testFleet) lapsedRuns() int {
+	return f.workers.sum(func(w *simWorker) int { return w.lapsedRuns })
+}
 
 // The holder of many workers drives none itself, each is driven by one instance,
 // and none has more than its share.
 func TestManyWorkersAreKeptByOthers(t *testing.T) {
 	inFleet(t, manyWorkers, 8, time.Second, func(f *testFleet, is *is.I) {
-		driven := f.workers.drivenBy(2 * holdWait)
+		driven := f.workers.dispatchedBy(2 * holdWait)
 		is.Equal(driven["a"], 0)
 		total := 0
 		for _, count := range driven {
@@ -61,25 +63,25 @@
 		is.Equal(f.workers.sum(func(w *simWorker) int { return len(w.callers) }), manyWorkers) // nobody else has called one
 		f.submit("a1", 40)
 		time.Sleep(3 * time.Second)
-		is.Equal(f.done(), 40)
-		is.Equal(f.doubles(), 0)
+		is.Equal(f.doneTasks(), 40)
+		is.Equal(f.doubleRuns(), 0)
 		is.Equal(f.decisionCount("job_ended"), int64(1))
-		is.Equal(f.workers.sum(func(w *simWorker) int { return len(w.ended) }), 0) // all ends are acknowledged
+		is.Equal(f.workers.sum(func(w *simWorker) int { return len(w.ends) }), 0) // all ends are acknowledged
 	})
 }
 
 // What a few workers cost is what it cost before: no session, no other instance.
 func TestFewWorkersAreKeptByTheHolder(t *testing.T) {
 	inFleet(t, fewWorkers, 8, time.Second, func(f *testFleet, is *is.I) {
-		is.Equal(f.workers.drivenBy(2 * holdWait)["a"], fewWorkers)
+		is.Equal(f.workers.dispatchedBy(2 * holdWait)["a"], fewWorkers)
 		is.Equal(len(f.closeStreams), 0)
 	})
 }
 
 // Without another instance in reach the holder drives all, as it can.
-func TestHolderAloneDrivesAll(t *testing.T) {
+func TestLeaderWithoutDelegatesDispatchesToAll(t *testing.T) {
 	inFleet(t, manyWorkers, 0, time.Second, func(f *testFleet, is *is.I) {
-		is.Equal(f.workers.drivenBy(2 * holdWait)["a"], manyWorkers)
+		is.Equal(f.workers.dispatchedBy(2 * holdWait)["a"], manyWorkers)
 	})
 }
 
@@ -110,9 +112,9 @@
 				time.Sleep(4 * time.Second)
 				f.submit("a2", 100)
 				time.Sleep(14 * time.Second)
-				is.Equal(f.lapsed(), 0)
-				is.Equal(f.doubles(), 0)
-				is.Equal(f.done(), 500)
+				is.Equal(f.lapsedRuns(), 0)
+				is.Equal(f.doubleRuns(), 0)
+				is.Equal(f.doneTasks(), 500)
 				is.Equal(f.decisionCount("job_ended"), int64(2))
 			})
 		})
@@ -127,7 +129,7 @@
 		f.submit("a1", manyWorkers/2) // there is room to begin elsewhere
 		time.Sleep(time.Second)
 		silent := f.busiest()
-		for id := range f.workers.drivenWorkers(silent) {
+		for id := range f.workers.workersOf(silent) {
 			for name := range f.instances {
 				f.workers.setCut(name, id, name != silent)
 			}
@@ -135,10 +137,10 @@
 		}
 		f.workers.setSilent(silent, true)
 		time.Sleep(grantDuration + holdWait + 200*time.Millisecond)
-		is.Equal(f.workers.drivenBy(100 * time.Millisecond)[silent], 0)
+		is.Equal(f.workers.dispatchedBy(100 * time.Millisecond)[silent], 0)
 		time.Sleep(20 * time.Second)
-		is.Equal(f.doubles(), 0)
-		is.True(f.lapsed() > 0)
+		is.Equal(f.doubleRuns(), 0)
+		is.True(f.lapsedRuns() > 0)
 	})
 }
 
@@ -150,12 +152,12 @@
 		cut := f.busiest()
 		f.workers.setCut(cut, "*", true)
 		time.Sleep(4 * time.Second)
-		driven := f.workers.drivenBy(3 * time.Second)
+		driven := f.workers.dispatchedBy(3 * time.Second)
 		is.Equal(driven[cut], 0)
 		time.Sleep(8 * time.Second)
-		is.Equal(f.lapsed(), 0)
-		is.Equal(f.doubles(), 0)
-		is.Equal(f.done(), manyWorkers)
+		is.Equal(f.lapsedRuns(), 0)
+		is.Equal(f.doubleRuns(), 0)
+		is.Equal(f.doneTasks(), manyWorkers)
 	})
 }
 
@@ -165,10 +167,10 @@
 	inFleet(t, manyWorkers, 8, 5*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", 1)
 		time.Sleep(time.Second)
-		f.workers.setCut("*", f.workers.busy(), true)
+		f.workers.setCut("*", f.workers.busyWorker(), true)
 		time.Sleep(18 * time.Second)
 		is.Equal(f.decisionCount("job_ended"), int64(1))
-		is.Equal(f.doubles(), 0)
+		is.Equal(f.doubleRuns(), 0)
 	})
 }
 
@@ -178,19 +180,19 @@
 	inFleet(t, manyWorkers, 8, 8*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", 400)
 		time.Sleep(500 * time.Millisecond)
-		leaving := f.busiest()
-		f.instances[leaving].Drain()
+		draining := f.busiest()
+		f.instances[draining].Drain()
 		time.Sleep(2 * time.Second)
-		is.Equal(f.instances[leaving].Status().Keeping, 0)
-		is.Equal(f.leader.instance.Status().Sharing.Keepers[leaving], 0)
-		is.Equal(f.workers.drivenBy(100 * time.Millisecond)[leaving], 0)
-		f.kill(leaving)
+		is.Equal(f.instances[draining].Status().Keeping, 0)
+		is.Equal(f.leader.instance.Status().Sharing.Keepers[draining], 0)
+		is.Equal(f.workers.dispatchedBy(100 * time.Millisecond)[draining], 0)
+		f.kill(draining)
 		is.Equal(f.decisionCount("run_stopped"), int64(0))
 		time.Sleep(9 * time.Second)
-		is.Equal(f.lapsed(), 0)
-		is.Equal(f.doubles(), 0)
-		is.Equal(f.done(), 400)
-		is.Equal(f.workers.drivenBy(2 * holdWait)[leaving], 0)
+		is.Equal(f.lapsedRuns(), 0)
+		is.Equal(f.doubleRuns(), 0)
+		is.Equal(f.doneTasks(), 400)
+		is.Equal(f.workers.dispatchedBy(2 * holdWait)[draining], 0)
 	})
 }
 
@@ -204,10 +206,10 @@
 			f.kill(name)
 		}
 		time.Sleep(16 * time.Second)
-		is.Equal(f.lapsed(), 0)
-		is.Equal(f.doubles(), 0)
-		is.Equal(f.done(), 300)
-		is.Equal(f.workers.drivenBy(2 * holdWait)["a"], manyWorkers)
+		is.Equal(f.lapsedRuns(), 0)
+		is.Equal(f.doubleRuns(), 0)
+		is.Equal(f.doneTasks(), 300)
+		is.Equal(f.workers.dispatchedBy(2 * holdWait)["a"], manyWorkers)
 	})
 }
 
@@ -219,22 +221,22 @@
 		time.Sleep(time.Second)
 		next := f.newLeader(6)
 		former := f.leader
-		over := f.loopDone
+		formerDone := f.loopDone
 		f.leader, f.loopDone = next, make(chan struct{})
 		f.start()
 		select {
-		case <-over:
+		case <-formerDone:
 		case <-time.After(3 * time.Second):
 			t.Error("the former holder goes on")
 		}
 		is.True(former.termLost)
 		former.wg.Wait()
-		time.Sleep(settled)
-		driven := f.workers.drivenBy(2 * holdWait)
+		time.Sleep(settleTime)
+		driven := f.workers.dispatchedBy(2 * holdWait)
 		is.Equal(driven["a"], 0)
 		time.Sleep(6 * time.Second)
-		is.Equal(f.lapsed(), 0)
-		is.Equal(f.doubles(), 0)
+		is.Equal(f.lapsedRuns(), 0)
+		is.Equal(f.doubleRuns(), 0)
 	})
 }
 
@@ -247,7 +249,7 @@
 			func(i *Instance) { i.work.loaded = false },
 			func(i *Instance) { i.delegations.add(&delegation{epoch: 9, outbox: newOutbox()}, 0) },
 		} {
-			instance := standbyOf(t, &tailStore{}, "none")
+			instance := newLoadedInstance(t, &tailStore{}, "none")
 			change(instance)
 			near, far := relay.Pipe()
 			go instance.Keep(t.Context(), &relaypb.Keep{Epoch: 8, Lives: true}, far)
@@ -260,13 +262,13 @@
 
 // During a rolling restart an instance of a version that does not tell a worker's lives
 // apart neither keeps workers for this one nor has its own kept here.
-func TestVersionsThatDoNotKnowLivesKeepNoWorkersForEachOther(t *testing.T) {
+func TestVersionsWithoutIncarnationsDelegateNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		near, far := relay.Pipe()
-		keeper := standbyOf(t, &tailStore{}, "none")
-		useTestClock(keeper.clock)
-		go keeper.Keep(t.Context(), &relaypb.Keep{Epoch: 8}, far)
+		delegate := newLoadedInstance(t, &tailStore{}, "none")
+		useTestClock(delegate.clock)
+		go delegate.Keep(t.Context(), &relaypb.Keep{Epoch: 8}, far)
 		answer := &relaypb.Kept{}
 		is.NoErr(near.Receive(answer))
 		is.True(answer.Refused)
@@ -296,13 +298,13 @@
 		go func() { _ = far.Send(&relaypb.Kept{Clock: 1, Lives: true}) }()
 		<-events // opened
 		<-events // its first word
-		var reading sync.WaitGroup
-		reading.Go(func() {
+		var readers sync.WaitGroup
+		readers.Go(func() {
 			for far.Receive(&relaypb.Orders{}) == nil {
 				time.Sleep(heartbeatInterval / 6)
 			}
 		})
-		defer reading.Wait()
+		defer readers.Wait()
 		begin := time.Now()
 		for range maxQueuedOrders + 3*maxOrdersPerMessage {
 			s.acknowledge("w", 1)
@@ -320,20 +322,20 @@
 	inFleet(t, manyWorkers, 8, time.Second, func(f *testFleet, is *is.I) {
 		d := f.leader.dispatchers
 		worker := f.workers.entries()["w0001"].ID
-		keeper := d.workers[worker].instance
-		is.True(d.dispatchesTo(keeper, worker))
+		delegate := d.workers[worker].instance
+		is.True(d.dispatchesTo(delegate, worker))
 		is.True(!d.dispatchesTo(ownInstance, worker))
 		is.True(!d.dispatchesTo("keeper-of-old", worker))
 		d.workers[worker].state = releasing
-		is.True(d.dispatchesTo(keeper, worker)) // until its last word
+		is.True(d.dispatchesTo(delegate, worker)) // until its last word
 		d.workers[worker].state = unassigned
-		is.True(!d.dispatchesTo(keeper, worker))
+		is.True(!d.dispatchesTo(delegate, worker))
 		d.workers[worker].state = assigned
 	})
 }
 
 // Where the division changes, log lines name the instance, its share and why.
-func TestSharingIsTold(t *testing.T) {
+func TestStatusShowsDelegates(t *testing.T) {
 	inFleet(t, manyWorkers, 8, time.Second, func(f *testFleet, is *is.I) {
 		status := f.leader.instance.Status()
 		is.True(status.Sharing.Shared)
--- a/batch/simrestart_test.go
+++ b/batch/simrestart_test.go
@@ -15,20 +15,20 @@
 // errSimDown says that nothing answers at a worker's address.
 var errSimDown = eris.New("connection refused")
 
-// begin starts a life: it holds and knows nothing of the one before, and its counts and
+// startIncarnation starts a life: it holds and knows nothing of the one before, and its counts and
 // its clock start anew.
-func (w *simWorker) begin() {
+func (w *simWorker) startIncarnation() {
 	now := time.Now()
 	w.down = false
 	w.bornMS = now.UnixMilli()
-	w.start = now
+	w.clockStart = now
 	w.fence = 0
 	w.until = now
 	w.runs = map[startKey]time.Time{}
 	w.highest = map[jobs.TaskKey]int{}
-	w.ended = nil
-	w.number = 0
-	w.starts = 0
+	w.ends = nil
+	w.lastEnd = 0
+	w.startCount = 0
 }
 
 // restart ends a worker's life with all that it holds; the next one, under the same ID,
@@ -37,14 +37,14 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	worker := s.workers[id]
-	worker.settle(s)
+	worker.advance(s)
 	worker.down = true
 	worker.runs = nil
-	worker.ended = nil
+	worker.ends = nil
 	time.AfterFunc(away, func() {
 		s.lock.Lock()
 		defer s.lock.Unlock()
-		worker.begin()
+		worker.startIncarnation()
 	})
 }
 
@@ -55,8 +55,8 @@
 	}
 }
 
-// relist has the holder read the list of workers as it is now.
-func (f *testFleet) relist() {
+// refreshWorkerList has the holder read the list of workers as it is now.
+func (f *testFleet) refreshWorkerList() {
 	entries := f.workers.entries()
 	f.leader.workerList.lock.Lock()
 	f.leader.entries = entries
@@ -64,8 +64,8 @@
 	f.leader.offer(listChangedEvent{})
 }
 
-// edit has the holder read the list with one entry changed.
-func (f *testFleet) edit(name string, change func(*placing.WorkerEntry)) {
+// editWorkerEntry has the holder read the list with one entry changed.
+func (f *testFleet) editWorkerEntry(name string, change func(*placing.WorkerEntry)) {
 	entries := f.workers.entries()
 	entry := entries[name]
 	change(&entry)
@@ -76,9 +76,9 @@
 	f.leader.offer(listChangedEvent{})
 }
 
-// started is how many runs a worker has had in its present life.
-func (s *simWorkers) started(name string) int {
+// startCount is how many runs a worker has had in its present life.
+func (s *simWorkers) startCount(name string) int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.workers[name].starts
+	return s.workers[name].startCount
 }
--- a/batch/stalltakeover_test.go
+++ b/batch/stalltakeover_test.go
@@ -16,15 +16,15 @@
 
 // No other could write better; what waits is started once the part is back.
 func TestTermStaysWhileNoInstanceCanWriteProgress(t *testing.T) {
-	for _, away := range []time.Duration{stallTimeout, 10 * time.Second, time.Minute} {
+	for _, outage := range []time.Duration{stallTimeout, 10 * time.Second, time.Minute} {
 		withTwoInstances(t, func(*twoInstances) {}, func(h *twoInstances, is *is.I) {
 			first, other := h.leaderAndStandby(is)
 			epoch := h.instances[first].term().Epoch
 			h.setStuck(true)
 			h.submit(other, "a1", is)
-			time.Sleep(away)
+			time.Sleep(outage)
 			h.setStuck(false)
-			is.True(h.startsWithin("a1", maxCallTimeout+turnWithin))
+			is.True(h.startsWithin("a1", maxCallTimeout+maxTaskWait))
 			time.Sleep(takeoverDelay + takeoverRetryInterval + probeTimeout)
 			is.Equal(h.instances[other].term().Epoch, epoch)
 			is.Equal(h.leader(), first)
@@ -34,31 +34,31 @@
 }
 
 // The way to the progress is cut for whichever instance places.
-func TestTermGoesToAndFroSeldomWhereEachHolderCannotWriteProgress(t *testing.T) {
+func TestTermRarelyAlternatesWhenNoLeaderCanWriteProgress(t *testing.T) {
 	withTwoInstances(t, func(*twoInstances) {}, func(h *twoInstances, is *is.I) {
 		first, other := h.leaderAndStandby(is)
 		epoch := h.instances[first].term().Epoch
-		const span = 4 * takeoverBackoff
-		handedIn := 0
-		for begin := time.Now(); time.Since(begin) < span; time.Sleep(50 * time.Millisecond) {
-			if time.Since(begin) >= time.Duration(handedIn)*time.Second { // there is always something to write
-				handedIn++
-				h.submit(other, fmt.Sprintf("a%d", handedIn), is)
+		const duration = 4 * takeoverBackoff
+		submitted := 0
+		for begin := time.Now(); time.Since(begin) < duration; time.Sleep(50 * time.Millisecond) {
+			if time.Since(begin) >= time.Duration(submitted)*time.Second { // there is always something to write
+				submitted++
+				h.submit(other, fmt.Sprintf("a%d", submitted), is)
 			}
-			if at := h.leader(); at != "" {
-				h.clients[at].setStuck(true)
-				h.clients[map[string]string{"a": "b", "b": "a"}[at]].setStuck(false)
+			if leader := h.leader(); leader != "" {
+				h.clients[leader].setStuck(true)
+				h.clients[map[string]string{"a": "b", "b": "a"}[leader]].setStuck(false)
 			}
 		}
-		passed := h.instances[first].term().Epoch - epoch
-		t.Logf("passed on %d times in %s", passed, span)
-		is.True(passed >= 2)
-		is.True(passed <= 2*int64(span/takeoverBackoff)+1) // each hands it over once in that time
+		handovers := h.instances[first].term().Epoch - epoch
+		t.Logf("passed on %d times in %s", handovers, duration)
+		is.True(handovers >= 2)
+		is.True(handovers <= 2*int64(duration/takeoverBackoff)+1) // each hands it over once in that time
 	})
 }
 
 // Nor does an instance that would not place next check anything.
-func TestInstanceThatCouldNotWriteProgressRests(t *testing.T) {
+func TestInstanceThatCouldNotWriteProgressBacksOff(t *testing.T) {
 	withTwoInstances(t, func(*twoInstances) {}, func(h *twoInstances, is *is.I) {
 		first, other := h.leaderAndStandby(is)
 		i := h.instances[other]
--- a/batch/watch_test.go
+++ b/batch/standby_test.go
@@ -16,40 +16,40 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// instancesIn makes instances of some availability zones known, the first two of each with
+// newInstances makes instances of some availability zones known, the first two of each with
 // much processor.
-func instancesIn(zones, each int) map[string]jobs.Instance {
-	known := map[string]jobs.Instance{}
+func newInstances(zones, perZone int) map[string]jobs.Instance {
+	instances := map[string]jobs.Instance{}
 	for zone := range zones {
-		for number := range each {
+		for number := range perZone {
 			share := 0.192
 			if number < 2 {
 				share = 0.8
 			}
-			known[fmt.Sprintf("z%d-%d", zone, number)] = jobs.Instance{Zone: fmt.Sprintf("z%d", zone), CPUShare: share}
+			instances[fmt.Sprintf("z%d-%d", zone, number)] = jobs.Instance{Zone: fmt.Sprintf("z%d", zone), CPUShare: share}
 		}
 	}
-	return known
+	return instances
 }
 
 // However many instances there are and however many of them have little processor, a few
 // watch the holder of the term closely, never all in one zone, and the holder is none.
 func TestSomeInstancesAlwaysWatchTheHolder(t *testing.T) {
 	is := is.New(t)
-	for _, each := range []int{1, 2, 13, 33, 100} {
-		known := instancesIn(3, each)
-		for holder := range known {
-			chosen := standbys(known, holder)
-			is.Equal(len(chosen), min(maxStandbys, len(known)-1))
-			is.True(!slices.Contains(chosen, holder))
+	for _, perZone := range []int{1, 2, 13, 33, 100} {
+		instances := newInstances(3, perZone)
+		for leader := range instances {
+			selected := standbys(instances, leader)
+			is.Equal(len(selected), min(maxStandbys, len(instances)-1))
+			is.True(!slices.Contains(selected, leader))
 			zones := map[string]bool{}
-			for _, name := range chosen {
-				zones[known[name].Zone] = true
+			for _, name := range selected {
+				zones[instances[name].Zone] = true
 			}
 			is.True(len(zones) > 1)
 		}
 	}
-	is.Equal(len(standbys(instancesIn(1, 5), "")), maxStandbys) // of one zone where there is no other
+	is.Equal(len(standbys(newInstances(1, 5), "")), maxStandbys) // of one zone where there is no other
 	is.Equal(len(standbys(nil, "")), 0)
 }
 
@@ -68,32 +68,32 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newTestFleet(t, newSimWorkers(manyWorkers, time.Second), instances)
-				f.registerInstances(f.leader.instance, zoneOfKeeper)
-				dead := f.loseEveryThird()
+				f.registerInstances(f.leader.instance, zoneOfInstance)
+				lost := f.hangEveryThirdZone()
 				f.start()
 				defer f.stop()
 				begin := time.Now()
 				f.submit("a1", manyWorkers)
 				time.Sleep(2 * time.Second)
-				is.True(dead > 0)
-				is.Equal(f.startedLater(begin.Add(recoverySoon)), 0)
-				is.Equal(f.done(), manyWorkers)
-				is.Equal(f.doubles(), 0)
+				is.True(lost > 0)
+				is.Equal(f.startedAfter(begin.Add(maxRecoveryDelay)), 0)
+				is.Equal(f.doneTasks(), manyWorkers)
+				is.Equal(f.doubleRuns(), 0)
 			})
 		})
 	}
 }
 
-// recoverySoon is within which a new holder of the term has ordered what it has room for:
+// maxRecoveryDelay is within which a new holder of the term has ordered what it has room for:
 // two seconds are meant for the whole recovery, of which the silence of the former takes
 // more than one.
-const recoverySoon = 600 * time.Millisecond
+const maxRecoveryDelay = 600 * time.Millisecond
 
-// zoneOfKeeper is the availability zone of an instance, one of those that workers are in.
-func zoneOfKeeper(name string) string { return "z" + name[len(name)-1:] }
+// zoneOfInstance is the availability zone of an instance, one of those that workers are in.
+func zoneOfInstance(name string) string { return "z" + name[len(name)-1:] }
 
-// loseEveryThird takes the instances of every third zone away.
-func (f *testFleet) loseEveryThird() int {
+// hangEveryThirdZone takes the instances of every third zone away.
+func (f *testFleet) hangEveryThirdZone() int {
 	lost := 0
 	for name := range f.instances {
 		if number := int(name[len(name)-1] - '0'); number%3 == 0 {
@@ -104,10 +104,10 @@
 	return lost
 }
 
-// startedLater counts the workers whose newest run began after a moment.
-func (f *testFleet) startedLater(than time.Time) int {
+// startedAfter counts the workers whose newest run began after a moment.
+func (f *testFleet) startedAfter(at time.Time) int {
 	return f.workers.sum(func(w *simWorker) int {
-		if w.startedAt.After(than) {
+		if w.startedAt.After(at) {
 			return 1
 		}
 		return 0
@@ -128,33 +128,33 @@
 		begin := time.Now()
 		f.submit("a1", manyWorkers)
 		time.Sleep(300 * time.Millisecond)
-		is.Equal(len(f.workers.drivenBy(time.Second)), 0) // better than all by the holder
+		is.Equal(len(f.workers.dispatchedBy(time.Second)), 0) // better than all by the holder
 		for _, instance := range f.instances {
 			instance.work.lock.Lock()
 			instance.work.loaded = true
 			instance.work.lock.Unlock()
 		}
 		time.Sleep(2 * time.Second)
-		is.Equal(f.startedLater(begin.Add(300*time.Millisecond+recoverySoon)), 0)
-		is.Equal(f.done(), manyWorkers)
-		for name := range f.workers.drivenBy(2 * holdWait) {
+		is.Equal(f.startedAfter(begin.Add(300*time.Millisecond+maxRecoveryDelay)), 0)
+		is.Equal(f.doneTasks(), manyWorkers)
+		for name := range f.workers.dispatchedBy(2 * holdWait) {
 			is.True(strings.HasPrefix(name, "keeper-"))
 		}
 	})
 }
 
-// newestStore notes when each part was read whole first.
-type newestStore struct {
+// firstReadStore notes when each part was read whole first.
+type firstReadStore struct {
 	unreachableStore
-	lock sync.Mutex
-	read map[int]time.Time
+	lock      sync.Mutex
+	firstRead map[int]time.Time
 }
 
-func (s *newestStore) Newest(_ context.Context, stream Stream, part int) (Batch, error) {
+func (s *firstReadStore) Newest(_ context.Context, stream Stream, part int) (Batch, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if stream == StreamWork && s.read[part].IsZero() {
-		s.read[part] = time.Now()
+	if stream == StreamWork && s.firstRead[part].IsZero() {
+		s.firstRead[part] = time.Now()
 	}
 	return Batch{}, nil
 }
@@ -169,15 +169,15 @@
 	}{{0.8, 0}, {0.192, startupYield}} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			store := &newestStore{read: map[int]time.Time{}}
+			store := &firstReadStore{firstRead: map[int]time.Time{}}
 			instance := New(Settings{Name: "a", StoreParts: 8, CPUShare: c.share}, store, zoneDecoder{}, nil, metrics.NewRegistry(), discardLog())
 			begin := time.Now()
 			instance.Start()
 			time.Sleep(2 * startupYield)
 			instance.Stop()
-			is.Equal(store.read[statePart].Sub(begin), time.Duration(0))
+			is.Equal(store.firstRead[statePart].Sub(begin), time.Duration(0))
 			for part := 1; part <= callPartCount(8); part++ {
-				is.Equal(store.read[part].Sub(begin), c.yields)
+				is.Equal(store.firstRead[part].Sub(begin), c.yields)
 			}
 		})
 	}
--- a/batch/state_test.go
+++ b/batch/state_test.go
@@ -34,22 +34,22 @@
 	s.lock.Unlock()
 	for until := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
 		s.lock.Lock()
-		known := s.records[min(from, int64(len(s.records))):]
+		records := s.records[min(from, int64(len(s.records))):]
 		s.lock.Unlock()
-		if len(known) == 0 && time.Now().Before(until) && ctx.Err() == nil {
+		if len(records) == 0 && time.Now().Before(until) && ctx.Err() == nil {
 			continue
 		}
-		batch := Batch{Records: known, Next: from + int64(len(known))}
-		for index := range known {
+		batch := Batch{Records: records, Next: from + int64(len(records))}
+		for index := range records {
 			batch.Offsets = append(batch.Offsets, from+int64(index))
 		}
 		return batch, ctx.Err()
 	}
 }
 
-// standbyOf returns an instance that has read the log so far and knows of one
+// newLoadedInstance returns an instance that has read the log so far and knows of one
 // job that runs.
-func standbyOf(t *testing.T, store Store, id string) *Instance {
+func newLoadedInstance(t *testing.T, store Store, id string) *Instance {
 	instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), discardLog())
 	record, err := jobs.SubmissionRecord(&jobs.Submission{ID: id, Steps: []jobs.Step{{Tasks: 1}}})
 	if err != nil {
@@ -69,7 +69,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &tailStore{}
-		instance := standbyOf(t, store, "a1")
+		instance := newLoadedInstance(t, store, "a1")
 		go func() {
 			time.Sleep(10 * time.Millisecond)
 			store.add(jobs.StateRecord("other", jobs.StateRunning))
@@ -86,11 +86,11 @@
 
 // A job that goes on is answered as such after a moment, at few reads; without
 // the log nothing is waited for.
-func TestQuestionAboutAJobThatGoesOnWaitsAMoment(t *testing.T) {
+func TestStateOfARunningJobWaitsBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &tailStore{}
-		instance := standbyOf(t, store, "a1")
+		instance := newLoadedInstance(t, store, "a1")
 		begin := time.Now()
 		state, outcome := instance.State(t.Context(), "a1")
 		is.Equal(outcome.Verdict, Accepted)
@@ -113,7 +113,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &tailStore{}
-		instance := standbyOf(t, store, "a1")
+		instance := newLoadedInstance(t, store, "a1")
 		instance.config.Store(&Config{Version: 1})
 		is.True(instance.Ready())
 		instance.settings.NotServed = "workers cannot be given orders"
--- a/batch/successor_test.go
+++ b/batch/successor_test.go
@@ -43,7 +43,7 @@
 		{"it drains", func(i *Instance) { i.Drain() }, relaypb.Fate_FATE_NOT_DONE},
 	} {
 		is := is.New(t)
-		instance := standbyOf(t, &tailStore{}, "a1")
+		instance := newLoadedInstance(t, &tailStore{}, "a1")
 		example.change(instance)
 		is.Equal(instance.handleClaimRequest(t.Context(), 7), example.promise)
 		is.Equal(instance.requestedEpoch.Load() == 7, example.promise == relaypb.Fate_FATE_DONE)
@@ -53,13 +53,13 @@
 // A holder that the store turns away finds the instance that it serves.
 func TestHolderFindsASuccessorThatReachesTheStore(t *testing.T) {
 	is := is.New(t)
-	other := standbyOf(t, &tailStore{}, "a1")
+	other := newLoadedInstance(t, &tailStore{}, "a1")
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go relay.Serve(ctx, listener, other.Relayed, nil)
-	holder := standbyOf(t, unreachableStore{}, "a1")
+	holder := newLoadedInstance(t, unreachableStore{}, "a1")
 	record, err := jobs.InstanceRecord("b", jobs.Instance{Address: listener.Addr().String()})
 	is.NoErr(err)
 	holder.applyRecord(t, partOf(record.Subject(), 8), record, nil)
--- a/batch/testfleet_test.go
+++ b/batch/testfleet_test.go
@@ -16,23 +16,23 @@
 	"github.com/teaselcleat/teaselcleat/relay/relaypb"
 )
 
-// useTestClock gives a clock the time of the test.
+// useTestClock makes a clock follow the virtual time of the test.
 func useTestClock(clock *Clock) { clock.readTime = func() time.Time { return time.Now().Round(0) } }
 
-// testFleet is a holder of the term and instances that may keep workers for it.
+// testFleet is a leader and instances that may be its delegates.
 type testFleet struct {
 	t            *testing.T
 	ctx          context.Context
 	cancel       context.CancelFunc
 	workers      *simWorkers
 	leader       *leader
-	endTerm      context.CancelFunc // of holder
+	endTerm      context.CancelFunc // ends the leader's term
 	loopDone     chan struct{}
 	instances    map[string]*Instance
 	lock         sync.Mutex
-	closeStreams map[string][]func() // that cut the streams to an instance
+	closeStreams map[string][]func() // functions that cut the streams to an instance, by name
 	killed       map[string]bool
-	hanging      map[string]bool // to which calls are not answered at all
+	hanging      map[string]bool // instances to which calls block without an answer
 	sessions     sync.WaitGroup
 }
 
@@ -43,10 +43,10 @@
 	f.ctx, f.cancel = context.WithCancel(t.Context())
 	for number := range instances {
 		name := fmt.Sprintf("keeper-%d", number)
-		instance := standbyOf(t, &tailStore{}, "none")
+		instance := newLoadedInstance(t, &tailStore{}, "none")
 		instance.settings.Name = name
 		instance.bounds = newBounds(simBounds)
-		instance.workers = &simPort{fleet: workers, instance: name}
+		instance.workers = &simClient{fleet: workers, instance: name}
 		useTestClock(instance.clock)
 		f.instances[name] = instance
 	}
@@ -60,7 +60,7 @@
 	l := newTestLeader(ctx, newPartitionedStore(), epoch)
 	i := l.instance
 	i.bounds = newBounds(simBounds)
-	i.workers = &simPort{fleet: f.workers, instance: "a"}
+	i.workers = &simClient{fleet: f.workers, instance: "a"}
 	useTestClock(i.clock)
 	l.engine = placing.New(i.limits(), epoch, i.clock.WallMS)
 	l.writer.confirmedAt = i.clock.Now()
@@ -75,7 +75,7 @@
 	return l
 }
 
-// registerInstances tells the holder of the instances, each in an availability zone.
+// registerInstances registers the instances with the leader, each in an availability zone.
 func (f *testFleet) registerInstances(leader *Instance, zone func(name string) string) {
 	for name := range f.instances {
 		record, err := jobs.InstanceRecord(name, jobs.Instance{Address: name, Zone: zone(name), CPUShare: 0.4})
@@ -87,7 +87,7 @@
 	l, loopDone, endTerm := f.leader, f.loopDone, f.endTerm
 	go func() {
 		defer close(loopDone)
-		defer endTerm() // as lead does
+		defer endTerm() // as in lead
 		l.loop(l.ctx)
 	}()
 	f.leader.offer(listChangedEvent{})
@@ -100,11 +100,11 @@
 	f.sessions.Wait()
 }
 
-// dial joins the holder to an instance over two pipes, between which messages wait
-// while the instance is frozen.
+// dial connects the leader to an instance over two pipes. Messages between them wait while the
+// instance is frozen.
 func (f *testFleet) dial(ctx context.Context, address string, request *relaypb.Keep) (*relay.Stream, error) {
 	if f.hangs(address) {
-		<-ctx.Done() // nobody is there to refuse
+		<-ctx.Done() // the connection is neither accepted nor refused
 		return nil, relay.ErrNotSent
 	}
 	f.lock.Lock()
@@ -112,42 +112,44 @@
 	if f.killed[address] || f.workers.isFrozen(address) {
 		return nil, relay.ErrNotSent
 	}
-	near, nearFar := relay.Pipe()
-	farNear, far := relay.Pipe()
+	leaderEnd, toDelegate := relay.Pipe()
+	toLeader, delegateEnd := relay.Pipe()
 	closeBoth := func() {
-		nearFar.Close()
-		farNear.Close()
+		toDelegate.Close()
+		toLeader.Close()
 	}
 	f.closeStreams[address] = append(f.closeStreams[address], closeBoth)
 	f.sessions.Go(func() {
-		f.pump(address, nearFar, farNear, func() proto.Message { return &relaypb.Orders{} }, closeBoth)
+		f.pump(address, toDelegate, toLeader, func() proto.Message { return &relaypb.Orders{} }, closeBoth)
 	})
-	f.sessions.Go(func() { f.pump(address, farNear, nearFar, func() proto.Message { return &relaypb.Kept{} }, closeBoth) })
 	f.sessions.Go(func() {
-		f.instances[address].Keep(f.ctx, request, far)
-		far.Close()
+		f.pump(address, toLeader, toDelegate, func() proto.Message { return &relaypb.Kept{} }, closeBoth)
 	})
-	return near, nil
+	f.sessions.Go(func() {
+		f.instances[address].Keep(f.ctx, request, delegateEnd)
+		delegateEnd.Close()
+	})
+	return leaderEnd, nil
 }
 
-// pump carries messages one way. While nothing passes they wait, as in the buffers of
-// a connection: who sends does not notice.
-func (f *testFleet) pump(name string, from, to *relay.Stream, empty func() proto.Message, closeBoth func()) {
+// pump forwards messages in one direction. While the instance is muted they wait, as in the
+// buffers of a connection, unnoticed by the sender.
+func (f *testFleet) pump(name string, from, to *relay.Stream, newMessage func() proto.Message, closeBoth func()) {
 	defer closeBoth()
-	waiting := make(chan proto.Message, 1000)
+	buffered := make(chan proto.Message, 1000)
 	f.sessions.Go(func() {
-		defer close(waiting)
+		defer close(buffered)
 		for {
-			message := empty()
+			message := newMessage()
 			if from.Receive(message) != nil {
 				return
 			}
-			waiting <- message
+			buffered <- message
 		}
 	})
-	for message := range waiting {
+	for message := range buffered {
 		time.Sleep(time.Millisecond)
-		for f.workers.mute(name) && f.ctx.Err() == nil && !f.isKilled(name) {
+		for f.workers.isMuted(name) && f.ctx.Err() == nil && !f.isKilled(name) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if to.Send(message) != nil {
@@ -156,7 +158,7 @@
 	}
 }
 
-// hang takes an instance away with the ground that it stood on: calls to it meet nobody.
+// hang makes calls to an instance block without an answer, as after the loss of its machine.
 func (f *testFleet) hang(name string) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -175,7 +177,7 @@
 	return f.killed[name]
 }
 
-// kill ends an instance: its sessions break and no new one is accepted.
+// kill ends an instance: its sessions break and it accepts no new one.
 func (f *testFleet) kill(name string) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -186,18 +188,18 @@
 	}
 }
 
-// busiest is the instance that drives most workers.
+// busiest returns the instance that drives the most workers.
 func (f *testFleet) busiest() string {
-	best, most := "", 0
-	for name, count := range f.workers.drivenBy(3 * time.Second) {
-		if count > most {
-			best, most = name, count
+	best, highest := "", 0
+	for name, count := range f.workers.dispatchedBy(3 * time.Second) {
+		if count > highest {
+			best, highest = name, count
 		}
 	}
 	return best
 }
 
-// submit hands in a job of steps that follow each other, of so many tasks each.
+// submit submits a job of consecutive steps with the given numbers of tasks.
 func (f *testFleet) submit(id string, tasks ...int) {
 	submission := &jobs.Submission{ID: id, Queue: jobs.Queue{Name: "q", Pool: "pool", MaxAttempts: 4, Stretch: 3, TargetMS: 1000}}
 	for index, count := range tasks {
--- a/batch/workerlist_test.go
+++ b/batch/workerlist_test.go
@@ -23,7 +23,7 @@
 	l.applyWorkerList(Batch{Records: []jobs.Record{{Key: "w2", Value: []byte("?")}, {Key: "w4", Value: []byte("?")}, {Key: "", Value: []byte("?")}}})
 	is.Equal(len(l.entries), 2)
 	l.workerList = l.newWorkerListFollower()
-	l.instance.workers = &simPort{fleet: newSimWorkers(0, time.Second), instance: "a"}
+	l.instance.workers = &simClient{fleet: newSimWorkers(0, time.Second), instance: "a"}
 	listChangedEvent{}.apply(l, l.clock.Now())
 	is.Equal(len(l.dispatchers.workers), 1)
 	is.True(l.dispatchers.workers["w1"] != nil)
