--- a/batch/delegation_test.go
+++ b/batch/delegation_test.go
@@ -12,7 +12,7 @@
 	"github.com/teaselcleat/teaselcleat/relay/relaypb"
 )
 
-// Without a grant no order leaves, whatever it is.
+// Without a grant no hold and no order is sent.
 func TestNoOrderWithoutAGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -29,15 +29,15 @@
 	})
 }
 
-// The grant counts from when the holder's message was asked for, not from when it
-// came: one that was long under way grants nothing.
+// The grant counts from when the leader's message was requested, not from when it arrived: a message
+// that was in transit for long grants nothing.
 func TestGrantCountsFromTheEcho(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := NewClock()
 		useTestClock(clock)
 		d := &delegation{clock: clock, outbox: newOutbox()}
-		is.True(!d.hasGrant()) // nothing was heard yet
+		is.True(!d.hasGrant()) // nothing has been received yet
 		requestedAt := clock.Now().UnixNano()
 		time.Sleep(grantDuration / 2)
 		d.renewGrant(&relaypb.Orders{Clock: 1, Echo: requestedAt})
@@ -50,8 +50,8 @@
 	})
 }
 
-// Of a worker without runs one report is passed on after an order to it was answered,
-// asked for late enough to tell what became of it; then no more until there is news.
+// A report without runs is forwarded once after an order to its worker was answered, if it was
+// requested late enough to reflect the order; then none until there is news.
 func TestReportsThatSayNothingNewAreNotPassedOn(t *testing.T) {
 	is := is.New(t)
 	box := newOutbox()
@@ -65,20 +65,20 @@
 	is.Equal(put(0, 0), 1)
 	is.Equal(put(2000, 0), 0)
 	box.recordOrder("w", at(3000))
-	is.Equal(put(2900, 0), 1) // sent before the order: it tells nothing of it
+	is.Equal(put(2900, 0), 1) // requested before the order, so it does not reflect it
 	is.Equal(put(3100, 0), 1)
-	is.Equal(put(4100, 0), 1) // the holder knows by now that the order was answered
+	is.Equal(put(4100, 0), 1) // after this one the leader knows that the order was answered
 	is.Equal(put(6000, 0), 0)
 	is.Equal(put(8000, 1), 1)
 	is.Equal(put(10000, 1), 1)
-	is.Equal(put(12000, 0), 1) // what ran is gone
+	is.Equal(put(12000, 0), 1) // the run is gone
 	is.Equal(put(14000, 0), 0)
 	box.put(holdFailure{worker: "w"})
 	is.Equal(len(box.take()), 1)
-	is.Equal(put(16000, 0), 1) // it answers again
+	is.Equal(put(16000, 0), 1) // the worker answers again
 }
 
-// Of each worker the newest word alone waits to be told, so the box is bounded.
+// Only the newest report of each worker is queued, so the outbox is bounded.
 func TestOnlyTheNewestWordOfAWorkerWaits(t *testing.T) {
 	is := is.New(t)
 	box := newOutbox()
@@ -97,12 +97,12 @@
 	is.Equal(len(box.take()), maxReportsPerMessage)
 }
 
-// Times in reports lead to no conclusion too early: a hold counts as sent no later
-// than it was, and a lease as lapsed no earlier.
+// Times in reports never lead to a conclusion too early: a hold counts as sent no later than it was,
+// and a lease as lapsed no earlier.
 func TestTimesOfReportsAreOnTheSafeSide(t *testing.T) {
 	is := is.New(t)
 	transit := 30 * time.Millisecond // of a message
-	clockLead := time.Hour           // of the keeping instance's clock
+	clockLead := time.Hour           // of the delegate's clock
 	d := &delegation{clock: NewClock(), outbox: newOutbox()}
 	now := testNow.Add(clockLead + transit)
 	d.clock.readTime = func() time.Time { return now }
@@ -111,7 +111,7 @@
 	d.outbox.put(holdReply{worker: "w", sent: sent, lapseAt: lapse, report: HoldReport{Running: make([]placing.RunningTask, 1)}})
 	now = now.Add(2 * time.Second)
 	message := d.nextMessage(false)
-	receivedAt := now.Add(transit - clockLead) // on the holder's clock
+	receivedAt := now.Add(transit - clockLead) // on the leader's clock
 	report := reportFromPB(message.Reports[0], receivedAt)
 	is.True(!report.sent.After(sent.Add(-clockLead)))
 	is.True(report.sent.After(sent.Add(-clockLead - 2*transit)))
--- a/batch/order_test.go
+++ b/batch/order_test.go
@@ -17,12 +17,12 @@
 	"github.com/teaselcleat/teaselcleat/ring"
 )
 
-// scriptedWorkers answers starts and stops as told, one after the other. A nil
-// function leaves the call without an answer.
+// scriptedWorkers answers calls with the given functions, one after the other. A nil function leaves
+// the call without an answer.
 type scriptedWorkers struct {
 	answers []func() error
 	calls   int
-	acks    []int64 // that holds carried
+	acks    []int64 // received with holds
 }
 
 func (w *scriptedWorkers) answer(ctx context.Context) error {
@@ -77,8 +77,8 @@
 	return newLink(env, placing.WorkerEntry{ID: "w"}), workers, answers
 }
 
-// A start without an answer is sent again: an order may be lost or come late,
-// and a gang whose other members wait would have to begin anew.
+// An unanswered start is retried: an order may be lost or late, and a gang whose other members wait
+// would have to start over.
 func TestStartIsSentAgainUntilItIsAnswered(t *testing.T) {
 	refused := refusedFor(RefusedRoom)
 	for _, c := range []struct {
@@ -91,8 +91,8 @@
 		{"second is answered", []func() error{nil, accept}, placing.StartAccepted, 2},
 		{"none is answered", []func() error{nil}, placing.StartUnknown, maxOrderAttempts},
 		{"refused at once", []func() error{refused}, placing.StartNoRoom, 1},
-		// The first may yet be carried out, so the run is not known to be off.
-		{"refused after one that stays open", []func() error{nil, refused}, placing.StartUnknown, 2},
+		// The first attempt may still be carried out, so the run is not known to be refused.
+		{"refused after an unanswered one", []func() error{nil, refused}, placing.StartUnknown, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -108,8 +108,8 @@
 	}
 }
 
-// A hold that was sent before a stop was taken does not tell whether the run is
-// over, and may have been lost: it is given up for a new one.
+// A hold sent before a stop was accepted does not show whether the run is over, and may have been
+// lost. It is cancelled in favor of a new one.
 func TestOlderHoldIsCancelledForANewReport(t *testing.T) {
 	is := is.New(t)
 	link, _, _ := scriptedLink(accept)
@@ -122,13 +122,13 @@
 	is.Equal(context.Cause(ctx), errHoldSuperseded)
 }
 
-// An instance that none of the others answers counts as cut off, until one does
-// or some time has passed.
+// An instance that gets no answer from any other counts as isolated, until one answers or some time
+// has passed.
 func TestInstanceThatNobodyAnswersIsAlone(t *testing.T) {
 	is := is.New(t)
 	p := newPeers(NewClock())
 	p.recordCall(false)
-	is.True(!p.isolated()) // one may be down
+	is.True(!p.isolated()) // one of them may be down
 	p.recordCall(false)
 	is.True(p.isolated())
 	p.recordCall(true)
@@ -136,11 +136,11 @@
 	p.recordCall(false)
 	p.recordCall(false)
 	p.failedAt = p.clock.Now().Add(-isolationDuration)
-	is.True(!p.isolated()) // they are asked again
+	is.True(!p.isolated()) // calls are allowed again
 }
 
-// Where this instance is so slow that answers take a second, orders are given
-// longer, as repeats would make it slower still.
+// On an instance so slow that answers take a second, orders get a longer timeout, as retries would
+// make it slower still.
 func TestOrdersArePatientWhereAnswersAreSlow(t *testing.T) {
 	is := is.New(t)
 	timeout := adaptiveTimeout{minimum: minOrderTimeout}
@@ -153,9 +153,9 @@
 	is.True(timeout.currentIgnoringLosses() <= maxCallTimeout)
 }
 
-// On a slow instance starts wait for a slot. One whose run is stopped meanwhile
-// is never sent: its job may have been cancelled seconds ago. If a try is open
-// already, the run may yet begin, and the stop settles it.
+// On a slow instance starts wait for a slot. A start whose run is stopped meanwhile is never sent, as
+// its job may have been cancelled seconds ago. If an attempt is already in flight, the run may still
+// begin, and the stop ends it.
 func TestStartThatIsNotWantedAnyMoreIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -165,7 +165,7 @@
 		links := newLinkSet(ctx, link.env, &sync.WaitGroup{})
 		links.links["w"] = link
 		for range maxConcurrentOrders {
-			link.env.orderSlots <- struct{}{} // all are in use
+			link.env.orderSlots <- struct{}{} // all slots are in use
 		}
 		task := jobs.TaskKey{Job: "a1"}
 		links.start(placing.Start{Task: task, Worker: "w", Run: 1}, false)
--- a/batch/outage_test.go
+++ b/batch/outage_test.go
@@ -14,8 +14,7 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// failingStore answers until it is away; then reads that wait are cut, and what is
-// sent stays without an answer.
+// failingStore answers until it is down. Then waiting reads fail, and appends stay unanswered.
 type failingStore struct {
 	Store
 	away    chan struct{}
@@ -54,9 +53,9 @@
 	return nil
 }
 
-// When the store goes away for all, an instance learns of it from whichever read is
-// cut first. What is handed in after that was not sent anywhere: it certainly does
-// not run, and its caller hears when to come back in place of an open answer.
+// When the store goes down for all instances, an instance notices by the first read that fails. A job
+// submitted after that is not sent to the store: it certainly does not run, and its caller is
+// told when to retry instead of getting an undecided answer.
 func TestHandInRightAfterTheStoreWentAwayIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -73,7 +72,7 @@
 		for _, committer := range instance.committers {
 			go committer.run(ctx)
 		}
-		// Its own parts are in a pause after records; only the configuration is waited for.
+		// The parts are in a pause after records; only the read of the configuration is waiting.
 		go instance.operator.run(ctx)
 		for number := range 10 {
 			time.Sleep(10 * time.Millisecond)
@@ -82,7 +81,7 @@
 		}
 		sent, reads := store.appends.Load(), store.reads.Load()
 		is.Equal(sent, int64(10))
-		is.True(reads <= 2) // none for the hand-ins while all is well
+		is.True(reads <= 2) // submissions cause no reads while the store is up
 		close(store.away)
 		time.Sleep(5 * time.Millisecond)
 		for number := range 10 {
@@ -94,12 +93,12 @@
 	})
 }
 
-// lateStore answers no append and carries each out after a time of its own.
+// lateStore answers no append and carries each one out after a delay.
 type lateStore struct {
 	Store
 	lock    sync.Mutex
-	delays  []time.Duration // of each append, the last for all others
-	never   string          // key of a record that is not carried out in time
+	delays  []time.Duration // by append; the last one holds for all others
+	never   string          // key of a record that is not written in time
 	sent    int
 	written map[string]bool
 }
@@ -134,9 +133,9 @@
 	return true, nil
 }
 
-// A store that loses answers and carries appends out seconds late takes one of
-// several in time: the caller waits for it and is told the truth, while others are
-// not held up. Once the caller has left, nothing more is sent.
+// A store that loses answers and carries appends out seconds late completes one of several in time:
+// the caller waits for it and gets the true result, while other callers are not delayed. Once
+// the caller has left, nothing more is sent.
 func TestLateAppendIsFoundOutWhileItsCallerWaits(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -175,7 +174,7 @@
 	}
 }
 
-// A group that is not answered does not hold up the next for long.
+// A group without an answer delays the next one only briefly.
 func TestGroupsOvertakeOneWithoutAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -195,7 +194,7 @@
 	})
 }
 
-// slowStore works on one append at a time, each of which takes long, as reads do.
+// slowStore carries out one append at a time, each of which is slow, as are its reads.
 type slowStore struct {
 	Store
 	busy    chan struct{}
@@ -220,8 +219,8 @@
 	return false, nil
 }
 
-// Behind six appends of other instances one takes two seconds in a slow store. It
-// is waited for, and sent once: repeats would keep the store full.
+// Behind six appends of other instances an append takes two seconds in a slow store. It is sent once
+// and waited for: retries would keep the store's queue full.
 func TestSlowStoreIsNotSentRepeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -247,8 +246,8 @@
 	})
 }
 
-// Groups whose fate is open are bounded: beyond that a record is refused at once,
-// as certainly not sent.
+// The number of unconfirmed groups is bounded: beyond it a record is refused at once as certainly
+// not sent.
 func TestOpenGroupsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/batch/restart_test.go
+++ b/batch/restart_test.go
@@ -12,25 +12,16 @@
 )
 
 const (
-	// restartPause is how long a worker is away between two lives.
+	// restartPause is how long a worker is away between two incarnations.
 	restartPause = 500 * time.Millisecond
-	// maxTaskWait is how long tasks may wait, with room free, once their turn has come:
-	// the users' own bound.
+	// maxTaskWait is how long tasks may wait while capacity is free; it is a requirement of the users.
 	maxTaskWait = 3 * time.Second
 )
 
-// The story: workers lost power and started again half a second later under the IDs that
-// they had. From then on their first tasks were run a second and a third time, some
-// seconds after each had ended as done, until a run happened to end elsewhere.
-//
-// The cause: a worker numbers its ends from one in each life, and what was remembered of
-// them (the highest one seen, the one up to which it may forget) was remembered by its ID.
-// A next life's first ends counted as seen and were acknowledged with the former's number,
-// unread; their runs were then missing and counted as lost.
-//
-// The evidence: of the runs that were lost after the workers were back, all were on workers
-// that had started again, each within one hold of its end; and here the number of tasks run
-// again is that of the ends whose numbers the former life had reached.
+// Guards against tasks that run two or three times after their workers restarted half a second later
+// under the same IDs. A worker numbers its ends from one in each incarnation. When the leader
+// remembered the highest end seen and acknowledged by worker ID, the first ends of the next
+// incarnation counted as seen and were acknowledged unread, and their runs counted as lost.
 func TestRestartedWorkerRunsNothingTwice(t *testing.T) {
 	withAndWithoutDelegates(t, func(f *testFleet, is *is.I, workers int) {
 		f.submit("a1", 3*workers)
@@ -47,16 +38,16 @@
 	})
 }
 
-// withAndWithoutDelegates runs a test with few workers, which the holder of the term holds, and with
-// many, which others hold for it. Tasks take a second.
+// withAndWithoutDelegates runs a test with few workers, which the leader drives itself, and with many,
+// which delegates drive. Tasks take a second.
 func withAndWithoutDelegates(t *testing.T, test func(f *testFleet, is *is.I, workers int)) {
 	for _, c := range []struct {
 		name      string
 		workers   int
 		instances int
 	}{
-		{"held by the holder of the term", 8, 0},
-		{"held for it by others", manyWorkers, 8},
+		{"driven by the leader", 8, 0},
+		{"driven by delegates", manyWorkers, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			inFleet(t, c.workers, c.instances, time.Second, func(f *testFleet, is *is.I) { test(f, is, c.workers) })
@@ -64,17 +55,10 @@
 	}
 }
 
-// The story: workers had started again under the IDs that they had. At the end of the
-// day the tasks of a step had all ended as done, most of the room was free, and nothing of
-// the next step had been started.
-//
-// The cause is the same as above, seen from the step that waits: the ends were acknowledged
-// unread, so the step before stayed open and its tasks ran again, on and on while they met
-// workers whose numbers were below those of their former lives.
-//
-// The evidence: nothing else was changed when this test came to pass; on the day 50 of 73
-// runs that were over in the last seven seconds counted as lost, though no worker had been
-// lost for 23 s, and the tasks of the step that stayed open were among them.
+// Guards against a step that never starts after workers restarted under the same IDs. Because ends of
+// the step before were acknowledged unread, that step stayed open and its tasks ran again and again.
+// When this happened, 50 of 73 runs that were over in the last seven seconds counted as lost,
+// though no worker had been lost for 23 s.
 func TestStepIsStartedInTimeOnWorkersThatStartedAgain(t *testing.T) {
 	inFleet(t, 8, 0, time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", 8*8)
@@ -93,7 +77,7 @@
 }
 
 // stepAcknowledged reports whether all tasks of a step have ended as done and these ends were
-// taken note of.
+// acknowledged.
 func (f *testFleet) stepAcknowledged(id string, step, tasks int) bool {
 	f.workers.lock.Lock()
 	defer f.workers.lock.Unlock()
@@ -105,7 +89,7 @@
 	return true
 }
 
-// startedTasks is how many tasks of a step were ever started.
+// startedTasks returns how many tasks of a step were ever started.
 func (f *testFleet) startedTasks(id string, step, tasks int) int {
 	f.workers.lock.Lock()
 	defer f.workers.lock.Unlock()
@@ -118,8 +102,8 @@
 	return count
 }
 
-// However the list of workers lags behind, and however often they start again between two
-// looks at it: nothing runs twice, and all is done once they stay.
+// Nothing runs twice however stale the worker list is and however often workers restart between
+// two reads of it, and everything is done once they stay up.
 func TestStaleWorkerListCausesNoDoubleRuns(t *testing.T) {
 	withAndWithoutDelegates(t, func(f *testFleet, is *is.I, workers int) {
 		f.submit("a1", 2*workers)
@@ -127,12 +111,12 @@
 		f.workers.restartAll(restartPause)
 		time.Sleep(3 * restartPause)
 		f.submit("a2", workers)
-		f.workers.restartAll(restartPause) // the list still shows the first lives
+		f.workers.restartAll(restartPause) // the list still shows the first incarnations
 		time.Sleep(3 * restartPause)
 		f.refreshWorkerList()
 		time.Sleep(4 * time.Second)
 		f.workers.restartAll(restartPause / 2)
-		f.refreshWorkerList() // it shows lives that are over
+		f.refreshWorkerList() // the list shows incarnations that are gone
 		time.Sleep(restartPause)
 		f.refreshWorkerList()
 		time.Sleep(16 * time.Second)
@@ -142,8 +126,8 @@
 	})
 }
 
-// An entry that says of no life, on workers that do, was made by another writer: it names no
-// worker to use, and what runs there goes on.
+// An entry without an incarnation was made by another writer if the other workers have one. It is
+// not used, and what runs on that worker goes on.
 func TestEntryWithoutIncarnationIsNotUsed(t *testing.T) {
 	inFleet(t, 2, 0, 3*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", 2)
@@ -155,12 +139,12 @@
 		is.Equal(f.doubleRuns(), 0)
 		is.Equal(f.doneTasks(), 4)
 		is.Equal(f.decisionCount("job_ended"), int64(2))
-		is.Equal(f.workers.startCount("w0000"), 1) // what it had before
+		is.Equal(f.workers.startCount("w0000"), 1) // the run it had before
 	})
 }
 
-// A worker is told once which ends it may forget, and not while the life that takes the
-// order may be a later one, whose own ends would be forgotten unread.
+// A worker is told once which ends it may forget, and not while a later incarnation may receive the
+// order, which would forget ends of its own that nobody has read.
 func TestAcknowledgementGoesToItsIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -174,10 +158,10 @@
 		is.Equal(hold(), int64(0))
 		link.acknowledge(5)
 		is.Equal(hold(), int64(5))
-		is.Equal(hold(), int64(0)) // it was taken
+		is.Equal(hold(), int64(0)) // it was received
 		link.acknowledge(6)
 		time.Sleep(2 * maxAnswerAge)
-		is.Equal(hold(), int64(0)) // who answers now may be another
+		is.Equal(hold(), int64(0)) // another incarnation may answer now
 		is.Equal(hold(), int64(6))
 		link.acknowledge(7)
 		link.handleHoldError(t.Context(), errSimDown)
@@ -186,17 +170,17 @@
 	})
 }
 
-// A later life of a worker may take a start that was meant for the former, and grants it the
-// longest lease from then on, as the former's clock says nothing to it. So nothing there has
-// lapsed before such a lease that began with the last try.
+// A later incarnation of a worker may accept a start meant for the former one. It grants the longest
+// lease from then on, as the former's clock means nothing to it. So nothing there lapses before
+// such a lease that began with the last attempt.
 func TestUnansweredStartDelaysTheLapse(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		bornMS int64
 		held   bool
 	}{
-		{"lives are told apart", 7, true},
-		{"each has a name of its own", 0, false},
+		{"workers report incarnations", 7, true},
+		{"each incarnation has an ID of its own", 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/batch/shards_test.go
+++ b/batch/shards_test.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// manyWorkers are shared out, fewWorkers are not.
+	// manyWorkers are assigned to delegates, fewWorkers are not.
 	manyWorkers = 600
 	fewWorkers  = 300
-	// settleTime is when the links stand after the start of a holder.
+	// settleTime is how long the links take to stabilize after the start of a leader.
 	settleTime = 3 * time.Second
 )
 
-// inFleet runs a test in virtual time on a holder, instances and workers.
+// inFleet runs a test in virtual time with a leader, instances and workers.
 func inFleet(t *testing.T, workers, instances int, taskTime time.Duration, test func(f *testFleet, is *is.I)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, newSimWorkers(workers, taskTime), instances)
@@ -37,7 +37,7 @@
 	return f.workers.sum(func(w *simWorker) int { return w.doubleRuns })
 }
 
-// doneTasks is how many tasks have ended as done.
+// doneTasks returns how many tasks have ended as done.
 func (f *testFleet) doneTasks() int {
 	f.workers.lock.Lock()
 	defer f.workers.lock.Unlock()
@@ -48,8 +48,8 @@
 	return f.workers.sum(func(w *simWorker) int { return w.lapsedRuns })
 }
 
-// The holder of many workers drives none itself, each is driven by one instance,
-// and none has more than its share.
+// The leader of many workers drives none itself, each worker has one delegate, and no delegate has
+// more than its shard.
 func TestManyWorkersAreKeptByOthers(t *testing.T) {
 	inFleet(t, manyWorkers, 8, time.Second, func(f *testFleet, is *is.I) {
 		driven := f.workers.dispatchedBy(2 * holdWait)
@@ -60,7 +60,7 @@
 			is.True(count < manyWorkers/3)
 		}
 		is.Equal(total, manyWorkers)
-		is.Equal(f.workers.sum(func(w *simWorker) int { return len(w.callers) }), manyWorkers) // nobody else has called one
+		is.Equal(f.workers.sum(func(w *simWorker) int { return len(w.callers) }), manyWorkers) // no other instance has called one
 		f.submit("a1", 40)
 		time.Sleep(3 * time.Second)
 		is.Equal(f.doneTasks(), 40)
@@ -70,7 +70,7 @@
 	})
 }
 
-// What a few workers cost is what it cost before: no session, no other instance.
+// With few workers there are no sessions and no delegates.
 func TestFewWorkersAreKeptByTheHolder(t *testing.T) {
 	inFleet(t, fewWorkers, 8, time.Second, func(f *testFleet, is *is.I) {
 		is.Equal(f.workers.dispatchedBy(2 * holdWait)["a"], fewWorkers)
@@ -78,15 +78,15 @@
 	})
 }
 
-// Without another instance in reach the holder drives all, as it can.
+// Without another instance in reach the leader drives all workers.
 func TestLeaderWithoutDelegatesDispatchesToAll(t *testing.T) {
 	inFleet(t, manyWorkers, 0, time.Second, func(f *testFleet, is *is.I) {
 		is.Equal(f.workers.dispatchedBy(2 * holdWait)["a"], manyWorkers)
 	})
 }
 
-// The workers of an instance that is lost are driven by others before any lease
-// lapses; what runs there goes on, and what was ordered through it runs once.
+// The workers of a lost delegate get another dispatcher before any lease lapses. Their runs go on, and
+// each run ordered through the lost delegate takes place once.
 func TestLostKeeperLosesNoRun(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -107,7 +107,7 @@
 				lost := f.busiest()
 				f.workers.setSlow(lost, 100*time.Millisecond)
 				f.submit("a1", 400)
-				time.Sleep(90 * time.Millisecond) // its starts are under way, others are answered
+				time.Sleep(90 * time.Millisecond) // its starts are in flight, others are answered
 				c.lose(f, lost)
 				time.Sleep(4 * time.Second)
 				f.submit("a2", 100)
@@ -121,12 +121,12 @@
 	}
 }
 
-// An instance that the holder cannot be heard of goes on for its grant and no longer,
-// though it reaches its workers. What runs on one that only it reaches is not begun
-// elsewhere before the last lease that it may have renewed has lapsed.
+// A delegate that no longer hears the leader goes on for its grant and no longer, though it reaches its
+// workers. A run on a worker that only this delegate reaches is not started elsewhere before the last
+// lease that it may have renewed has lapsed.
 func TestSilentHolderEndsTheGrant(t *testing.T) {
 	inFleet(t, manyWorkers, 8, 12*time.Second, func(f *testFleet, is *is.I) {
-		f.submit("a1", manyWorkers/2) // there is room to begin elsewhere
+		f.submit("a1", manyWorkers/2) // there is capacity to start elsewhere
 		time.Sleep(time.Second)
 		silent := f.busiest()
 		for id := range f.workers.workersOf(silent) {
@@ -144,7 +144,7 @@
 	})
 }
 
-// A worker to which only the way from its keeper is cut is driven by another.
+// A worker that only its delegate cannot reach gets another dispatcher.
 func TestWorkerThatItsKeeperCannotReachIsDrivenByAnother(t *testing.T) {
 	inFleet(t, manyWorkers, 8, 9*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", manyWorkers)
@@ -161,8 +161,8 @@
 	})
 }
 
-// What ran on a worker that nobody reaches runs again elsewhere once its lease has
-// lapsed for certain, however often the worker is given to another instance.
+// The run on an unreachable worker is started again elsewhere once its lease has lapsed for certain,
+// however often the worker is assigned to another instance.
 func TestUnreachableWorkerIsGivenUpInTime(t *testing.T) {
 	inFleet(t, manyWorkers, 8, 5*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", 1)
@@ -174,8 +174,8 @@
 	})
 }
 
-// An instance that is to stop gives its workers to others first, and nobody else
-// calls a worker before.
+// An instance that is about to stop releases its workers first, and no other instance calls a worker
+// before that.
 func TestDrainingKeeperHandsItsWorkersOver(t *testing.T) {
 	inFleet(t, manyWorkers, 8, 8*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", 400)
@@ -196,8 +196,7 @@
 	})
 }
 
-// All instances that keep workers are lost at once: the holder takes over what it
-// can, and nothing that runs is lost.
+// After the loss of all delegates at once the leader drives the workers itself, and no run is lost.
 func TestAllKeepersLostAtOnce(t *testing.T) {
 	inFleet(t, manyWorkers, 6, 8*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", 300)
@@ -213,8 +212,8 @@
 	})
 }
 
-// The next holder's sessions end those of the former one, which steps down on the
-// word of any instance.
+// The sessions of the next leader end those of the former one, which steps down once any instance
+// reports the later term.
 func TestLaterTermEndsTheSessionsOfTheFormer(t *testing.T) {
 	inFleet(t, manyWorkers, 8, 8*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", 200)
@@ -227,7 +226,7 @@
 		select {
 		case <-formerDone:
 		case <-time.After(3 * time.Second):
-			t.Error("the former holder goes on")
+			t.Error("the former leader goes on")
 		}
 		is.True(former.termLost)
 		former.wg.Wait()
@@ -240,7 +239,7 @@
 	})
 }
 
-// An instance of a later term, or one that is about to stop, keeps nothing.
+// An instance that has seen a later term, or is about to stop, refuses a delegation.
 func TestKeepingIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -260,8 +259,8 @@
 	})
 }
 
-// During a rolling restart an instance of a version that does not tell a worker's lives
-// apart neither keeps workers for this one nor has its own kept here.
+// During a rolling restart, no workers are delegated to or from an instance of a version that does not
+// distinguish incarnations of workers.
 func TestVersionsWithoutIncarnationsDelegateNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -285,7 +284,7 @@
 	})
 }
 
-// An instance that takes no orders is not waited for.
+// The leader does not wait for a delegate that receives no orders.
 func TestSessionEndsWhenItsQueueIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -297,7 +296,7 @@
 		go s.run()
 		go func() { _ = far.Send(&relaypb.Kept{Clock: 1, Lives: true}) }()
 		<-events // opened
-		<-events // its first word
+		<-events // its first message
 		var readers sync.WaitGroup
 		readers.Go(func() {
 			for far.Receive(&relaypb.Orders{}) == nil {
@@ -312,12 +311,12 @@
 		ended, ok := (<-events).(sessionEndedEvent)
 		is.True(ok)
 		is.True(ended.session == s)
-		is.True(time.Since(begin) < heartbeatInterval) // not for its silence
+		is.True(time.Since(begin) < heartbeatInterval) // the session did not end because of silence
 	})
 }
 
-// The word of an instance that does not drive a worker counts for nothing: it may
-// show runs that have ended since.
+// Reports of an instance that is not the dispatcher of a worker are ignored: they may show runs that
+// have ended since.
 func TestWordOfAFormerKeeperIsNotTaken(t *testing.T) {
 	inFleet(t, manyWorkers, 8, time.Second, func(f *testFleet, is *is.I) {
 		d := f.leader.dispatchers
@@ -327,14 +326,14 @@
 		is.True(!d.dispatchesTo(ownInstance, worker))
 		is.True(!d.dispatchesTo("keeper-of-old", worker))
 		d.workers[worker].state = releasing
-		is.True(d.dispatchesTo(delegate, worker)) // until its last word
+		is.True(d.dispatchesTo(delegate, worker)) // until it reports the release
 		d.workers[worker].state = unassigned
 		is.True(!d.dispatchesTo(delegate, worker))
 		d.workers[worker].state = assigned
 	})
 }
 
-// Where the division changes, log lines name the instance, its share and why.
+// The status shows whether workers are delegated, and how many each delegate drives.
 func TestStatusShowsDelegates(t *testing.T) {
 	inFleet(t, manyWorkers, 8, time.Second, func(f *testFleet, is *is.I) {
 		status := f.leader.instance.Status()
--- a/batch/simrestart_test.go
+++ b/batch/simrestart_test.go
@@ -12,11 +12,11 @@
 // simLease is the longest lease that a worker grants.
 const simLease = 6 * time.Second
 
-// errSimDown says that nothing answers at a worker's address.
+// errSimDown is returned while nothing listens at a worker's address.
 var errSimDown = eris.New("connection refused")
 
-// startIncarnation starts a life: it holds and knows nothing of the one before, and its counts and
-// its clock start anew.
+// startIncarnation starts a new incarnation without state of the one before. Its counts and its clock
+// start anew.
 func (w *simWorker) startIncarnation() {
 	now := time.Now()
 	w.down = false
@@ -31,8 +31,8 @@
 	w.startCount = 0
 }
 
-// restart ends a worker's life with all that it holds; the next one, under the same ID,
-// begins after some time.
+// restart ends the incarnation of a worker with all its state. The next one, under the same ID,
+// starts after the given time.
 func (s *simWorkers) restart(id string, away time.Duration) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// refreshWorkerList has the holder read the list of workers as it is now.
+// refreshWorkerList makes the leader read the current worker list.
 func (f *testFleet) refreshWorkerList() {
 	entries := f.workers.entries()
 	f.leader.workerList.lock.Lock()
@@ -64,7 +64,7 @@
 	f.leader.offer(listChangedEvent{})
 }
 
-// editWorkerEntry has the holder read the list with one entry changed.
+// editWorkerEntry makes the leader read the worker list with one entry changed.
 func (f *testFleet) editWorkerEntry(name string, change func(*placing.WorkerEntry)) {
 	entries := f.workers.entries()
 	entry := entries[name]
@@ -76,7 +76,7 @@
 	f.leader.offer(listChangedEvent{})
 }
 
-// startCount is how many runs a worker has had in its present life.
+// startCount returns how many runs a worker has had in its present incarnation.
 func (s *simWorkers) startCount(name string) int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/batch/simworkers_test.go
+++ b/batch/simworkers_test.go
@@ -12,40 +12,40 @@
 	"github.com/teaselcleat/teaselcleat/placing"
 )
 
-// simWorker is a worker in memory: runs end as done after a time, unless their
-// lease lapses before.
+// simWorker is a worker in memory. Its runs end as done after a fixed time, unless their lease lapses
+// before.
 type simWorker struct {
-	bornMS     int64     // of its present life
-	clockStart time.Time // where its clock begins
-	down       bool      // between two lives
-	startCount int       // of runs in this life
+	bornMS     int64     // of the present incarnation
+	clockStart time.Time // zero of its clock
+	down       bool      // between two incarnations
+	startCount int       // runs in this incarnation
 	startedAt  time.Time // when the newest run began
 	fence      int64
 	until      time.Time
 	runs       map[startKey]time.Time // when each began
-	highest    map[jobs.TaskKey]int   // run stopped or ended
+	highest    map[jobs.TaskKey]int   // highest run stopped or ended
 	ends       []placing.EndedTask
 	lastEnd    int64
-	doubleRuns int // starts of a task that ran, or of which an end as done was taken note of then or later
+	doubleRuns int // starts of a task that was running, or whose end as done was acknowledged then or later
 	lapsedRuns int
 	lastCaller string          // instance that called last
-	holds      int             // holds
+	holds      int             // number of holds
 	lastHoldAt time.Time       // of the newest hold
 	callers    map[string]bool // instances that ever called
 }
 
-// simWorkers are the workers of a test, with what keeps instances from them.
+// simWorkers holds the workers of a test, and the faults between them and the instances.
 type simWorkers struct {
 	lock         sync.Mutex
 	taskTime     time.Duration
 	workers      map[string]*simWorker
 	cut          map[string]bool // "instance worker" or "instance *" or "* worker"
 	frozen       map[string]bool // instances that do nothing
-	silent       map[string]bool // instances whose sessions carry nothing, though they go on
+	silent       map[string]bool // instances that go on, but whose sessions carry nothing
 	slow         map[string]time.Duration
 	done         map[jobs.TaskKey]int
 	acknowledged map[jobs.TaskKey]bool // an end as done was acknowledged
-	newestRun    map[jobs.TaskKey]int  // highest run started anywhere
+	newestRun    map[jobs.TaskKey]int  // highest run started on any worker
 }
 
 func newSimWorkers(count int, taskTime time.Duration) *simWorkers {
@@ -59,7 +59,7 @@
 	return s
 }
 
-// zoneOfWorker is the availability zone of a worker, one of ten.
+// zoneOfWorker returns the availability zone of a worker, one of ten.
 func zoneOfWorker(id string) string { return "z" + id[4:] }
 
 func (s *simWorkers) entries() map[string]placing.WorkerEntry {
@@ -73,7 +73,7 @@
 	return list
 }
 
-// setCut cuts or mends the way between an instance and a worker; "*" stands for all.
+// setCut cuts or restores the connection between an instance and a worker; "*" stands for all.
 func (s *simWorkers) setCut(instance, worker string, cut bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -86,21 +86,21 @@
 	s.frozen[instance] = frozen
 }
 
-// setSilent holds up what an instance and the holder say to each other.
+// setSilent blocks the messages between an instance and the leader.
 func (s *simWorkers) setSilent(instance string, silent bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.silent[instance] = silent
 }
 
-// setSlow makes the way from an instance to the workers take longer.
+// setSlow adds latency to the calls of an instance to workers.
 func (s *simWorkers) setSlow(instance string, way time.Duration) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.slow[instance] = way
 }
 
-// isMuted reports whether nothing passes between the holder and an instance.
+// isMuted reports whether no messages pass between the leader and an instance.
 func (s *simWorkers) isMuted(instance string) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -113,8 +113,8 @@
 	return s.frozen[instance]
 }
 
-// dispatchedBy counts the workers by the instance that held them last, of those that
-// were held within a time.
+// dispatchedBy counts workers by the instance that sent the newest hold, if that was within the given
+// time.
 func (s *simWorkers) dispatchedBy(within time.Duration) map[string]int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -127,7 +127,7 @@
 	return count
 }
 
-// workersOf are the workers that an instance held last.
+// workersOf returns the workers whose newest hold came from an instance.
 func (s *simWorkers) workersOf(instance string) map[string]bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -151,7 +151,7 @@
 	return total
 }
 
-// busyWorker is a worker on which something runs.
+// busyWorker returns a worker on which something runs.
 func (s *simWorkers) busyWorker() string {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -163,7 +163,7 @@
 	return ""
 }
 
-// advance brings a worker up to now.
+// advance updates a worker to the current time.
 func (w *simWorker) advance(s *simWorkers) {
 	now := time.Now()
 	for key, began := range w.runs {
@@ -186,7 +186,7 @@
 	w.ends = append(w.ends, placing.EndedTask{Number: w.lastEnd, Task: key.task, Run: key.run, How: how})
 }
 
-// acknowledgeEnd takes that an end was acknowledged.
+// acknowledgeEnd records that an end was acknowledged.
 func (w *simWorker) acknowledgeEnd(s *simWorkers, end placing.EndedTask) {
 	if end.How != placing.EndDone {
 		return
@@ -197,14 +197,14 @@
 	}
 }
 
-// simClient is how one instance calls the workers.
+// simClient is the connection of one instance to the workers.
 type simClient struct {
 	fleet    *simWorkers
 	instance string
 }
 
-// call waits until the call arrives, and returns the worker with the lock held;
-// nil if it does not arrive.
+// call waits until a call arrives, and returns the worker with the lock held, or nil if the call
+// does not arrive.
 func (p *simClient) call(ctx context.Context, worker placing.WorkerEntry, epoch int64) (*simWorker, error) {
 	s := p.fleet
 	s.lock.Lock()
@@ -237,7 +237,7 @@
 	return w, nil
 }
 
-// extendLease takes a lease on the worker's clock; a longer one than it grants is shortened.
+// extendLease sets a lease on the worker's clock, shortened to the longest one that it grants.
 func (w *simWorker) extendLease(untilMS int64) {
 	until := w.clockStart.Add(time.Duration(untilMS) * time.Millisecond)
 	if latest := time.Now().Add(simLease); until.After(latest) {
@@ -305,7 +305,7 @@
 		}
 		if bornMS != 0 && w.bornMS != bornMS {
 			p.fleet.lock.Unlock()
-			return HoldReport{}, errSimDown // the connection ended with the former life
+			return HoldReport{}, errSimDown // the connection ended with the former incarnation
 		}
 		bornMS = w.bornMS
 		w.holds++
--- a/batch/stalltakeover_test.go
+++ b/batch/stalltakeover_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// No other could write better; what waits is started once the part is back.
+// No other instance could write progress, so the term stays. Waiting tasks start once the part is up.
 func TestTermStaysWhileNoInstanceCanWriteProgress(t *testing.T) {
 	for _, outage := range []time.Duration{stallTimeout, 10 * time.Second, time.Minute} {
 		withTwoInstances(t, func(*twoInstances) {}, func(h *twoInstances, is *is.I) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// The way to the progress is cut for whichever instance places.
+// Whichever instance leads is cut off from the part with the progress.
 func TestTermRarelyAlternatesWhenNoLeaderCanWriteProgress(t *testing.T) {
 	withTwoInstances(t, func(*twoInstances) {}, func(h *twoInstances, is *is.I) {
 		first, other := h.leaderAndStandby(is)
@@ -53,17 +53,17 @@
 		handovers := h.instances[first].term().Epoch - epoch
 		t.Logf("passed on %d times in %s", handovers, duration)
 		is.True(handovers >= 2)
-		is.True(handovers <= 2*int64(duration/takeoverBackoff)+1) // each hands it over once in that time
+		is.True(handovers <= 2*int64(duration/takeoverBackoff)+1) // each instance hands the term over once in that time
 	})
 }
 
-// Nor does an instance that would not place next check anything.
+// An instance that was unable to write progress, or is no standby, does not check either.
 func TestInstanceThatCouldNotWriteProgressBacksOff(t *testing.T) {
 	withTwoInstances(t, func(*twoInstances) {}, func(h *twoInstances, is *is.I) {
 		first, other := h.leaderAndStandby(is)
 		i := h.instances[other]
 		is.True(i.canTakeOver())
-		is.True(!h.instances[first].canTakeOver()) // the holder watches nobody
+		is.True(!h.instances[first].canTakeOver()) // the leader is not a standby
 		i.stalledAt.Store(i.clock.Now().UnixNano())
 		is.True(!i.canTakeOver())
 		time.Sleep(takeoverBackoff)
--- a/batch/standby_test.go
+++ b/batch/standby_test.go
@@ -16,8 +16,7 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// newInstances makes instances of some availability zones known, the first two of each with
-// much processor.
+// newInstances returns instances in some availability zones, the first two of each with much CPU.
 func newInstances(zones, perZone int) map[string]jobs.Instance {
 	instances := map[string]jobs.Instance{}
 	for zone := range zones {
@@ -32,8 +31,8 @@
 	return instances
 }
 
-// However many instances there are and however many of them have little processor, a few
-// watch the holder of the term closely, never all in one zone, and the holder is none.
+// With any number of instances, and of instances with little CPU, there are a few standbys. They are
+// never all in one zone, and the leader is none of them.
 func TestSomeInstancesAlwaysWatchTheHolder(t *testing.T) {
 	is := is.New(t)
 	for _, perZone := range []int{1, 2, 13, 33, 100} {
@@ -49,19 +48,15 @@
 			is.True(len(zones) > 1)
 		}
 	}
-	is.Equal(len(standbys(newInstances(1, 5), "")), maxStandbys) // of one zone where there is no other
+	is.Equal(len(standbys(newInstances(1, 5), "")), maxStandbys) // all in one zone if there is no other
 	is.Equal(len(standbys(nil, "")), 0)
 }
 
-// The story: an availability zone was lost with a third of the instances and workers in it,
-// the holder of the term among them. The next holder had the term soon, and reached no worker
-// for a second and more: workers waited for sessions that were being opened, and instances
-// of the lost zone were tried one after the other, so that some session was always being
-// opened. With more instances there were more to try.
-//
-// The evidence: in the log of the next holder six of nine sessions were won within some
-// milliseconds; those with the lost zone were not reached half a second later, nor were the
-// next five that were tried, and the first report of a worker came only after these.
+// Guards against workers that wait for unreachable delegates after the loss of an availability zone
+// with a third of the instances and workers and the leader. Instances of the lost zone were tried one
+// after the other, so that some session was always being opened, and the next leader reached no
+// worker for a second and more. In its log six of nine sessions were open within milliseconds; the
+// rest were not reached half a second later, nor were the next five that were tried.
 func TestLostZoneHoldsUpNoWorker(t *testing.T) {
 	for _, instances := range []int{12, 60} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
@@ -84,15 +79,14 @@
 	}
 }
 
-// maxRecoveryDelay is within which a new holder of the term has ordered what it has room for:
-// two seconds are meant for the whole recovery, of which the silence of the former takes
-// more than one.
+// maxRecoveryDelay is how long a new leader may take to order what fits. Two seconds are allowed for
+// the whole recovery, of which the silence of the former leader takes more than one.
 const maxRecoveryDelay = 600 * time.Millisecond
 
-// zoneOfInstance is the availability zone of an instance, one of those that workers are in.
+// zoneOfInstance returns the availability zone of an instance, one of those that workers are in.
 func zoneOfInstance(name string) string { return "z" + name[len(name)-1:] }
 
-// hangEveryThirdZone takes the instances of every third zone away.
+// hangEveryThirdZone hangs the instances of every third zone and returns their number.
 func (f *testFleet) hangEveryThirdZone() int {
 	lost := 0
 	for name := range f.instances {
@@ -104,7 +98,7 @@
 	return lost
 }
 
-// startedAfter counts the workers whose newest run began after a moment.
+// startedAfter counts the workers whose newest run began after the given time.
 func (f *testFleet) startedAfter(at time.Time) int {
 	return f.workers.sum(func(w *simWorker) int {
 		if w.startedAt.After(at) {
@@ -114,8 +108,8 @@
 	})
 }
 
-// After a loss of all instances those that are called first are still reading the log. Their
-// sessions wait for that, rather than be refused and rest for seconds.
+// After a loss of all instances, the first ones to be called are still reading the log. Their sessions
+// wait for that instead of being refused and put into a backoff of seconds.
 func TestSessionWaitsForAnInstanceThatReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -128,7 +122,7 @@
 		begin := time.Now()
 		f.submit("a1", manyWorkers)
 		time.Sleep(300 * time.Millisecond)
-		is.Equal(len(f.workers.dispatchedBy(time.Second)), 0) // better than all by the holder
+		is.Equal(len(f.workers.dispatchedBy(time.Second)), 0) // rather than all by the leader
 		for _, instance := range f.instances {
 			instance.work.lock.Lock()
 			instance.work.loaded = true
@@ -143,7 +137,7 @@
 	})
 }
 
-// firstReadStore notes when each part was read whole first.
+// firstReadStore records when each part was first read from the start.
 type firstReadStore struct {
 	unreachableStore
 	lock      sync.Mutex
@@ -159,9 +153,9 @@
 	return Batch{}, nil
 }
 
-// Where all instances start at once, those with little processor leave the store to those
-// that would place: a claim was read back only after 0.7 s on 300 instances, while all of them
-// read all that callers had written. The terms are read by all at once.
+// When all instances start at once, those with little CPU leave the store to those that would lead. With
+// 300 instances reading all that callers had written, a claim was read back only after 0.7 s. All of
+// them read the terms at once.
 func TestInstancesThatWouldNotPlaceYieldTheStore(t *testing.T) {
 	for _, c := range []struct {
 		share  float64
--- a/batch/state_test.go
+++ b/batch/state_test.go
@@ -13,8 +13,8 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// tailStore is a log of states that grows while it is read. A read waits for
-// the next record as long as it was allowed to.
+// tailStore is a log of states that grows while it is read. A read waits for the next record as long
+// as it is allowed to.
 type tailStore struct {
 	Store
 	lock    sync.Mutex
@@ -47,8 +47,7 @@
 	}
 }
 
-// newLoadedInstance returns an instance that has read the log so far and knows of one
-// job that runs.
+// newLoadedInstance returns an instance that has read the log and knows one running job.
 func newLoadedInstance(t *testing.T, store Store, id string) *Instance {
 	instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), discardLog())
 	record, err := jobs.SubmissionRecord(&jobs.Submission{ID: id, Steps: []jobs.Step{{Tasks: 1}}})
@@ -63,8 +62,8 @@
 	return instance
 }
 
-// Callers ask when they expect the end, which is then being written: they are
-// told of it some milliseconds later, not when they ask again.
+// Callers ask when they expect the end, which is then being written. They are answered some
+// milliseconds later, without asking again.
 func TestQuestionWaitsForAnEndThatIsBeingWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -84,8 +83,8 @@
 	})
 }
 
-// A job that goes on is answered as such after a moment, at few reads; without
-// the log nothing is waited for.
+// A running job is reported as such after a short wait and few reads. Without the log there is
+// no wait.
 func TestStateOfARunningJobWaitsBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -106,9 +105,8 @@
 	})
 }
 
-// On a deployment whose workers cannot be given orders nothing is accepted: each job is
-// refused as never to run, the balancer is told to look elsewhere, and the term is not
-// claimed.
+// On a deployment whose workers cannot be given orders no job is accepted: each one is refused for
+// good, the instance is not ready, and it does not claim the term.
 func TestNothingIsAcceptedThatCannotBeRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -121,7 +119,7 @@
 		outcome := instance.Submit(t.Context(), &jobs.Submission{ID: "a2", Steps: []jobs.Step{{Tasks: 1}}})
 		is.Equal(outcome.Verdict, NotRun)
 		is.Equal(outcome.Reason, "workers cannot be given orders")
-		is.Equal(outcome.RetryAfter, time.Duration(0)) // coming back is of no use
+		is.Equal(outcome.RetryAfter, time.Duration(0)) // a retry would not help
 		is.Equal(len(store.records), 0)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
--- a/batch/successor_test.go
+++ b/batch/successor_test.go
@@ -13,8 +13,8 @@
 	"github.com/teaselcleat/teaselcleat/relay/relaypb"
 )
 
-// The holder of a term has asked for it to be claimed: neither its silence nor
-// the rank is waited for. What was asked of an earlier term counts for nothing.
+// When the leader has requested a claim, neither its silence nor the rank is waited for. A request
+// of an earlier term is ignored.
 func TestTermIsClaimedAtOnceWhenItsHolderAsks(t *testing.T) {
 	is := is.New(t)
 	vote := newElection("a", "a/1", 200*time.Millisecond)
@@ -23,13 +23,13 @@
 	is.True(!vote.shouldClaim(testNow, testNow))
 	vote.requestClaim(4)
 	is.True(vote.shouldClaim(testNow, testNow))
-	is.True(!vote.shouldClaim(testNow, testNow)) // it is on its way
+	is.True(!vote.shouldClaim(testNow, testNow)) // a claim is in flight
 	vote.observe(jobs.Term{Epoch: 5, Holder: "c/1"}, testNow)
 	is.True(!vote.shouldClaim(testNow, testNow.Add(claimInterval)))
 }
 
-// An instance promises to claim only if it can: it reads the log first, has
-// enough processor, and is not about to end.
+// An instance promises to claim the term only if it can: it reads the log first, has enough CPU and
+// is not draining.
 func TestClaimIsPromisedByAnInstanceThatCan(t *testing.T) {
 	for _, example := range []struct {
 		name    string
@@ -37,10 +37,10 @@
 		promise relaypb.Fate
 	}{
 		{"it can", func(*Instance) {}, relaypb.Fate_FATE_DONE},
-		{"the store is away for it too", func(i *Instance) { i.work.store = unreachableStore{} }, relaypb.Fate_FATE_NOT_DONE},
-		{"it is known to be away", func(i *Instance) { i.work.failures = unreachableFailures }, relaypb.Fate_FATE_NOT_DONE},
-		{"too little processor", func(i *Instance) { i.settings.CPUShare = 0.2 }, relaypb.Fate_FATE_NOT_DONE},
-		{"it drains", func(i *Instance) { i.Drain() }, relaypb.Fate_FATE_NOT_DONE},
+		{"the store is down for it too", func(i *Instance) { i.work.store = unreachableStore{} }, relaypb.Fate_FATE_NOT_DONE},
+		{"the store is known to be down", func(i *Instance) { i.work.failures = unreachableFailures }, relaypb.Fate_FATE_NOT_DONE},
+		{"too little CPU", func(i *Instance) { i.settings.CPUShare = 0.2 }, relaypb.Fate_FATE_NOT_DONE},
+		{"it is draining", func(i *Instance) { i.Drain() }, relaypb.Fate_FATE_NOT_DONE},
 	} {
 		is := is.New(t)
 		instance := newLoadedInstance(t, &tailStore{}, "a1")
@@ -50,7 +50,7 @@
 	}
 }
 
-// A holder that the store turns away finds the instance that it serves.
+// A leader that the store refuses finds an instance that the store answers.
 func TestHolderFindsASuccessorThatReachesTheStore(t *testing.T) {
 	is := is.New(t)
 	other := newLoadedInstance(t, &tailStore{}, "a1")
--- a/batch/workerlist_test.go
+++ b/batch/workerlist_test.go
@@ -12,8 +12,8 @@
 	"github.com/teaselcleat/teaselcleat/placing"
 )
 
-// An entry that another writer made takes the worker of that key out of use, and an
-// entry of a pool that nobody named is no worker; the others hold.
+// An entry written by another writer makes the worker of that key unusable, and an entry of an
+// unknown pool is ignored. Other entries stay valid.
 func TestEntriesOfAnotherWriterNameNoWorker(t *testing.T) {
 	is := is.New(t)
 	l := newTestLeader(t.Context(), newPartitionedStore(), 3)
@@ -30,7 +30,7 @@
 	is.Equal(metrics.GetOrRegisterCounter("workers.entries_unreadable", l.instance.metrics.registry).Count(), int64(3))
 }
 
-// entryDecoder reads the pool of a worker as its entry's value; "?" is unreadable.
+// entryDecoder decodes the value of an entry as the pool of the worker; "?" is unreadable.
 type entryDecoder struct{ Decoder }
 
 func (entryDecoder) Worker(record jobs.Record) (placing.WorkerEntry, bool, error) {
