--- a/batch/delegation.go
+++ b/batch/delegation.go
@@ -207,8 +207,8 @@
 
 // sendLoop sends queued answers, and a heartbeat if there are none.
 func (d *delegation) sendLoop(ctx context.Context, draining *atomic.Bool) {
-	beat := time.NewTicker(heartbeatInterval)
-	defer beat.Stop()
+	ticker := time.NewTicker(heartbeatInterval)
+	defer ticker.Stop()
 	for ctx.Err() == nil {
 		message := d.nextMessage(draining.Load())
 		if err := d.stream.Send(message); err != nil {
@@ -224,7 +224,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-beat.C:
+		case <-ticker.C:
 		case <-d.outbox.signal:
 			time.Sleep(sendDelay)
 		}
--- a/batch/dispatchers.go
+++ b/batch/dispatchers.go
@@ -246,12 +246,12 @@
 	d.changed = true
 }
 
-// sessionEnded reassigns the workers of an ended session. Orders sent through it may have been
+// endSession reassigns the workers of an ended session. Orders sent through it may have been
 // carried out, and the instance may go on renewing leases until its grant expires.
-func (d *dispatchers) sessionEnded(s *session, reason string, now time.Time) {
+func (d *dispatchers) endSession(s *session, reason string, now time.Time) {
 	s.cancel()
 	if !d.isCurrent(s) {
-		d.sessionFailed(s.name, reason, now)
+		d.openFailed(s.name, reason, now)
 		return
 	}
 	delete(d.sessions, s.name)
@@ -270,8 +270,8 @@
 	}
 }
 
-// sessionFailed records that a session could not be opened.
-func (d *dispatchers) sessionFailed(name, reason string, now time.Time) {
+// openFailed records that a session could not be opened.
+func (d *dispatchers) openFailed(name, reason string, now time.Time) {
 	d.leader.log.WithField("keeper", name).WithField("reason", reason).Info("keeper_not_won")
 	d.backOff(name, now)
 }
--- a/batch/outage_test.go
+++ b/batch/outage_test.go
@@ -17,14 +17,14 @@
 // failingStore answers until it is down. Then waiting reads fail, and appends stay unanswered.
 type failingStore struct {
 	Store
-	away    chan struct{}
+	down    chan struct{}
 	appends atomic.Int64
 	reads   atomic.Int64
 }
 
-func (s *failingStore) isAway() bool {
+func (s *failingStore) isDown() bool {
 	select {
-	case <-s.away:
+	case <-s.down:
 		return true
 	default:
 		return false
@@ -33,13 +33,13 @@
 
 func (s *failingStore) Read(ctx context.Context, _ Stream, _ int, from int64, wait time.Duration) (Batch, error) {
 	s.reads.Add(1)
-	if !s.isAway() {
+	if !s.isDown() {
 		select {
 		case <-time.After(wait + time.Millisecond):
 			return Batch{Next: from}, nil
 		case <-ctx.Done():
 			return Batch{}, ctx.Err()
-		case <-s.away:
+		case <-s.down:
 		}
 	}
 	return Batch{}, eris.New("connection reset")
@@ -47,7 +47,7 @@
 
 func (s *failingStore) Append(context.Context, int, []jobs.Record, *Fence) error {
 	s.appends.Add(1)
-	if s.isAway() {
+	if s.isDown() {
 		return ErrUnknown
 	}
 	return nil
@@ -61,7 +61,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		store := &failingStore{away: make(chan struct{})}
+		store := &failingStore{down: make(chan struct{})}
 		instance := newLoadedInstance(t, store, "a1")
 		useTestClock(instance.clock)
 		for _, follower := range append([]*follower{instance.operator, instance.work}, instance.calls...) {
@@ -82,7 +82,7 @@
 		sent, reads := store.appends.Load(), store.reads.Load()
 		is.Equal(sent, int64(10))
 		is.True(reads <= 2) // submissions cause no reads while the store is up
-		close(store.away)
+		close(store.down)
 		time.Sleep(5 * time.Millisecond)
 		for number := range 10 {
 			outcome := instance.Submit(ctx, &jobs.Submission{ID: "c" + string(rune('0'+number)), Steps: []jobs.Step{{Tasks: 1}}})
--- a/batch/session.go
+++ b/batch/session.go
@@ -66,7 +66,7 @@
 	reason := s.receiveLoop()
 	s.cancel()
 	sending.Wait()
-	s.emit(s.termCtx, sessionEndedEvent{session: s, reason: reason})
+	s.emit(s.termCtx, streamEnd{session: s, cause: reason})
 }
 
 func (s *session) receiveLoop() string {
@@ -82,7 +82,7 @@
 		s.heardAt.Store(now.UnixNano())
 		first := s.delegateClock.Swap(message.Clock) == 0
 		if first && !message.Refused && !message.Fenced {
-			s.emit(s.ctx, sessionOpenedEvent{session: s})
+			s.emit(s.ctx, sessionStart{session: s})
 			s.wake()
 		}
 		s.emit(s.ctx, delegateMessage{session: s, message: message, receivedAt: now})
@@ -94,13 +94,13 @@
 
 // sendLoop sends orders as they are queued, and a heartbeat if there are none.
 func (s *session) sendLoop() {
-	beat := time.NewTicker(heartbeatInterval)
-	defer beat.Stop()
+	ticker := time.NewTicker(heartbeatInterval)
+	defer ticker.Stop()
 	for s.ctx.Err() == nil {
 		select {
 		case <-s.ctx.Done():
 			return
-		case <-beat.C:
+		case <-ticker.C:
 		case <-s.signal:
 		}
 		if s.clock.Now().Sub(time.Unix(0, s.heardAt.Load())) > delegateTimeout || s.hasOverflowed() {
@@ -183,32 +183,28 @@
 	s.enqueue(&relaypb.Order{Body: &relaypb.Order_Ack{Ack: &relaypb.Ack{Worker: worker, Number: number}}})
 }
 
-// sessionOpenedEvent signals that a delegate has accepted a session.
-type sessionOpenedEvent struct {
+// sessionStart signals that a delegate has accepted a session.
+type sessionStart struct {
 	session *session
 }
 
-func (o sessionOpenedEvent) apply(l *leader, _ time.Time) { l.dispatchers.sessionOpened(o.session) }
+func (o sessionStart) apply(l *leader, _ time.Time) { l.dispatchers.sessionOpened(o.session) }
 
-// sessionEndedEvent signals that a session has ended.
-type sessionEndedEvent struct {
+// streamEnd signals that the stream of a session has ended.
+type streamEnd struct {
 	session *session
-	reason  string
+	cause   string
 }
 
-func (e sessionEndedEvent) apply(l *leader, now time.Time) {
-	l.dispatchers.sessionEnded(e.session, e.reason, now)
-}
+func (e streamEnd) apply(l *leader, now time.Time) { l.dispatchers.endSession(e.session, e.cause, now) }
 
-// sessionFailedEvent signals that an instance was not reached.
-type sessionFailedEvent struct {
-	name   string
-	reason string
+// openFailure signals that an instance was not reached.
+type openFailure struct {
+	name  string
+	cause string
 }
 
-func (f sessionFailedEvent) apply(l *leader, now time.Time) {
-	l.dispatchers.sessionFailed(f.name, f.reason, now)
-}
+func (f openFailure) apply(l *leader, now time.Time) { l.dispatchers.openFailed(f.name, f.cause, now) }
 
 // delegateMessage is a message of a delegate.
 type delegateMessage struct {
--- a/batch/shards.go
+++ b/batch/shards.go
@@ -96,7 +96,7 @@
 		defer cancel()
 		stream, err := d.dial(dialCtx, address, request)
 		if err != nil {
-			putEvent(ctx, sessionFailedEvent{name: name, reason: err.Error()})
+			putEvent(ctx, openFailure{name: name, cause: err.Error()})
 			return
 		}
 		newSession(ctx, name, stream, l.clock, putEvent).run()
--- a/batch/shards_test.go
+++ b/batch/shards_test.go
@@ -44,9 +44,7 @@
 	return len(f.workers.done)
 }
 
-func (f *testFleet) lapsedRuns() int {
-	return f.workers.sum(func(w *simWorker) int { return w.lapsedRuns })
-}
+func (f *testFleet) lapses() int { return f.workers.sum(func(w *simWorker) int { return w.lapses }) }
 
 // The leader of many workers drives none itself, each worker has one delegate, and no delegate has
 // more than its shard.
@@ -112,7 +110,7 @@
 				time.Sleep(4 * time.Second)
 				f.submit("a2", 100)
 				time.Sleep(14 * time.Second)
-				is.Equal(f.lapsedRuns(), 0)
+				is.Equal(f.lapses(), 0)
 				is.Equal(f.doubleRuns(), 0)
 				is.Equal(f.doneTasks(), 500)
 				is.Equal(f.decisionCount("job_ended"), int64(2))
@@ -140,7 +138,7 @@
 		is.Equal(f.workers.dispatchedBy(100 * time.Millisecond)[silent], 0)
 		time.Sleep(20 * time.Second)
 		is.Equal(f.doubleRuns(), 0)
-		is.True(f.lapsedRuns() > 0)
+		is.True(f.lapses() > 0)
 	})
 }
 
@@ -155,7 +153,7 @@
 		driven := f.workers.dispatchedBy(3 * time.Second)
 		is.Equal(driven[cut], 0)
 		time.Sleep(8 * time.Second)
-		is.Equal(f.lapsedRuns(), 0)
+		is.Equal(f.lapses(), 0)
 		is.Equal(f.doubleRuns(), 0)
 		is.Equal(f.doneTasks(), manyWorkers)
 	})
@@ -189,7 +187,7 @@
 		f.kill(draining)
 		is.Equal(f.decisionCount("run_stopped"), int64(0))
 		time.Sleep(9 * time.Second)
-		is.Equal(f.lapsedRuns(), 0)
+		is.Equal(f.lapses(), 0)
 		is.Equal(f.doubleRuns(), 0)
 		is.Equal(f.doneTasks(), 400)
 		is.Equal(f.workers.dispatchedBy(2 * holdWait)[draining], 0)
@@ -205,7 +203,7 @@
 			f.kill(name)
 		}
 		time.Sleep(16 * time.Second)
-		is.Equal(f.lapsedRuns(), 0)
+		is.Equal(f.lapses(), 0)
 		is.Equal(f.doubleRuns(), 0)
 		is.Equal(f.doneTasks(), 300)
 		is.Equal(f.workers.dispatchedBy(2 * holdWait)["a"], manyWorkers)
@@ -234,7 +232,7 @@
 		driven := f.workers.dispatchedBy(2 * holdWait)
 		is.Equal(driven["a"], 0)
 		time.Sleep(6 * time.Second)
-		is.Equal(f.lapsedRuns(), 0)
+		is.Equal(f.lapses(), 0)
 		is.Equal(f.doubleRuns(), 0)
 	})
 }
@@ -278,9 +276,9 @@
 		events := make(chan event, 8)
 		go newSession(t.Context(), "keeper", near, clock, func(_ context.Context, next event) { events <- next }).run()
 		go func() { _ = far.Send(&relaypb.Kept{Clock: 1}) }()
-		ended, ok := (<-events).(sessionEndedEvent) // it was never opened
+		ended, ok := (<-events).(streamEnd) // it was never opened
 		is.True(ok)
-		is.True(strings.Contains(ended.reason, "earlier version"))
+		is.True(strings.Contains(ended.cause, "earlier version"))
 	})
 }
 
@@ -308,7 +306,7 @@
 		for range maxQueuedOrders + 3*maxOrdersPerMessage {
 			s.acknowledge("w", 1)
 		}
-		ended, ok := (<-events).(sessionEndedEvent)
+		ended, ok := (<-events).(streamEnd)
 		is.True(ok)
 		is.True(ended.session == s)
 		is.True(time.Since(begin) < heartbeatInterval) // the session did not end because of silence
--- a/batch/simrestart_test.go
+++ b/batch/simrestart_test.go
@@ -33,7 +33,7 @@
 
 // restart ends the incarnation of a worker with all its state. The next one, under the same ID,
 // starts after the given time.
-func (s *simWorkers) restart(id string, away time.Duration) {
+func (s *simWorkers) restart(id string, downtime time.Duration) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	worker := s.workers[id]
@@ -41,7 +41,7 @@
 	worker.down = true
 	worker.runs = nil
 	worker.ends = nil
-	time.AfterFunc(away, func() {
+	time.AfterFunc(downtime, func() {
 		s.lock.Lock()
 		defer s.lock.Unlock()
 		worker.startIncarnation()
@@ -49,9 +49,9 @@
 }
 
 // restartAll restarts all workers at once.
-func (s *simWorkers) restartAll(away time.Duration) {
+func (s *simWorkers) restartAll(downtime time.Duration) {
 	for id := range s.entries() {
-		s.restart(id, away)
+		s.restart(id, downtime)
 	}
 }
 
--- a/batch/simworkers_test.go
+++ b/batch/simworkers_test.go
@@ -27,7 +27,7 @@
 	ends       []placing.EndedTask
 	lastEnd    int64
 	doubleRuns int // starts of a task that was running, or whose end as done was acknowledged then or later
-	lapsedRuns int
+	lapses     int
 	lastCaller string          // instance that called last
 	holds      int             // number of holds
 	lastHoldAt time.Time       // of the newest hold
@@ -173,7 +173,7 @@
 			w.end(key, placing.EndDone)
 			s.done[key.task]++
 		case now.After(w.until):
-			w.lapsedRuns++
+			w.lapses++
 			w.end(key, placing.EndLapsed)
 		}
 	}
--- a/batch/standby.go
+++ b/batch/standby.go
@@ -15,11 +15,11 @@
 // standbys returns the names of the instances that follow the leader closely: those that would claim
 // a vacant term first, and one outside the availability zone of the first one, so that the loss of a
 // zone with the leader in it leaves a standby. The leader itself is never a standby.
-func standbys(instances map[string]jobs.Instance, holder string) []string {
+func standbys(instances map[string]jobs.Instance, leader string) []string {
 	var selected []string
 	add := func(eligible func(name string) bool) {
 		name := firstClaimant(instances, func(name string) bool {
-			return name != holder && !slices.Contains(selected, name) && eligible(name)
+			return name != leader && !slices.Contains(selected, name) && eligible(name)
 		})
 		if name != "" {
 			selected = append(selected, name)
@@ -54,7 +54,7 @@
 func (i *Instance) isStandby() bool {
 	i.foldLock.Lock()
 	instances := i.fold.table.Instances()
-	holder := leaderName(i.fold.table.Term())
+	leader := leaderName(i.fold.table.Term())
 	i.foldLock.Unlock()
-	return slices.Contains(standbys(instances, holder), i.settings.Name)
+	return slices.Contains(standbys(instances, leader), i.settings.Name)
 }
--- a/batch/successor_test.go
+++ b/batch/successor_test.go
@@ -59,12 +59,12 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go relay.Serve(ctx, listener, other.Relayed, nil)
-	holder := newLoadedInstance(t, unreachableStore{}, "a1")
+	leader := newLoadedInstance(t, unreachableStore{}, "a1")
 	record, err := jobs.InstanceRecord("b", jobs.Instance{Address: listener.Addr().String()})
 	is.NoErr(err)
-	holder.applyRecord(t, partOf(record.Subject(), 8), record, nil)
-	is.True(holder.requestClaim(ctx, 7))
+	leader.applyRecord(t, partOf(record.Subject(), 8), record, nil)
+	is.True(leader.requestClaim(ctx, 7))
 	is.Equal(other.requestedEpoch.Load(), int64(7))
 	other.work.failures = unreachableFailures
-	is.True(!holder.requestClaim(ctx, 8))
+	is.True(!leader.requestClaim(ctx, 8))
 }
