--- a/batch/adaptivetimeout.go
+++ b/batch/adaptivetimeout.go
@@ -44,10 +44,10 @@
 }
 
 // observe records the latency of an answer.
-func (t *adaptiveTimeout) observe(took time.Duration) {
+func (t *adaptiveTimeout) observe(latency time.Duration) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	t.latency += time.Duration(latencyWeight * float64(took-t.latency))
+	t.latency += time.Duration(latencyWeight * float64(latency-t.latency))
 	t.lostInRow = 0
 }
 
--- a/batch/batch_test.go
+++ b/batch/batch_test.go
@@ -24,11 +24,11 @@
 	is := is.New(t)
 	e := newElection("a", "a/1", 100*time.Millisecond)
 	e.observe(jobs.Term{Epoch: 4, Holder: "b/1"}, testNow)
-	is.True(!e.shouldClaim(testNow, testNow.Add(time.Hour))) // no read was answered since
+	is.True(!e.shouldClaim(testNow, testNow.Add(time.Hour))) // no read has been answered since the term was observed
 	silentAt := testNow.Add(termTimeout)
-	is.True(!e.shouldClaim(silentAt, silentAt)) // others may come first
+	is.True(!e.shouldClaim(silentAt, silentAt)) // claimDelay has not passed
 	is.True(e.shouldClaim(silentAt, silentAt.Add(100*time.Millisecond)))
-	is.True(!e.shouldClaim(silentAt, silentAt.Add(200*time.Millisecond))) // the claim is on its way
+	is.True(!e.shouldClaim(silentAt, silentAt.Add(200*time.Millisecond))) // claimInterval has not passed since the last claim
 	e.observe(jobs.Term{Epoch: 5, Holder: "c/1"}, silentAt.Add(time.Second))
 	is.True(!e.shouldClaim(silentAt.Add(time.Second), silentAt.Add(2*time.Second)))
 }
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	is.True(claimDelay(7, 0.19) > maxClaimJitter)
 	is.True(claimDelay(7, 0.8) < maxClaimJitter)
-	is.True(claimDelay(7, 0) < maxClaimJitter) // unknown
+	is.True(claimDelay(7, 0) < maxClaimJitter) // CPU share unknown
 }
 
 func TestStoreTimeoutAdaptsAndDoubles(t *testing.T) {
@@ -59,7 +59,7 @@
 	for range 20 {
 		p.observe(300 * time.Millisecond)
 	}
-	is.True(p.current() > time.Second) // four times the usual answer
+	is.True(p.current() > time.Second) // four times the usual answer time
 	for range 9 {
 		p.recordLoss()
 	}
@@ -154,18 +154,16 @@
 	}
 }
 
-// unreachableStore fails every call.
-type unreachableStore struct{}
+// downStore fails every call.
+type downStore struct{}
 
-var errUnreachable = errors.New("out of reach")
+var errDown = errors.New("out of reach")
 
-func (unreachableStore) Append(context.Context, int, []jobs.Record, *Fence) error { return ErrNotDone }
-func (unreachableStore) Read(context.Context, Stream, int, int64, time.Duration) (Batch, error) {
-	return Batch{}, errUnreachable
-}
-func (unreachableStore) Newest(context.Context, Stream, int) (Batch, error) {
-	return Batch{}, errUnreachable
+func (downStore) Append(context.Context, int, []jobs.Record, *Fence) error { return ErrNotDone }
+func (downStore) Read(context.Context, Stream, int, int64, time.Duration) (Batch, error) {
+	return Batch{}, errDown
 }
+func (downStore) Newest(context.Context, Stream, int) (Batch, error) { return Batch{}, errDown }
 
 func discardLog() *logrus.Entry {
 	log := logrus.New()
@@ -177,7 +175,7 @@
 // at once with a retry time.
 func TestUnreachableLogDeniesNoJob(t *testing.T) {
 	is := is.New(t)
-	instance := New(Settings{Name: "a", StoreParts: 8}, unreachableStore{}, nil, nil, metrics.NewRegistry(), discardLog())
+	instance := New(Settings{Name: "a", StoreParts: 8}, downStore{}, nil, nil, metrics.NewRegistry(), discardLog())
 	outcome := instance.Submit(context.Background(), &jobs.Submission{ID: "x", Steps: []jobs.Step{{Tasks: 1}}})
 	is.Equal(outcome.Verdict, NotRun)
 	is.True(outcome.RetryAfter > 0)
@@ -269,7 +267,7 @@
 		is.Equal(committer.append(t.Context(), []*commit{{record: jobs.CancelRecord("a")}}), ErrUnknown)
 		is.Equal(store.appends, 1+maxCommitTries)
 		// If reads fail too, the call goes to other instances without another try.
-		committer.readBack = func(context.Context, []jobs.Record) (bool, error) { return false, errUnreachable }
+		committer.readBack = func(context.Context, []jobs.Record) (bool, error) { return false, errDown }
 		err := committer.append(t.Context(), []*commit{{record: jobs.CancelRecord("a")}})
 		is.True(errors.Is(err, errStoreUnreachable) && errors.Is(err, ErrUnknown))
 		is.Equal(store.appends, 2+maxCommitTries)
--- a/batch/bounds_test.go
+++ b/batch/bounds_test.go
@@ -23,15 +23,15 @@
 func TestLeasesHoldWhileInstancesDifferInTheirBounds(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, c := range []struct {
-		name    string
-		leases  []time.Duration // in force one after another, a second apart
-		asked   time.Duration   // until the change has propagated
-		granted time.Duration
+		name           string
+		leases         []time.Duration // in force one after another, a second apart
+		requestedLease time.Duration   // until the change has propagated
+		grantedLease   time.Duration
 	}{
 		{"shorter", []time.Duration{longLease, shortLease}, shortLease, longLease},
 		{"longer", []time.Duration{shortLease, longLease}, shortLease, longLease},
-		{"there and back", []time.Duration{longLease, shortLease, longLease}, shortLease, longLease},
-		{"twice", []time.Duration{middleLease, shortLease, longLease}, shortLease, longLease},
+		{"shorter and restored", []time.Duration{longLease, shortLease, longLease}, shortLease, longLease},
+		{"changed twice", []time.Duration{middleLease, shortLease, longLease}, shortLease, longLease},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -46,14 +46,14 @@
 			newest := c.leases[len(c.leases)-1]
 			is.Equal(b.latest().Lease, newest)
 			// The last lease that another instance requested under the previous bounds has not lapsed yet.
-			lastHeld := now.Add(boundsPropagationTime + placing.LeaseLapse(longLease) - time.Millisecond)
-			for _, at := range []time.Time{now, lastHeld} {
-				is.Equal(b.leaseToRequest(at), c.asked)
-				is.Equal(b.maxGrantedLease(at), c.granted)
+			lastMoment := now.Add(boundsPropagationTime + placing.LeaseLapse(longLease) - time.Millisecond)
+			for _, at := range []time.Time{now, lastMoment} {
+				is.Equal(b.leaseToRequest(at), c.requestedLease)
+				is.Equal(b.maxGrantedLease(at), c.grantedLease)
 			}
-			settled := lastHeld.Add(time.Millisecond)
-			is.Equal(b.leaseToRequest(settled), newest)
-			is.Equal(b.maxGrantedLease(settled), newest)
+			propagated := lastMoment.Add(time.Millisecond)
+			is.Equal(b.leaseToRequest(propagated), newest)
+			is.Equal(b.maxGrantedLease(propagated), newest)
 		})
 	}
 }
--- a/batch/calls.go
+++ b/batch/calls.go
@@ -97,8 +97,8 @@
 }
 
 // retryDelayFor returns when the caller of a refused submission should retry.
-func retryDelayFor(priority int, outage time.Duration, alone bool) time.Duration {
-	if alone {
+func retryDelayFor(priority int, outage time.Duration, isolated bool) time.Duration {
+	if isolated {
 		return retryOtherInstance
 	}
 	if priority > 0 && outage < earlyOutage {
@@ -164,12 +164,12 @@
 	if ok && cached.Final() {
 		return cached, Outcome{Verdict: Accepted}
 	}
-	state, looked := i.peers.lookUpJob(ctx, i.peerAddresses(), id)
+	state, found := i.peers.lookUpJob(ctx, i.peerAddresses(), id)
 	i.metrics.count("relay.look")
 	switch {
-	case looked && state == "":
+	case found && state == "":
 		return "", Outcome{Verdict: NoSuchJob, Reason: "not in the log, as another instance reads it"}
-	case looked:
+	case found:
 		return state, Outcome{Verdict: Accepted}
 	case ok:
 		return cached, Outcome{Verdict: Accepted, Reason: "as known before the store was lost"}
--- a/batch/commit.go
+++ b/batch/commit.go
@@ -109,8 +109,8 @@
 }
 
 // unresponsive reports whether an append got no answer and the store has answered nothing since;
-// the argument is the time of its last answer. Outcomes of new appends would mostly be unknown
-// too, and callers could not be told that their call had no effect.
+// answeredAt is the time of its last answer. Outcomes of new appends would mostly be unknown too,
+// and callers could not be told that their call had no effect.
 func (c *committer) unresponsive(answeredAt time.Time) bool {
 	return answeredAt.UnixNano() <= c.unknownAt.Load()
 }
--- a/batch/config.go
+++ b/batch/config.go
@@ -28,7 +28,7 @@
 
 // Route returns the queue that serves a path of a host and the rest of the path after the queue's
 // prefix; ok is false if no queue matches.
-func (c *Config) Route(host, path string) (queue *Queue, rest string, ok bool) {
+func (c *Config) Route(host, path string) (queue *Queue, suffix string, ok bool) {
 	for index := range c.Queues {
 		candidate := &c.Queues[index]
 		if candidate.Host != host || !strings.HasPrefix(path, candidate.PathPrefix) {
--- a/batch/config_test.go
+++ b/batch/config_test.go
@@ -33,7 +33,7 @@
 // pages or the tail, with duplicates or unreadable records.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		instance := New(Settings{Name: "a", StoreParts: 8}, unreachableStore{}, versionDecoder{}, nil, metrics.NewRegistry(), discardLog())
+		instance := New(Settings{Name: "a", StoreParts: 8}, downStore{}, versionDecoder{}, nil, metrics.NewRegistry(), discardLog())
 		highest := int64(0)
 		for _, version := range rapid.SliceOfN(rapid.Int64Range(-1, 9), 1, 20).Draw(t, "versions") {
 			value := strconv.FormatInt(version, 10)
@@ -79,7 +79,7 @@
 		defer cancel()
 		go f.run(ctx)
 		synctest.Wait()
-		is.Equal(store.reads.Load(), int64(1)) // in the pause after a record
+		is.Equal(store.reads.Load(), int64(1)) // in the pause after a record was read
 		begin := time.Now()
 		f.wake()
 		<-store.waiting // the long read has begun
--- a/batch/delegation.go
+++ b/batch/delegation.go
@@ -145,7 +145,7 @@
 	case *relaypb.Order_Release:
 		d.links.release(body.Release, func(lapseAt time.Time) {
 			d.outbox.forget(body.Release)
-			d.outbox.put(workerReleased{worker: body.Release, lapseAt: lapseAt})
+			d.outbox.put(release{worker: body.Release, lapseAt: lapseAt})
 		})
 	case *relaypb.Order_Forget:
 		d.links.removeWorker(body.Forget)
--- a/batch/dispatchers.go
+++ b/batch/dispatchers.go
@@ -38,7 +38,7 @@
 func (h holdReply) workerID() string         { return h.worker }
 func (u holdFailure) workerID() string       { return u.worker }
 func (r incarnationChange) workerID() string { return r.worker }
-func (r workerReleased) workerID() string    { return r.worker }
+func (r release) workerID() string           { return r.worker }
 func (s startReply) workerID() string        { return s.worker }
 func (s stopReply) workerID() string         { return s.worker }
 func (p paceReply) workerID() string         { return p.pace.Worker }
@@ -88,7 +88,7 @@
 	sessions      map[string]*session // current open sessions by instance
 	opening       map[string]time.Time
 	backoffs      map[string]sessionBackoff
-	dial          func(ctx context.Context, address string, keep *relaypb.Keep) (*relay.Stream, error)
+	dial          func(ctx context.Context, address string, request *relaypb.Keep) (*relay.Stream, error)
 	sharing       sharing.Switch
 	shared        bool
 	changed       bool // sessions or workers have changed since the last assignment pass
@@ -304,18 +304,16 @@
 	}
 }
 
-// workerReleased reports that an instance no longer dispatches to a worker and has no calls to it
+// release reports that an instance no longer dispatches to a worker and has no calls to it
 // under way.
-type workerReleased struct {
+type release struct {
 	worker  string
 	lapseAt time.Time // when all leases there lapse unless renewed
 }
 
-func (r workerReleased) apply(l *leader, now time.Time) {
-	l.dispatchers.workerReleased(r.worker, r.lapseAt, now)
-}
+func (r release) apply(l *leader, now time.Time) { l.dispatchers.released(r.worker, r.lapseAt, now) }
 
-func (d *dispatchers) workerReleased(worker string, lapseAt, now time.Time) {
+func (d *dispatchers) released(worker string, lapseAt, now time.Time) {
 	w := d.workers[worker]
 	if w == nil || w.state != releasing {
 		return
--- a/batch/election.go
+++ b/batch/election.go
@@ -34,14 +34,14 @@
 // election decides when an instance claims the term. It does no I/O: callers pass in the observed
 // log state and the time.
 type election struct {
-	name           string // instance name
-	identity       string // instance name and boot ID of this process
-	claimDelay     time.Duration
-	term           jobs.Term
-	changedAt      time.Time // when this instance observed the last change or renewal of the term
-	claimedAt      time.Time
-	requestedEpoch int64     // epoch of the leader that requested a claim of its term
-	vacantAt       time.Time // time since which the term is known to be vacant
+	name       string // instance name
+	identity   string // instance name and boot ID of this process
+	claimDelay time.Duration
+	term       jobs.Term
+	changedAt  time.Time // when this instance observed the last change or renewal of the term
+	claimedAt  time.Time
+	requested  int64     // epoch of the leader that requested a claim of its term
+	vacantAt   time.Time // time since which the term is known to be vacant
 }
 
 func newElection(name, identity string, claimDelay time.Duration) *election {
@@ -50,10 +50,10 @@
 
 // claimDelay returns how long an instance leaves a vacant term to others. Instances with little
 // CPU wait longer, because scheduling needs most of it.
-func claimDelay(hash uint64, share float64) time.Duration {
+func claimDelay(hash uint64, cpuShare float64) time.Duration {
 	delay := time.Duration(hash % uint64(maxClaimJitter))
-	if share > 0 && share < sufficientCPUShare {
-		delay += time.Duration((sufficientCPUShare - share) / sufficientCPUShare * float64(maxLowCPUDelay))
+	if cpuShare > 0 && cpuShare < sufficientCPUShare {
+		delay += time.Duration((sufficientCPUShare - cpuShare) / sufficientCPUShare * float64(maxLowCPUDelay))
 	}
 	return delay
 }
@@ -79,8 +79,8 @@
 func (e *election) isLeader() bool { return e.term.Holder == e.identity }
 
 // shouldClaim reports whether to claim the next term now. It is called only while this process is
-// not the leader. The first argument is when the newest read of the log was answered: silence
-// after that may be the store's, not the leader's.
+// not the leader. answeredAt is when the newest read of the log was answered: silence after that
+// may be the store's, not the leader's.
 func (e *election) shouldClaim(answeredAt, now time.Time) bool {
 	if now.Sub(e.claimedAt) < claimInterval {
 		return false
@@ -100,11 +100,9 @@
 
 // requestClaim records that the leader with the given epoch has lost the store and requested that
 // this instance claim the next term.
-func (e *election) requestClaim(epoch int64) { e.requestedEpoch = epoch }
+func (e *election) requestClaim(epoch int64) { e.requested = epoch }
 
-func (e *election) claimRequested() bool {
-	return e.requestedEpoch > 0 && e.requestedEpoch == e.term.Epoch
-}
+func (e *election) claimRequested() bool { return e.requested > 0 && e.requested == e.term.Epoch }
 
 // isVacant reports whether the term has no active leader: it was handed over, or its leader was a
 // former incarnation of this instance, has requested a claim or is silent.
--- a/batch/evacuation_test.go
+++ b/batch/evacuation_test.go
@@ -37,7 +37,7 @@
 
 // recordsStore returns its records as the newest of every stream.
 type recordsStore struct {
-	unreachableStore
+	downStore
 	records []jobs.Record
 }
 
@@ -58,9 +58,9 @@
 		{"written again", zoneRecord("z1", "{}"), []string{"z1"}},
 		{"a second zone", zoneRecord("z0", "{}"), []string{"z0", "z1"}},
 		{"a record of another kind", jobs.Record{Key: "config"}, []string{"z0", "z1"}},
-		{"taken back", zoneRecord("z1", ""), []string{"z0"}},
-		{"taken back twice", zoneRecord("z1", ""), []string{"z0"}},
-		{"not readable", zoneRecord("z1", "\xff{"), []string{"z0", "z1"}},
+		{"removed", zoneRecord("z1", ""), []string{"z0"}},
+		{"removed twice", zoneRecord("z1", ""), []string{"z0"}},
+		{"unreadable value", zoneRecord("z1", "\xff{"), []string{"z0", "z1"}},
 	} {
 		instance.applyOperatorRecords(step.record)
 		is.Equal(instance.evacuations.list(), step.zones) // step.name
@@ -115,9 +115,9 @@
 		after  int // tries before the instance reads the evacuation
 		result placing.StartResult
 	}{
-		{"known before", 0, placing.StartEvacuated},
-		{"known after a try without an answer", 1, placing.StartUnknown},
-		{"not known", maxOrderAttempts, placing.StartUnknown},
+		{"read before the first try", 0, placing.StartEvacuated},
+		{"read after an unanswered try", 1, placing.StartUnknown},
+		{"not read", maxOrderAttempts, placing.StartUnknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -142,7 +142,7 @@
 		is := is.New(t)
 		instance := newLoadedInstance(t, &tailStore{}, "a1")
 		useTestClock(instance.clock)
-		is.True(instance.mayStartWithoutGrant("z1")) // no bound is stated
+		is.True(instance.mayStartWithoutGrant("z1")) // no bound is set
 		instance.SetBounds(Bounds{Evacuate: 5 * time.Second})
 		instance.operator.recordAnswer(instance.clock.Now())
 		is.True(instance.mayStartWithoutGrant("z1"))
@@ -261,7 +261,7 @@
 		i.SetBounds(Bounds{Lease: simLease, StopWithin: simBounds.StopWithin, Evacuate: 5 * time.Second})
 		f.submit("a1", 10)
 		time.Sleep(3 * time.Second)
-		is.Equal(f.doneTasks(), 0) // it has read nothing so far
+		is.Equal(f.doneTasks(), 0) // the leader has not read the operator stream yet
 		i.operator.lock.Lock()
 		i.operator.recordAnswer(i.clock.Now())
 		i.operator.lock.Unlock()
--- a/batch/follower.go
+++ b/batch/follower.go
@@ -132,7 +132,7 @@
 	return batch, err
 }
 
-// d waits for a duration or until it is woken.
+// pause waits for a duration or until it is woken.
 func (f *follower) pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/batch/handover_test.go
+++ b/batch/handover_test.go
@@ -98,7 +98,7 @@
 		is.NoErr(err)
 		l.writer.enqueue([]jobs.Record{progress}, nil)
 		time.Sleep(2 * time.Second)
-		is.True(len(store.keys(statePart)) >= 4) // renewals
+		is.True(len(store.keys(statePart)) >= 4) // the renewals of the term
 		l.writer.enqueueEarly([]jobs.Record{jobs.StateRecord("a2", jobs.StateDone)})
 		time.Sleep(10 * time.Millisecond)
 		is.True(slices.Contains(store.keys(statePart), "e/a2"))
--- a/batch/instance.go
+++ b/batch/instance.go
@@ -22,9 +22,9 @@
 	// that are not the leader. Each read costs a call, and a request for a job's state has the log
 	// read at once.
 	nonLeaderReadInterval = 1200 * time.Millisecond
-	// standbyReadInterval replaces it on standbys, which must notice a silent leader, and
-	// standbyReadWait is the wait of their reads: silence is established only at the end of a
-	// read.
+	// standbyReadInterval replaces nonLeaderReadInterval on standbys, which must notice a silent
+	// leader, and standbyReadWait is the wait of their reads: silence is established only at the
+	// end of a read.
 	standbyReadInterval = 200 * time.Millisecond
 	standbyReadWait     = 300 * time.Millisecond
 	// nonLeaderCallInterval is the pause between reads of callers' records on instances that are
@@ -327,9 +327,7 @@
 
 func (i *Instance) newCommitter(part int) *committer {
 	c := newCommitter(i.store, i.clock, part)
-	c.readBack = func(ctx context.Context, records []jobs.Record) (bool, error) {
-		return i.recordsInLog(ctx, part, records)
-	}
+	c.readBack = func(ctx context.Context, records []jobs.Record) (bool, error) { return i.inLog(ctx, part, records) }
 	return c
 }
 
@@ -355,8 +353,8 @@
 	}
 }
 
-// recordsInLog reads a part of the log and reports whether it contains all of the records.
-func (i *Instance) recordsInLog(ctx context.Context, part int, records []jobs.Record) (bool, error) {
+// inLog reads a part of the log and reports whether it contains all of the records.
+func (i *Instance) inLog(ctx context.Context, part int, records []jobs.Record) (bool, error) {
 	if err := i.followerOf(part).refresh(ctx, 0); err != nil {
 		return false, err
 	}
--- a/batch/linkset.go
+++ b/batch/linkset.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func (h *linkEnv) ordersAllowed() bool { return h.hasGrant == nil || h.hasGrant() }
+func (e *linkEnv) ordersAllowed() bool { return e.hasGrant == nil || e.hasGrant() }
 
 // linkSet holds the links that one instance drives for a term. Its methods are called by one
 // goroutine; each order runs in a goroutine of its own.
--- a/batch/outage_test.go
+++ b/batch/outage_test.go
@@ -96,17 +96,17 @@
 // lateStore answers no append and carries each one out after a delay.
 type lateStore struct {
 	Store
-	lock    sync.Mutex
-	delays  []time.Duration // by append; the last one holds for all others
-	never   string          // key of a record that is not written in time
-	sent    int
-	written map[string]bool
+	lock         sync.Mutex
+	delays       []time.Duration // by append; the last one holds for all others
+	neverWritten string          // key of a record that is not written in time
+	sent         int
+	written      map[string]bool
 }
 
 func (s *lateStore) Append(ctx context.Context, _ int, records []jobs.Record, _ *Fence) error {
 	s.lock.Lock()
 	delay := s.delays[min(s.sent, len(s.delays)-1)]
-	if records[0].Key == s.never {
+	if records[0].Key == s.neverWritten {
 		delay = 20 * time.Second
 	}
 	s.sent++
@@ -157,10 +157,10 @@
 				committer.readBack = store.contains
 				go committer.run(ctx)
 				callCtx, cancelCall := context.WithTimeout(ctx, 2850*time.Millisecond)
-				begin := time.Now()
+				start := time.Now()
 				err := committer.write(callCtx, jobs.CancelRecord("a"))
 				is.Equal(err, c.fate)
-				is.True(time.Since(begin) <= c.by)
+				is.True(time.Since(start) <= c.by)
 				cancelCall()
 				time.Sleep(time.Second)
 				sent := store.sent
@@ -179,7 +179,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		store := &lateStore{delays: []time.Duration{0}, never: jobs.CancelRecord("first").Key, written: map[string]bool{}}
+		store := &lateStore{delays: []time.Duration{0}, neverWritten: jobs.CancelRecord("first").Key, written: map[string]bool{}}
 		committer := newCommitter(store, NewClock(), 1)
 		useTestClock(committer.clock)
 		committer.readBack = store.contains
--- a/batch/session.go
+++ b/batch/session.go
@@ -38,7 +38,7 @@
 	workers    int  // workers delegated through this session
 	maxWorkers int  // workers above this number are moved to other dispatchers
 
-	heardAt       atomic.Int64 // when the newest message arrived, on this instance's clock
+	receivedAt    atomic.Int64 // when the newest message arrived, on this instance's clock
 	delegateClock atomic.Int64 // newest clock reading of the delegate; echoed to it
 
 	lock       sync.Mutex
@@ -50,7 +50,7 @@
 func newSession(ctx context.Context, name string, stream *relay.Stream, clock *Clock, emit func(context.Context, event)) *session {
 	s := &session{name: name, clock: clock, stream: stream, emit: emit, termCtx: ctx, signal: make(chan struct{}, 1)}
 	s.ctx, s.cancel = context.WithCancel(ctx)
-	s.heardAt.Store(clock.Now().UnixNano())
+	s.receivedAt.Store(clock.Now().UnixNano())
 	return s
 }
 
@@ -63,10 +63,10 @@
 		defer s.stream.Close()
 		s.sendLoop()
 	}()
-	reason := s.receiveLoop()
+	cause := s.receiveLoop()
 	s.cancel()
 	sending.Wait()
-	s.emit(s.termCtx, streamEnd{session: s, cause: reason})
+	s.emit(s.termCtx, streamEnd{session: s, cause: cause})
 }
 
 func (s *session) receiveLoop() string {
@@ -79,7 +79,7 @@
 			return "an earlier version that does not distinguish incarnations of workers"
 		}
 		now := s.clock.Now()
-		s.heardAt.Store(now.UnixNano())
+		s.receivedAt.Store(now.UnixNano())
 		first := s.delegateClock.Swap(message.Clock) == 0
 		if first && !message.Refused && !message.Fenced {
 			s.emit(s.ctx, sessionStart{session: s})
@@ -103,7 +103,7 @@
 		case <-ticker.C:
 		case <-s.signal:
 		}
-		if s.clock.Now().Sub(time.Unix(0, s.heardAt.Load())) > delegateTimeout || s.hasOverflowed() {
+		if s.clock.Now().Sub(time.Unix(0, s.receivedAt.Load())) > delegateTimeout || s.hasOverflowed() {
 			return
 		}
 		if s.delegateClock.Load() == 0 {
@@ -188,7 +188,7 @@
 	session *session
 }
 
-func (o sessionStart) apply(l *leader, _ time.Time) { l.dispatchers.sessionOpened(o.session) }
+func (e sessionStart) apply(l *leader, _ time.Time) { l.dispatchers.sessionOpened(e.session) }
 
 // streamEnd signals that the stream of a session has ended.
 type streamEnd struct {
@@ -254,7 +254,7 @@
 		list = append(list, incarnationChange{worker: change.Worker, bornMS: change.BornMs})
 	}
 	for _, silence := range m.message.Released {
-		list = append(list, workerReleased{worker: silence.Worker, lapseAt: lapseTime(silence.LapseIn, m.receivedAt)})
+		list = append(list, release{worker: silence.Worker, lapseAt: lapseTime(silence.LapseIn, m.receivedAt)})
 	}
 	return list
 }
--- a/batch/shards.go
+++ b/batch/shards.go
@@ -207,7 +207,7 @@
 	l := d.leader
 	worker := w.entry.ID
 	d.ownLinks.release(worker, func(lapseAt time.Time) {
-		l.events.Put(l.ctx, ownLinkEvent{event: workerReleased{worker: worker, lapseAt: lapseAt}})
+		l.events.Put(l.ctx, ownLinkEvent{event: release{worker: worker, lapseAt: lapseAt}})
 	})
 }
 
--- a/batch/simworkers_test.go
+++ b/batch/simworkers_test.go
@@ -205,17 +205,17 @@
 
 // call waits until a call arrives, and returns the worker with the lock held, or nil if the call
 // does not arrive.
-func (p *simClient) call(ctx context.Context, worker placing.WorkerEntry, epoch int64) (*simWorker, error) {
-	s := p.fleet
+func (c *simClient) call(ctx context.Context, worker placing.WorkerEntry, epoch int64) (*simWorker, error) {
+	s := c.fleet
 	s.lock.Lock()
-	latency := time.Millisecond + s.slow[p.instance]
+	latency := time.Millisecond + s.slow[c.instance]
 	s.lock.Unlock()
 	for time.Sleep(latency); ; time.Sleep(5 * time.Millisecond) {
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 		s.lock.Lock()
-		cut := s.cut[p.instance+" "+worker.Name] || s.cut[p.instance+" *"] || s.cut["* "+worker.Name] || s.frozen[p.instance]
+		cut := s.cut[c.instance+" "+worker.Name] || s.cut[c.instance+" *"] || s.cut["* "+worker.Name] || s.frozen[c.instance]
 		if !cut {
 			break
 		}
@@ -232,8 +232,8 @@
 		return nil, &OrderError{Refusal: RefusedFence}
 	}
 	w.fence = epoch
-	w.lastCaller = p.instance
-	w.callers[p.instance] = true
+	w.lastCaller = c.instance
+	w.callers[c.instance] = true
 	return w, nil
 }
 
@@ -250,12 +250,12 @@
 
 func (w *simWorker) clockMS() int64 { return time.Since(w.clockStart).Milliseconds() }
 
-func (p *simClient) Start(ctx context.Context, worker placing.WorkerEntry, order StartOrder) (int64, error) {
-	w, err := p.call(ctx, worker, order.Epoch)
+func (c *simClient) Start(ctx context.Context, worker placing.WorkerEntry, order StartOrder) (int64, error) {
+	w, err := c.call(ctx, worker, order.Epoch)
 	if err != nil {
 		return 0, err
 	}
-	defer p.fleet.lock.Unlock()
+	defer c.fleet.lock.Unlock()
 	key := startKey{task: order.Task, run: order.Run}
 	if _, running := w.runs[key]; running {
 		return w.clockMS(), nil
@@ -263,18 +263,18 @@
 	if order.Run <= w.highest[order.Task] {
 		return 0, &OrderError{Refusal: RefusedOld}
 	}
-	for _, other := range p.fleet.workers {
-		other.advance(p.fleet)
-		for running := range other.runs {
-			if running.task == order.Task {
+	for _, other := range c.fleet.workers {
+		other.advance(c.fleet)
+		for otherKey := range other.runs {
+			if otherKey.task == order.Task {
 				w.doubleRuns++
 			}
 		}
 	}
-	if p.fleet.acknowledged[order.Task] {
+	if c.fleet.acknowledged[order.Task] {
 		w.doubleRuns++
 	}
-	p.fleet.newestRun[order.Task] = max(p.fleet.newestRun[order.Task], order.Run)
+	c.fleet.newestRun[order.Task] = max(c.fleet.newestRun[order.Task], order.Run)
 	w.extendLease(order.UntilMS)
 	w.runs[key] = time.Now()
 	w.startCount++
@@ -282,12 +282,12 @@
 	return w.clockMS(), nil
 }
 
-func (p *simClient) Stop(ctx context.Context, worker placing.WorkerEntry, order StopOrder) (int64, error) {
-	w, err := p.call(ctx, worker, order.Epoch)
+func (c *simClient) Stop(ctx context.Context, worker placing.WorkerEntry, order StopOrder) (int64, error) {
+	w, err := c.call(ctx, worker, order.Epoch)
 	if err != nil {
 		return 0, err
 	}
-	defer p.fleet.lock.Unlock()
+	defer c.fleet.lock.Unlock()
 	key := startKey{task: order.Task, run: order.Run}
 	if _, running := w.runs[key]; running {
 		w.end(key, placing.EndStopped)
@@ -296,15 +296,15 @@
 	return w.clockMS(), nil
 }
 
-func (p *simClient) Hold(ctx context.Context, worker placing.WorkerEntry, order HoldOrder) (HoldReport, error) {
+func (c *simClient) Hold(ctx context.Context, worker placing.WorkerEntry, order HoldOrder) (HoldReport, error) {
 	bornMS := int64(0)
 	for begin := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-		w, err := p.call(ctx, worker, order.Epoch)
+		w, err := c.call(ctx, worker, order.Epoch)
 		if err != nil {
 			return HoldReport{}, err
 		}
 		if bornMS != 0 && w.bornMS != bornMS {
-			p.fleet.lock.Unlock()
+			c.fleet.lock.Unlock()
 			return HoldReport{}, errSimDown // the connection ended with the former incarnation
 		}
 		bornMS = w.bornMS
@@ -312,22 +312,22 @@
 		w.lastHoldAt = time.Now()
 		w.extendLease(order.UntilMS)
 		for len(w.ends) > 0 && w.ends[0].Number <= order.Ack {
-			w.acknowledgeEnd(p.fleet, w.ends[0])
+			w.acknowledgeEnd(c.fleet, w.ends[0])
 			w.ends = w.ends[1:]
 		}
 		if len(w.ends) > 0 || time.Since(begin) >= order.Wait {
 			report := HoldReport{ClockMS: w.clockMS(), Ended: append([]placing.EndedTask(nil), w.ends...)}
 			for key, began := range w.runs {
-				percent := int(100 * time.Since(began) / p.fleet.taskTime)
+				percent := int(100 * time.Since(began) / c.fleet.taskTime)
 				report.Running = append(report.Running, placing.RunningTask{Task: key.task, Run: key.run, Percent: percent})
 			}
-			p.fleet.lock.Unlock()
+			c.fleet.lock.Unlock()
 			if bornMS != worker.BornMS {
 				return HoldReport{}, &OtherLifeError{BornMS: bornMS}
 			}
 			return report, nil
 		}
-		p.fleet.lock.Unlock()
+		c.fleet.lock.Unlock()
 	}
 }
 
--- a/batch/standby_test.go
+++ b/batch/standby_test.go
@@ -139,7 +139,7 @@
 
 // firstReadStore records when each part was first read from the start.
 type firstReadStore struct {
-	unreachableStore
+	downStore
 	lock      sync.Mutex
 	firstRead map[int]time.Time
 }
--- a/batch/successor_test.go
+++ b/batch/successor_test.go
@@ -37,7 +37,7 @@
 		promise relaypb.Fate
 	}{
 		{"it can", func(*Instance) {}, relaypb.Fate_FATE_DONE},
-		{"the store is down for it too", func(i *Instance) { i.work.store = unreachableStore{} }, relaypb.Fate_FATE_NOT_DONE},
+		{"the store is down for it too", func(i *Instance) { i.work.store = downStore{} }, relaypb.Fate_FATE_NOT_DONE},
 		{"the store is known to be down", func(i *Instance) { i.work.failures = unreachableFailures }, relaypb.Fate_FATE_NOT_DONE},
 		{"too little CPU", func(i *Instance) { i.settings.CPUShare = 0.2 }, relaypb.Fate_FATE_NOT_DONE},
 		{"it is draining", func(i *Instance) { i.Drain() }, relaypb.Fate_FATE_NOT_DONE},
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go relay.Serve(ctx, listener, other.Relayed, nil)
-	leader := newLoadedInstance(t, unreachableStore{}, "a1")
+	leader := newLoadedInstance(t, downStore{}, "a1")
 	record, err := jobs.InstanceRecord("b", jobs.Instance{Address: listener.Addr().String()})
 	is.NoErr(err)
 	leader.applyRecord(t, partOf(record.Subject(), 8), record, nil)
--- a/batch/testfleet_test.go
+++ b/batch/testfleet_test.go
@@ -112,19 +112,15 @@
 	if f.killed[address] || f.workers.isFrozen(address) {
 		return nil, relay.ErrNotSent
 	}
-	leaderEnd, toDelegate := relay.Pipe()
-	toLeader, delegateEnd := relay.Pipe()
-	closeBoth := func() {
-		toDelegate.Close()
-		toLeader.Close()
+	leaderEnd, orders := relay.Pipe()
+	reports, delegateEnd := relay.Pipe()
+	stop := func() {
+		orders.Close()
+		reports.Close()
 	}
-	f.closeStreams[address] = append(f.closeStreams[address], closeBoth)
-	f.sessions.Go(func() {
-		f.pump(address, toDelegate, toLeader, func() proto.Message { return &relaypb.Orders{} }, closeBoth)
-	})
-	f.sessions.Go(func() {
-		f.pump(address, toLeader, toDelegate, func() proto.Message { return &relaypb.Kept{} }, closeBoth)
-	})
+	f.closeStreams[address] = append(f.closeStreams[address], stop)
+	f.sessions.Go(func() { f.pump(address, orders, reports, func() proto.Message { return &relaypb.Orders{} }, stop) })
+	f.sessions.Go(func() { f.pump(address, reports, orders, func() proto.Message { return &relaypb.Kept{} }, stop) })
 	f.sessions.Go(func() {
 		f.instances[address].Keep(f.ctx, request, delegateEnd)
 		delegateEnd.Close()
--- a/batch/wire.go
+++ b/batch/wire.go
@@ -53,7 +53,7 @@
 		message.Reports = append(message.Reports, reportToPB(answer, now, clockOffset))
 	case holdFailure:
 		message.Silent = append(message.Silent, &relaypb.Silence{Worker: answer.worker, LapseIn: timeToLapse(answer.lapseAt, now)})
-	case workerReleased:
+	case release:
 		message.Released = append(message.Released, &relaypb.Silence{Worker: answer.worker, LapseIn: timeToLapse(answer.lapseAt, now)})
 	case incarnationChange:
 		message.Reborn = append(message.Reborn, &relaypb.Rebirth{Worker: answer.worker, BornMs: answer.bornMS})
--- a/batch/writer.go
+++ b/batch/writer.go
@@ -265,9 +265,9 @@
 	records int // without the renewal
 }
 
-func (r groupWrittenEvent) apply(l *leader, now time.Time) {
+func (e groupWrittenEvent) apply(l *leader, now time.Time) {
 	l.writer.pendingGroups--
-	if r.records > 0 {
+	if e.records > 0 {
 		l.engine.Recorded(now)
 	}
 }
