--- a/batch/evacuation_test.go
+++ b/batch/evacuation_test.go
@@ -76,7 +76,7 @@
 	is.Equal(len(instance.evacuations.list()), 0)
 }
 
-// While every zone is evacuated an urgent job is refused for good, with a retry time; other jobs
+// While every zone is evacuated an urgent job gets NotRun with a retry time; other jobs
 // are accepted and wait. A job that was accepted before stays accepted.
 func TestUrgentJobsAreRefusedWhileEveryZoneIsEvacuated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
