--- a/batch/commit.go
+++ b/batch/commit.go
@@ -171,19 +171,19 @@
 // unanswered, a later refusal does not prove that the group had no effect.
 func (c *committer) append(ctx context.Context, group []*commit) error {
 	records := recordsOf(group)
-	unknown := false
+	unanswered := false
 	for try := 0; try < maxCommitTries; try++ {
 		err := c.tryAppend(ctx, records)
 		if err == nil {
 			return nil
 		}
-		if errors.Is(err, ErrNotDone) && !unknown {
+		if errors.Is(err, ErrNotDone) && !unanswered {
 			return ErrNotDone
 		}
 		if errors.Is(err, errStoreUnreachable) {
 			return err
 		}
-		unknown = true
+		unanswered = true
 	}
 	return ErrUnknown
 }
--- a/batch/evacuation.go
+++ b/batch/evacuation.go
@@ -59,24 +59,24 @@
 
 // publish makes the pending zones visible to readers and returns the zones that were added and
 // removed.
-func (e *evacuations) publish() (begun, ended []string) {
+func (e *evacuations) publish() (added, removed []string) {
 	previous := e.list()
 	current := slices.Sorted(maps.Keys(e.pending))
 	e.current.Store(&current)
 	for _, zone := range current {
 		if !slices.Contains(previous, zone) {
-			begun = append(begun, zone)
+			added = append(added, zone)
 		}
 	}
 	for _, zone := range previous {
 		if !slices.Contains(current, zone) {
-			ended = append(ended, zone)
+			removed = append(removed, zone)
 		}
 	}
-	if len(begun)+len(ended) > 0 {
+	if len(added)+len(removed) > 0 {
 		e.changed.Store(true)
 	}
-	return begun, ended
+	return added, removed
 }
 
 // applyEvacuations applies operators' requests to evacuate availability zones.
@@ -86,14 +86,14 @@
 			i.evacuations.set(zone, evacuated)
 		}
 	}
-	begun, ended := i.evacuations.publish()
-	for _, zone := range begun {
+	added, removed := i.evacuations.publish()
+	for _, zone := range added {
 		i.log.WithField("zone", zone).Info("zone_evacuated")
 	}
-	for _, zone := range ended {
+	for _, zone := range removed {
 		i.log.WithField("zone", zone).Info("zone_taken_back")
 	}
-	if len(begun)+len(ended) > 0 {
+	if len(added)+len(removed) > 0 {
 		i.metrics.evacuatedZones.Update(int64(len(i.evacuations.list())))
 		i.fold.wake()
 	}
--- a/batch/instance.go
+++ b/batch/instance.go
@@ -125,8 +125,8 @@
 	if i.progress != nil {
 		i.kernel.AddDuty("progress", i.progress.run)
 	}
-	for _, calls := range i.calls {
-		i.kernel.AddDuty("calls", calls.run)
+	for _, f := range i.calls {
+		i.kernel.AddDuty("calls", f.run)
 	}
 	for _, committer := range i.committers {
 		i.kernel.AddDuty("commit", committer.run)
@@ -292,8 +292,8 @@
 
 // loaded reports whether every followed part has been read completely once.
 func (i *Instance) loaded() bool {
-	for _, calls := range i.calls {
-		if !calls.isLoaded() {
+	for _, f := range i.calls {
+		if !f.isLoaded() {
 			return false
 		}
 	}
@@ -313,16 +313,16 @@
 		return i.work.refresh(ctx, 0)
 	}
 	results := make(chan error, len(i.calls))
-	for _, calls := range i.calls {
-		go func() { results <- calls.refresh(ctx, 0) }()
+	for _, f := range i.calls {
+		go func() { results <- f.refresh(ctx, 0) }()
 	}
-	var failed error
+	var lastErr error
 	for range i.calls {
 		if err := <-results; err != nil {
-			failed = err
+			lastErr = err
 		}
 	}
-	return failed
+	return lastErr
 }
 
 func (i *Instance) newCommitter(part int) *committer {
@@ -348,8 +348,8 @@
 // wakeFollowers makes the followers continue at once at the leader's read intervals.
 func (i *Instance) wakeFollowers() {
 	i.work.wake()
-	for _, calls := range i.calls {
-		calls.wake()
+	for _, f := range i.calls {
+		f.wake()
 	}
 }
 
--- a/batch/leaderstall_test.go
+++ b/batch/leaderstall_test.go
@@ -34,25 +34,25 @@
 	newestDelay time.Duration // duration of a read of all progress
 }
 
-func (w *logClient) setStuck(stuck bool) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	w.stuck = stuck
+func (c *logClient) setStuck(stuck bool) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.stuck = stuck
 }
 
-func (w *logClient) isStuck() bool {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	return w.stuck
+func (c *logClient) isStuck() bool {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return c.stuck
 }
 
-func (w *logClient) Append(ctx context.Context, part int, records []jobs.Record, fence *Fence) error {
-	if part == progressPart(8) && w.isStuck() {
+func (c *logClient) Append(ctx context.Context, part int, records []jobs.Record, fence *Fence) error {
+	if part == progressPart(8) && c.isStuck() {
 		<-ctx.Done()
 		return ErrUnknown
 	}
 	time.Sleep(4 * time.Millisecond)
-	l := w.sharedLog
+	l := c.sharedLog
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if fence != nil {
@@ -69,9 +69,9 @@
 	return nil
 }
 
-func (w *logClient) Read(ctx context.Context, stream Stream, part int, from int64, wait time.Duration) (Batch, error) {
+func (c *logClient) Read(ctx context.Context, stream Stream, part int, from int64, wait time.Duration) (Batch, error) {
 	for until := time.Now().Add(wait); ; time.Sleep(5 * time.Millisecond) {
-		batch := w.readFrom(stream, part, from)
+		batch := c.readFrom(stream, part, from)
 		if len(batch.Records) > 0 || !time.Now().Before(until) || ctx.Err() != nil {
 			time.Sleep(time.Millisecond)
 			return batch, ctx.Err()
@@ -79,16 +79,16 @@
 	}
 }
 
-func (w *logClient) Newest(ctx context.Context, stream Stream, part int) (Batch, error) {
+func (c *logClient) Newest(ctx context.Context, stream Stream, part int) (Batch, error) {
 	if stream == StreamWork && part == progressPart(8) {
 		select {
 		case <-ctx.Done():
 			return Batch{}, ctx.Err()
-		case <-time.After(w.newestDelay):
+		case <-time.After(c.newestDelay):
 		}
 	}
 	time.Sleep(time.Millisecond)
-	return w.readFrom(stream, part, 0), ctx.Err()
+	return c.readFrom(stream, part, 0), ctx.Err()
 }
 
 func (l *sharedLog) readFrom(stream Stream, part int, from int64) Batch {
@@ -132,13 +132,13 @@
 }
 
 // withTwoInstances runs a test with the instances a and b.
-func withTwoInstances(t *testing.T, prepare func(h *twoInstances), test func(h *twoInstances, is *is.I)) {
+func withTwoInstances(t *testing.T, prepare func(instances *twoInstances), test func(instances *twoInstances, is *is.I)) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newSimWorkers(4, time.Second)
 		log := &sharedLog{fleet: fleet, parts: map[int][]jobs.Record{}, fences: map[int]Fence{}}
-		h := &twoInstances{fleet: fleet, clients: map[string]*logClient{}, instances: map[string]*Instance{}}
+		instances := &twoInstances{fleet: fleet, clients: map[string]*logClient{}, instances: map[string]*Instance{}}
 		for _, name := range []string{"a", "b"} {
-			h.clients[name] = &logClient{sharedLog: log}
+			instances.clients[name] = &logClient{sharedLog: log}
 			record, err := jobs.InstanceRecord(name, jobs.Instance{Address: "127.0.0.1:1", CPUShare: 1})
 			if err != nil {
 				t.Fatal(err)
@@ -146,30 +146,30 @@
 			part := partOf(record.Subject(), 8)
 			log.parts[part] = append(log.parts[part], record)
 		}
-		prepare(h)
+		prepare(instances)
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		defer running.Wait()
 		defer cancel()
 		for _, name := range []string{"a", "b"} {
-			instance := New(Settings{Name: name, StoreParts: 8, CPUShare: 1}, h.clients[name], fleetDecoder{fleet: fleet}, &simClient{fleet: fleet, instance: name}, metrics.NewRegistry(), discardLog())
+			instance := New(Settings{Name: name, StoreParts: 8, CPUShare: 1}, instances.clients[name], fleetDecoder{fleet: fleet}, &simClient{fleet: fleet, instance: name}, metrics.NewRegistry(), discardLog())
 			instance.bounds = newBounds(simBounds)
 			useTestClock(instance.clock)
 			instance.config.Store(&Config{Version: 1, Pools: []string{"pool"}})
-			h.instances[name] = instance
+			instances.instances[name] = instance
 			for _, duty := range append([]*follower{instance.operator, instance.work, instance.progress}, instance.calls...) {
 				running.Go(func() { duty.run(ctx) })
 			}
 			running.Go(func() { instance.leaderDuty(ctx) })
 		}
 		time.Sleep(5 * time.Second)
-		test(h, is.New(t))
+		test(instances, is.New(t))
 	})
 }
 
 // leader returns the name of the instance that leads and has begun to place; empty if none has.
-func (h *twoInstances) leader() string {
-	for name, instance := range h.instances {
+func (t *twoInstances) leader() string {
+	for name, instance := range t.instances {
 		if instance.leading.Load() && instance.metrics.leading.Value() == 1 {
 			return name
 		}
@@ -178,8 +178,8 @@
 }
 
 // leaderAndStandby returns the names of the instance that leads and of the other one.
-func (h *twoInstances) leaderAndStandby(is *is.I) (leader, standby string) {
-	leader = h.leader()
+func (t *twoInstances) leaderAndStandby(is *is.I) (leader, standby string) {
+	leader = t.leader()
 	is.True(leader != "")
 	if leader == "a" {
 		return "a", "b"
@@ -187,9 +187,9 @@
 	return "b", "a"
 }
 
-func (h *twoInstances) becomesLeader(name string, within time.Duration) bool {
+func (t *twoInstances) becomesLeader(name string, within time.Duration) bool {
 	for begin := time.Now(); time.Since(begin) < within; time.Sleep(50 * time.Millisecond) {
-		if h.leader() == name {
+		if t.leader() == name {
 			return true
 		}
 	}
@@ -197,20 +197,20 @@
 }
 
 // submit submits a job of one task through an instance.
-func (h *twoInstances) submit(instance, id string, is *is.I) {
+func (t *twoInstances) submit(instance, id string, is *is.I) {
 	submission := &jobs.Submission{ID: id, Queue: jobs.Queue{Name: "q", Pool: "pool", MaxAttempts: 4, Stretch: 3, TargetMS: 1000}}
 	submission.Steps = []jobs.Step{{Tasks: 1, EstimateMS: 1000, Need: jobs.Resources{MilliCores: 1000, MemoryMB: 100, Accelerators: 8}}}
 	record, err := jobs.SubmissionRecord(submission)
 	is.NoErr(err)
-	is.NoErr(h.clients[instance].Append(context.Background(), partOf(id, 8), []jobs.Record{record}, nil))
+	is.NoErr(t.clients[instance].Append(context.Background(), partOf(id, 8), []jobs.Record{record}, nil))
 }
 
 // startsWithin reports whether the task of a job is started within a time.
-func (h *twoInstances) startsWithin(id string, within time.Duration) bool {
+func (t *twoInstances) startsWithin(id string, within time.Duration) bool {
 	for begin := time.Now(); time.Since(begin) < within; time.Sleep(50 * time.Millisecond) {
-		h.fleet.lock.Lock()
-		started := h.fleet.newestRun[jobs.TaskKey{Job: id}] > 0
-		h.fleet.lock.Unlock()
+		t.fleet.lock.Lock()
+		started := t.fleet.newestRun[jobs.TaskKey{Job: id}] > 0
+		t.fleet.lock.Unlock()
 		if started {
 			return true
 		}
@@ -221,36 +221,36 @@
 // An instance that wins the term and cannot write progress must not keep the term from an instance
 // that can.
 func TestTermMovesWhenItsLeaderCannotStart(t *testing.T) {
-	withTwoInstances(t, func(h *twoInstances) { h.clients["a"].setStuck(true) }, func(h *twoInstances, is *is.I) {
-		is.True(h.becomesLeader("b", failoverTimeout))
-		h.submit("a", "a1", is)
-		is.True(h.startsWithin("a1", maxTaskWait))
+	withTwoInstances(t, func(instances *twoInstances) { instances.clients["a"].setStuck(true) }, func(instances *twoInstances, is *is.I) {
+		is.True(instances.becomesLeader("b", failoverTimeout))
+		instances.submit("a", "a1", is)
+		is.True(instances.startsWithin("a1", maxTaskWait))
 	})
 }
 
 // A leader that can only not write progress renews its term but starts nothing, so another
 // instance must take over.
 func TestJobStartsAfterLeaderLosesProgressWrites(t *testing.T) {
-	withTwoInstances(t, func(*twoInstances) {}, func(h *twoInstances, is *is.I) {
-		first, other := h.leaderAndStandby(is)
-		h.submit(other, "a1", is)
-		is.True(h.startsWithin("a1", maxTaskWait))
-		h.clients[first].setStuck(true)
-		h.submit(other, "a2", is)
-		is.True(h.startsWithin("a2", failoverTimeout))
+	withTwoInstances(t, func(*twoInstances) {}, func(instances *twoInstances, is *is.I) {
+		first, other := instances.leaderAndStandby(is)
+		instances.submit(other, "a1", is)
+		is.True(instances.startsWithin("a1", maxTaskWait))
+		instances.clients[first].setStuck(true)
+		instances.submit(other, "a2", is)
+		is.True(instances.startsWithin("a2", failoverTimeout))
 	})
 }
 
 // Reading all progress takes longer than prepareTimeout, the time in which a new leader has to
 // begin.
 func TestTermIsTakenOverDespiteSlowProgressRead(t *testing.T) {
-	prepare := func(h *twoInstances) {
-		for _, client := range h.clients {
+	prepare := func(instances *twoInstances) {
+		for _, client := range instances.clients {
 			client.newestDelay = 2 * prepareTimeout
 		}
 	}
-	withTwoInstances(t, prepare, func(h *twoInstances, is *is.I) {
-		for begin := time.Now(); h.leader() == ""; time.Sleep(50 * time.Millisecond) {
+	withTwoInstances(t, prepare, func(instances *twoInstances, is *is.I) {
+		for begin := time.Now(); instances.leader() == ""; time.Sleep(50 * time.Millisecond) {
 			is.True(time.Since(begin) < failoverTimeout)
 		}
 	})
--- a/batch/testfleet_test.go
+++ b/batch/testfleet_test.go
@@ -112,15 +112,15 @@
 	if f.killed[address] || f.workers.isFrozen(address) {
 		return nil, relay.ErrNotSent
 	}
-	leaderEnd, orders := relay.Pipe()
-	reports, delegateEnd := relay.Pipe()
+	leaderEnd, toLeader := relay.Pipe()
+	toDelegate, delegateEnd := relay.Pipe()
 	stop := func() {
-		orders.Close()
-		reports.Close()
+		toLeader.Close()
+		toDelegate.Close()
 	}
 	f.closeStreams[address] = append(f.closeStreams[address], stop)
-	f.sessions.Go(func() { f.pump(address, orders, reports, func() proto.Message { return &relaypb.Orders{} }, stop) })
-	f.sessions.Go(func() { f.pump(address, reports, orders, func() proto.Message { return &relaypb.Kept{} }, stop) })
+	f.sessions.Go(func() { f.pump(address, toLeader, toDelegate, func() proto.Message { return &relaypb.Orders{} }, stop) })
+	f.sessions.Go(func() { f.pump(address, toDelegate, toLeader, func() proto.Message { return &relaypb.Kept{} }, stop) })
 	f.sessions.Go(func() {
 		f.instances[address].Keep(f.ctx, request, delegateEnd)
 		delegateEnd.Close()
