--- a/batch/stalltakeover_test.go
+++ b/batch/stalltakeover_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-func (h *twoInstances) setStuck(stuck bool) {
-	for _, way := range h.clients {
+func (t *twoInstances) setStuck(stuck bool) {
+	for _, way := range t.clients {
 		way.setStuck(stuck)
 	}
 }
