--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -91,7 +91,7 @@
 // the instances say.
 const evacuateWithin = 5 * time.Second
 
-// zoneOfWorker is the availability zone of a machine or an instance, by the number at the end of
+// zoneOf is the availability zone of a machine or an instance, by the number at the end of
 // its name.
 func zoneOf(name string) string {
 	if last := name[len(name)-1]; last%2 == 0 {
--- a/instance/term.go
+++ b/instance/term.go
@@ -10,7 +10,7 @@
 
 const (
 	claimTermAgain = time.Second
-	// latencyWeight is how many term timeouts the first instance in line is
+	// patienceShare is how many term timeouts the first instance in line is
 	// given before any other claims the term in its place.
 	patienceShare = 3
 )
