--- /dev/null
+++ b/batch/leaderstall_test.go
@@ -0,0 +1,257 @@
+package batch
+
+import (
+	"context"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/matryer/is"
+	"github.com/rcrowley/go-metrics"
+
+	"github.com/teaselcleat/teaselcleat/jobs"
+	"github.com/teaselcleat/teaselcleat/placing"
+)
+
+// failoverTimeout bounds how long an instance that cannot place tasks may hold the term while
+// another instance can.
+const failoverTimeout = 30 * time.Second
+
+// sharedLog is the work stream and the worker list shared by all instances.
+type sharedLog struct {
+	fleet  *simWorkers
+	lock   sync.Mutex
+	parts  map[int][]jobs.Record
+	fences map[int]Fence // newest fence of each part
+}
+
+// logClient is one instance's access to the shared log.
+type logClient struct {
+	*sharedLog
+	lock        sync.Mutex
+	stuck       bool          // appends of progress are neither answered nor carried out
+	newestDelay time.Duration // duration of a read of all progress
+}
+
+func (c *logClient) setStuck(stuck bool) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.stuck = stuck
+}
+
+func (c *logClient) isStuck() bool {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return c.stuck
+}
+
+func (c *logClient) Append(ctx context.Context, part int, records []jobs.Record, fence *Fence) error {
+	if part == progressPart(8) && c.isStuck() {
+		<-ctx.Done()
+		return ErrUnknown
+	}
+	time.Sleep(4 * time.Millisecond)
+	l := c.sharedLog
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	if fence != nil {
+		newest := l.fences[part]
+		if fence.Epoch == newest.Epoch && fence.Sequence == newest.Sequence {
+			return nil
+		}
+		if fence.Epoch < newest.Epoch || fence.Epoch == newest.Epoch && fence.Sequence != newest.Sequence+1 {
+			return ErrFenced
+		}
+		l.fences[part] = *fence
+	}
+	l.parts[part] = append(l.parts[part], records...)
+	return nil
+}
+
+func (c *logClient) Read(ctx context.Context, stream Stream, part int, from int64, wait time.Duration) (Batch, error) {
+	for until := time.Now().Add(wait); ; time.Sleep(5 * time.Millisecond) {
+		batch := c.readFrom(stream, part, from)
+		if len(batch.Records) > 0 || !time.Now().Before(until) || ctx.Err() != nil {
+			time.Sleep(time.Millisecond)
+			return batch, ctx.Err()
+		}
+	}
+}
+
+func (c *logClient) Newest(ctx context.Context, stream Stream, part int) (Batch, error) {
+	if stream == StreamWork && part == progressPart(8) {
+		select {
+		case <-ctx.Done():
+			return Batch{}, ctx.Err()
+		case <-time.After(c.newestDelay):
+		}
+	}
+	time.Sleep(time.Millisecond)
+	return c.readFrom(stream, part, 0), ctx.Err()
+}
+
+func (l *sharedLog) readFrom(stream Stream, part int, from int64) Batch {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	batch := Batch{Next: from}
+	if stream == StreamWorkers && from == 0 {
+		for id := range l.fleet.entries() {
+			batch.Records = append(batch.Records, jobs.Record{Key: id})
+			batch.Offsets = append(batch.Offsets, batch.Next)
+			batch.Next++
+		}
+	}
+	if stream != StreamWork {
+		return batch
+	}
+	for offset := from; offset < int64(len(l.parts[part])); offset++ {
+		batch.Records = append(batch.Records, l.parts[part][offset])
+		batch.Offsets = append(batch.Offsets, offset)
+		batch.Next = offset + 1
+	}
+	return batch
+}
+
+// fleetDecoder decodes the entries of simulated workers.
+type fleetDecoder struct {
+	Decoder
+	fleet *simWorkers
+}
+
+func (d fleetDecoder) Worker(record jobs.Record) (placing.WorkerEntry, bool, error) {
+	entry, found := d.fleet.entries()[record.Key]
+	return entry, !found, nil
+}
+
+// twoInstances is two instances that share a log and elect a leader.
+type twoInstances struct {
+	fleet     *simWorkers
+	clients   map[string]*logClient
+	instances map[string]*Instance
+}
+
+// withTwoInstances runs a test with the instances a and b.
+func withTwoInstances(t *testing.T, prepare func(instances *twoInstances), test func(instances *twoInstances, is *is.I)) {
+	synctest.Test(t, func(t *testing.T) {
+		fleet := newSimWorkers(4, time.Second)
+		log := &sharedLog{fleet: fleet, parts: map[int][]jobs.Record{}, fences: map[int]Fence{}}
+		instances := &twoInstances{fleet: fleet, clients: map[string]*logClient{}, instances: map[string]*Instance{}}
+		for _, name := range []string{"a", "b"} {
+			instances.clients[name] = &logClient{sharedLog: log}
+			record, err := jobs.InstanceRecord(name, jobs.Instance{Address: "127.0.0.1:1", CPUShare: 1})
+			if err != nil {
+				t.Fatal(err)
+			}
+			part := partOf(record.Subject(), 8)
+			log.parts[part] = append(log.parts[part], record)
+		}
+		prepare(instances)
+		ctx, cancel := context.WithCancel(t.Context())
+		var running sync.WaitGroup
+		defer running.Wait()
+		defer cancel()
+		for _, name := range []string{"a", "b"} {
+			instance := New(Settings{Name: name, StoreParts: 8, CPUShare: 1}, instances.clients[name], fleetDecoder{fleet: fleet}, &simClient{fleet: fleet, instance: name}, metrics.NewRegistry(), discardLog())
+			instance.bounds = newBounds(simBounds)
+			useTestClock(instance.clock)
+			instance.config.Store(&Config{Version: 1, Pools: []string{"pool"}})
+			instances.instances[name] = instance
+			for _, duty := range append([]*follower{instance.operator, instance.work, instance.progress}, instance.calls...) {
+				running.Go(func() { duty.run(ctx) })
+			}
+			running.Go(func() { instance.leaderDuty(ctx) })
+		}
+		time.Sleep(5 * time.Second)
+		test(instances, is.New(t))
+	})
+}
+
+// leader returns the name of the instance that leads and has begun to place; empty if none has.
+func (t *twoInstances) leader() string {
+	for name, instance := range t.instances {
+		if instance.leading.Load() && instance.metrics.leading.Value() == 1 {
+			return name
+		}
+	}
+	return ""
+}
+
+// leaderAndStandby returns the names of the instance that leads and of the other one.
+func (t *twoInstances) leaderAndStandby(is *is.I) (leader, standby string) {
+	leader = t.leader()
+	is.True(leader != "")
+	if leader == "a" {
+		return "a", "b"
+	}
+	return "b", "a"
+}
+
+func (t *twoInstances) becomesLeader(name string, within time.Duration) bool {
+	for begin := time.Now(); time.Since(begin) < within; time.Sleep(50 * time.Millisecond) {
+		if t.leader() == name {
+			return true
+		}
+	}
+	return false
+}
+
+// submit submits a job of one task through an instance.
+func (t *twoInstances) submit(instance, id string, is *is.I) {
+	submission := &jobs.Submission{ID: id, Queue: jobs.Queue{Name: "q", Pool: "pool", MaxAttempts: 4, Stretch: 3, TargetMS: 1000}}
+	submission.Steps = []jobs.Step{{Tasks: 1, EstimateMS: 1000, Need: jobs.Resources{MilliCores: 1000, MemoryMB: 100, Accelerators: 8}}}
+	record, err := jobs.SubmissionRecord(submission)
+	is.NoErr(err)
+	is.NoErr(t.clients[instance].Append(context.Background(), partOf(id, 8), []jobs.Record{record}, nil))
+}
+
+// startsWithin reports whether the task of a job is started within a time.
+func (t *twoInstances) startsWithin(id string, within time.Duration) bool {
+	for begin := time.Now(); time.Since(begin) < within; time.Sleep(50 * time.Millisecond) {
+		t.fleet.lock.Lock()
+		started := t.fleet.newestRun[jobs.TaskKey{Job: id}] > 0
+		t.fleet.lock.Unlock()
+		if started {
+			return true
+		}
+	}
+	return false
+}
+
+// An instance that wins the term and cannot write progress must not keep the term from an instance
+// that can.
+func TestTermMovesWhenItsLeaderCannotStart(t *testing.T) {
+	withTwoInstances(t, func(instances *twoInstances) { instances.clients["a"].setStuck(true) }, func(instances *twoInstances, is *is.I) {
+		is.True(instances.becomesLeader("b", failoverTimeout))
+		instances.submit("a", "a1", is)
+		is.True(instances.startsWithin("a1", maxTaskWait))
+	})
+}
+
+// A leader that can only not write progress renews its term but starts nothing, so another
+// instance must take over.
+func TestJobStartsAfterLeaderLosesProgressWrites(t *testing.T) {
+	withTwoInstances(t, func(*twoInstances) {}, func(instances *twoInstances, is *is.I) {
+		first, other := instances.leaderAndStandby(is)
+		instances.submit(other, "a1", is)
+		is.True(instances.startsWithin("a1", maxTaskWait))
+		instances.clients[first].setStuck(true)
+		instances.submit(other, "a2", is)
+		is.True(instances.startsWithin("a2", failoverTimeout))
+	})
+}
+
+// Reading all progress takes longer than prepareTimeout, the time in which a new leader has to
+// begin.
+func TestTermIsTakenOverDespiteSlowProgressRead(t *testing.T) {
+	prepare := func(instances *twoInstances) {
+		for _, client := range instances.clients {
+			client.newestDelay = 2 * prepareTimeout
+		}
+	}
+	withTwoInstances(t, prepare, func(instances *twoInstances, is *is.I) {
+		for begin := time.Now(); instances.leader() == ""; time.Sleep(50 * time.Millisecond) {
+			is.True(time.Since(begin) < failoverTimeout)
+		}
+	})
+}
--- a/batch/order_test.go
+++ b/batch/order_test.go
@@ -17,12 +17,12 @@
 	"github.com/teaselcleat/teaselcleat/ring"
 )
 
-// scriptedWorkers answers starts and stops as told, one after the other. A nil
-// function leaves the call without an answer.
+// scriptedWorkers answers calls with the given functions, one after the other. A nil function leaves
+// the call without an answer.
 type scriptedWorkers struct {
 	answers []func() error
 	calls   int
-	acks    []int64 // that holds carried
+	acks    []int64 // received with holds
 }
 
 func (w *scriptedWorkers) answer(ctx context.Context) error {
@@ -58,7 +58,7 @@
 
 func (w *scriptedWorkers) Forget(placing.WorkerEntry) {}
 
-func taken() error { return nil }
+func accept() error { return nil }
 
 func refusedFor(refusal Refusal) func() error {
 	return func() error { return &OrderError{Refusal: refusal} }
@@ -70,15 +70,15 @@
 	logger.SetOutput(io.Discard)
 	instance := &Instance{workers: workers, metrics: newInstruments(metrics.NewRegistry()), bounds: newBounds(Bounds{})}
 	instance.clock = NewClock()
-	virtual(instance.clock)
-	host := instance.newLinkHost(1, logrus.NewEntry(logger))
+	useTestClock(instance.clock)
+	env := instance.newLinkEnv(1, logrus.NewEntry(logger))
 	answers := ring.New[event](16)
-	host.report = func(ctx context.Context, answer event) { answers.Put(ctx, answer) }
-	return newLink(host, placing.WorkerEntry{ID: "w"}), workers, answers
+	env.report = func(ctx context.Context, answer event) { answers.Put(ctx, answer) }
+	return newLink(env, placing.WorkerEntry{ID: "w"}), workers, answers
 }
 
-// A start without an answer is sent again: an order may be lost or come late,
-// and a gang whose other members wait would have to begin anew.
+// An unanswered start is retried: an order may be lost or late, and a gang whose other members wait
+// would have to start over.
 func TestStartIsSentAgainUntilItIsAnswered(t *testing.T) {
 	refused := refusedFor(RefusedRoom)
 	for _, c := range []struct {
@@ -87,12 +87,12 @@
 		result  placing.StartResult
 		calls   int
 	}{
-		{"answered at once", []func() error{taken}, placing.StartAccepted, 1},
-		{"second is answered", []func() error{nil, taken}, placing.StartAccepted, 2},
-		{"none is answered", []func() error{nil}, placing.StartUnknown, orderTries},
+		{"answered at once", []func() error{accept}, placing.StartAccepted, 1},
+		{"second is answered", []func() error{nil, accept}, placing.StartAccepted, 2},
+		{"none is answered", []func() error{nil}, placing.StartUnknown, maxOrderAttempts},
 		{"refused at once", []func() error{refused}, placing.StartNoRoom, 1},
-		// The first may yet be carried out, so the run is not known to be off.
-		{"refused after one that stays open", []func() error{nil, refused}, placing.StartUnknown, 2},
+		// The first attempt may still be carried out, so the run is not known to be refused.
+		{"refused after an unanswered one", []func() error{nil, refused}, placing.StartUnknown, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -101,71 +101,71 @@
 				link.startRun(t.Context(), placing.Start{Worker: "w", Run: 1}, false, nil)
 				answer, ok := answers.TryTake()
 				is.True(ok)
-				is.Equal(answer.(startAnswered).result, c.result)
+				is.Equal(answer.(startReply).result, c.result)
 				is.Equal(workers.calls, c.calls)
 			})
 		})
 	}
 }
 
-// A hold that was sent before a stop was taken does not tell whether the run is
-// over, and may have been lost: it is given up for a new one.
-func TestOlderHoldGivesWayToALook(t *testing.T) {
+// A hold sent before a stop was accepted does not show whether the run is over, and may have been
+// lost. It is cancelled in favor of a new one.
+func TestOlderHoldIsCancelledForANewReport(t *testing.T) {
 	is := is.New(t)
-	link, _, _ := scriptedLink(taken)
+	link, _, _ := scriptedLink(accept)
 	sent := time.Unix(100, 0)
 	ctx, end := context.WithCancelCause(t.Context())
-	link.holding(sent, end)
-	link.look(sent.Add(-time.Millisecond))
+	link.setHold(sent, end)
+	link.requestReport(sent.Add(-time.Millisecond))
 	is.NoErr(ctx.Err()) // the hold is newer
-	link.look(sent.Add(time.Millisecond))
-	is.Equal(context.Cause(ctx), errLook)
+	link.requestReport(sent.Add(time.Millisecond))
+	is.Equal(context.Cause(ctx), errHoldSuperseded)
 }
 
-// An instance that none of the others answers counts as cut off, until one does
-// or some time has passed.
+// An instance that gets no answer from any other counts as isolated, until one answers or some time
+// has passed.
 func TestInstanceThatNobodyAnswersIsAlone(t *testing.T) {
 	is := is.New(t)
-	h := newHelpers(NewClock())
-	h.count(false)
-	is.True(!h.alone()) // one may be down
-	h.count(false)
-	is.True(h.alone())
-	h.count(true)
-	is.True(!h.alone())
-	h.count(false)
-	h.count(false)
-	h.failedAt = h.clock.Now().Add(-aloneFor)
-	is.True(!h.alone()) // they are asked again
+	p := newPeers(NewClock())
+	p.recordCall(false)
+	is.True(!p.isolated()) // one of them may be down
+	p.recordCall(false)
+	is.True(p.isolated())
+	p.recordCall(true)
+	is.True(!p.isolated())
+	p.recordCall(false)
+	p.recordCall(false)
+	p.failedAt = p.clock.Now().Add(-isolationDuration)
+	is.True(!p.isolated()) // calls are allowed again
 }
 
-// Where this instance is so slow that answers take a second, orders are given
-// longer, as repeats would make it slower still.
+// On an instance so slow that answers take a second, orders get a longer timeout, as retries would
+// make it slower still.
 func TestOrdersArePatientWhereAnswersAreSlow(t *testing.T) {
 	is := is.New(t)
-	p := patience{least: orderTimeout}
-	is.Equal(p.usualLimit(), orderTimeout)
+	timeout := adaptiveTimeout{minimum: minOrderTimeout}
+	is.Equal(timeout.currentIgnoringLosses(), minOrderTimeout)
 	for range 20 {
-		p.answered(400 * time.Millisecond)
+		timeout.observe(400 * time.Millisecond)
 	}
-	is.True(p.usualLimit() > time.Second)
-	p.lost()
-	is.True(p.usualLimit() <= patienceMost)
+	is.True(timeout.currentIgnoringLosses() > time.Second)
+	timeout.recordLoss()
+	is.True(timeout.currentIgnoringLosses() <= maxCallTimeout)
 }
 
-// On a slow instance starts wait for a slot. One whose run is stopped meanwhile
-// is never sent: its job may have been cancelled seconds ago. If a try is open
-// already, the run may yet begin, and the stop settles it.
+// On a slow instance starts wait for a slot. A start whose run is stopped meanwhile is never sent, as
+// its job may have been cancelled seconds ago. If an attempt is already in flight, the run may still
+// begin, and the stop ends it.
 func TestStartThatIsNotWantedAnyMoreIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		link, workers, answers := scriptedLink(taken)
+		link, workers, answers := scriptedLink(accept)
 		link.ctx = ctx
-		links := newLinkSet(ctx, link.host, &sync.WaitGroup{})
+		links := newLinkSet(ctx, link.env, &sync.WaitGroup{})
 		links.links["w"] = link
-		for range orderSlots {
-			link.host.orders <- struct{}{} // all are in use
+		for range maxConcurrentOrders {
+			link.env.orderSlots <- struct{}{} // all slots are in use
 		}
 		task := jobs.TaskKey{Job: "a1"}
 		links.start(placing.Start{Task: task, Worker: "w", Run: 1}, false)
@@ -174,10 +174,10 @@
 		synctest.Wait()
 		answer, ok := answers.TryTake()
 		is.True(ok)
-		is.Equal(answer.(startAnswered).result, placing.StartRefused)
+		is.Equal(answer.(startReply).result, placing.StartRefused)
 		is.Equal(workers.calls, 0)
 		is.Equal(startResult(true, errWithdrawn), placing.StartUnknown)
 		cancel()
-		links.running.Wait()
+		links.wg.Wait()
 	})
 }
--- a/batch/outage_test.go
+++ b/batch/outage_test.go
@@ -14,66 +14,65 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// cuttingStore answers until it is away; then reads that wait are cut, and what is
-// sent stays without an answer.
-type cuttingStore struct {
+// failingStore answers until it is down. Then waiting reads fail, and appends stay unanswered.
+type failingStore struct {
 	Store
-	away    chan struct{}
+	down    chan struct{}
 	appends atomic.Int64
 	reads   atomic.Int64
 }
 
-func (s *cuttingStore) isAway() bool {
+func (s *failingStore) isDown() bool {
 	select {
-	case <-s.away:
+	case <-s.down:
 		return true
 	default:
 		return false
 	}
 }
 
-func (s *cuttingStore) Read(ctx context.Context, _ Stream, _ int, from int64, wait time.Duration) (Batch, error) {
+func (s *failingStore) Read(ctx context.Context, _ Stream, _ int, from int64, wait time.Duration) (Batch, error) {
 	s.reads.Add(1)
-	if !s.isAway() {
+	if !s.isDown() {
 		select {
 		case <-time.After(wait + time.Millisecond):
 			return Batch{Next: from}, nil
 		case <-ctx.Done():
 			return Batch{}, ctx.Err()
-		case <-s.away:
+		case <-s.down:
 		}
 	}
 	return Batch{}, eris.New("connection reset")
 }
 
-func (s *cuttingStore) Append(context.Context, int, []jobs.Record, *Fence) error {
+func (s *failingStore) Append(context.Context, int, []jobs.Record, *Fence) error {
 	s.appends.Add(1)
-	if s.isAway() {
+	if s.isDown() {
 		return ErrUnknown
 	}
 	return nil
 }
 
-// When the store goes away for all, an instance learns of it from whichever read is
-// cut first. What is handed in after that was not sent anywhere: it certainly does
-// not run, and its caller hears when to come back in place of an open answer.
+// When the store goes down for all instances, an instance notices by the first read that fails. A job
+// submitted after that is not sent to the store: it certainly does not run, and its caller is
+// told when to retry instead of getting an undecided answer.
 func TestHandInRightAfterTheStoreWentAwayIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		store := &cuttingStore{away: make(chan struct{})}
-		instance := standbyOf(t, store, "a1")
-		virtual(instance.clock)
+		store := &failingStore{down: make(chan struct{})}
+		instance := newLoadedInstance(t, store, "a1")
+		useTestClock(instance.clock)
 		for _, follower := range append([]*follower{instance.operator, instance.work}, instance.calls...) {
 			follower.loaded = true
-			follower.contact, follower.heard = time.Time{}, time.Time{}
-			follower.touch(instance.clock.Now())
+			follower.contactAt, follower.answeredAt = time.Time{}, time.Time{}
+			follower.recordAnswer(instance.clock.Now())
 		}
 		for _, committer := range instance.committers {
 			go committer.run(ctx)
 		}
-		// Its own parts are in a pause after records; only the configuration is waited for.
+		// The parts are in a pause after records; only the read of the configuration is waiting.
 		go instance.operator.run(ctx)
 		for number := range 10 {
 			time.Sleep(10 * time.Millisecond)
@@ -82,8 +81,8 @@
 		}
 		sent, reads := store.appends.Load(), store.reads.Load()
 		is.Equal(sent, int64(10))
-		is.True(reads <= 2) // none for the hand-ins while all is well
-		close(store.away)
+		is.True(reads <= 2) // submissions cause no reads while the store is up
+		close(store.down)
 		time.Sleep(5 * time.Millisecond)
 		for number := range 10 {
 			outcome := instance.Submit(ctx, &jobs.Submission{ID: "c" + string(rune('0'+number)), Steps: []jobs.Step{{Tasks: 1}}})
@@ -94,49 +93,49 @@
 	})
 }
 
-// lateStore answers no append and carries each out after a time of its own.
+// lateStore answers no append and carries each one out after a delay.
 type lateStore struct {
 	Store
-	lock  sync.Mutex
-	late  []time.Duration // of each append, the last for all others
-	never string          // key of a record that is not carried out in time
-	sent  int
-	known map[string]bool
+	lock         sync.Mutex
+	delays       []time.Duration // by append; the last one holds for all others
+	neverWritten string          // key of a record that is not written in time
+	sent         int
+	written      map[string]bool
 }
 
 func (s *lateStore) Append(ctx context.Context, _ int, records []jobs.Record, _ *Fence) error {
 	s.lock.Lock()
-	late := s.late[min(s.sent, len(s.late)-1)]
-	if records[0].Key == s.never {
-		late = 20 * time.Second
+	delay := s.delays[min(s.sent, len(s.delays)-1)]
+	if records[0].Key == s.neverWritten {
+		delay = 20 * time.Second
 	}
 	s.sent++
 	s.lock.Unlock()
-	time.AfterFunc(late, func() {
+	time.AfterFunc(delay, func() {
 		s.lock.Lock()
 		defer s.lock.Unlock()
 		for _, record := range records {
-			s.known[record.Key] = true
+			s.written[record.Key] = true
 		}
 	})
 	<-ctx.Done()
 	return ErrUnknown
 }
 
-func (s *lateStore) holds(_ context.Context, records []jobs.Record) (bool, error) {
+func (s *lateStore) contains(_ context.Context, records []jobs.Record) (bool, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for _, record := range records {
-		if !s.known[record.Key] {
+		if !s.written[record.Key] {
 			return false, nil
 		}
 	}
 	return true, nil
 }
 
-// A store that loses answers and carries appends out seconds late takes one of
-// several in time: the caller waits for it and is told the truth, while others are
-// not held up. Once the caller has left, nothing more is sent.
+// A store that loses answers and carries appends out seconds late completes one of several in time:
+// the caller waits for it and gets the true result, while other callers are not delayed. Once
+// the caller has left, nothing more is sent.
 func TestLateAppendIsFoundOutWhileItsCallerWaits(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -152,17 +151,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx, cancel := context.WithCancel(t.Context())
-				store := &lateStore{late: c.late, known: map[string]bool{}}
-				made := newCommitter(store, NewClock(), 1)
-				virtual(made.clock)
-				made.readBack = store.holds
-				go made.run(ctx)
-				call, left := context.WithTimeout(ctx, 2850*time.Millisecond)
-				begin := time.Now()
-				fate := made.write(call, jobs.CancelRecord("a"))
-				is.Equal(fate, c.fate)
-				is.True(time.Since(begin) <= c.by)
-				left()
+				store := &lateStore{delays: c.late, written: map[string]bool{}}
+				committer := newCommitter(store, NewClock(), 1)
+				useTestClock(committer.clock)
+				committer.readBack = store.contains
+				go committer.run(ctx)
+				callCtx, cancelCall := context.WithTimeout(ctx, 2850*time.Millisecond)
+				start := time.Now()
+				err := committer.write(callCtx, jobs.CancelRecord("a"))
+				is.Equal(err, c.fate)
+				is.True(time.Since(start) <= c.by)
+				cancelCall()
 				time.Sleep(time.Second)
 				sent := store.sent
 				time.Sleep(5 * time.Second)
@@ -175,39 +174,39 @@
 	}
 }
 
-// A group that is not answered does not hold up the next for long.
+// A group without an answer delays the next one only briefly.
 func TestGroupsOvertakeOneWithoutAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		store := &lateStore{late: []time.Duration{0}, never: jobs.CancelRecord("first").Key, known: map[string]bool{}}
-		made := newCommitter(store, NewClock(), 1)
-		virtual(made.clock)
-		made.readBack = store.holds
-		go made.run(ctx)
-		go func() { _ = made.write(ctx, jobs.CancelRecord("first")) }()
+		store := &lateStore{delays: []time.Duration{0}, neverWritten: jobs.CancelRecord("first").Key, written: map[string]bool{}}
+		committer := newCommitter(store, NewClock(), 1)
+		useTestClock(committer.clock)
+		committer.readBack = store.contains
+		go committer.run(ctx)
+		go func() { _ = committer.write(ctx, jobs.CancelRecord("first")) }()
 		time.Sleep(time.Millisecond)
 		begin := time.Now()
-		is.NoErr(made.write(ctx, jobs.CancelRecord("second")))
-		is.True(time.Since(begin) < 2*overtakeAfter)
+		is.NoErr(committer.write(ctx, jobs.CancelRecord("second")))
+		is.True(time.Since(begin) < 2*overtakeDelay)
 		cancel()
 		time.Sleep(25 * time.Second)
 	})
 }
 
-// slowStore works on one append at a time, each of which takes long, as reads do.
+// slowStore carries out one append at a time, each of which is slow, as are its reads.
 type slowStore struct {
 	Store
 	busy    chan struct{}
 	appends atomic.Int64
 }
 
-const slowAnswer = 300 * time.Millisecond
+const slowLatency = 300 * time.Millisecond
 
 func (s *slowStore) Append(ctx context.Context, _ int, _ []jobs.Record, _ *Fence) error {
 	s.appends.Add(1)
 	s.busy <- struct{}{}
-	time.Sleep(slowAnswer)
+	time.Sleep(slowLatency)
 	<-s.busy
 	if ctx.Err() != nil {
 		return ErrUnknown
@@ -215,13 +214,13 @@
 	return nil
 }
 
-func (s *slowStore) holds(context.Context, []jobs.Record) (bool, error) {
-	time.Sleep(slowAnswer)
+func (s *slowStore) contains(context.Context, []jobs.Record) (bool, error) {
+	time.Sleep(slowLatency)
 	return false, nil
 }
 
-// Behind six appends of other instances one takes two seconds in a slow store. It
-// is waited for, and sent once: repeats would keep the store full.
+// Behind six appends of other instances an append takes two seconds in a slow store. It is sent once
+// and waited for: retries would keep the store's queue full.
 func TestSlowStoreIsNotSentRepeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -231,15 +230,15 @@
 			go func() { _ = store.Append(ctx, 1, nil, nil) }()
 		}
 		time.Sleep(time.Millisecond)
-		made := newCommitter(store, NewClock(), 1)
-		virtual(made.clock)
-		made.readBack = store.holds
-		go made.run(ctx)
-		call, left := context.WithTimeout(ctx, 2850*time.Millisecond)
-		defer left()
+		committer := newCommitter(store, NewClock(), 1)
+		useTestClock(committer.clock)
+		committer.readBack = store.contains
+		go committer.run(ctx)
+		callCtx, cancelCall := context.WithTimeout(ctx, 2850*time.Millisecond)
+		defer cancelCall()
 		began := time.Now()
-		err := made.write(call, jobs.CancelRecord("a"))
-		t.Logf("after %s, %d appends, slow %t", time.Since(began), store.appends.Load(), made.slow.Load())
+		err := committer.write(callCtx, jobs.CancelRecord("a"))
+		t.Logf("after %s, %d appends, slow %t", time.Since(began), store.appends.Load(), committer.storeSlow.Load())
 		is.NoErr(err)
 		is.Equal(store.appends.Load(), int64(7))
 		cancel()
@@ -247,24 +246,24 @@
 	})
 }
 
-// Groups whose fate is open are bounded: beyond that a record is refused at once,
-// as certainly not sent.
+// The number of unconfirmed groups is bounded: beyond it a record is refused at once as certainly
+// not sent.
 func TestOpenGroupsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		store := &lateStore{late: []time.Duration{20 * time.Second}, known: map[string]bool{}}
-		made := newCommitter(store, NewClock(), 1)
-		virtual(made.clock)
-		made.readBack = store.holds
-		go made.run(ctx)
-		made.open.Store(commitOpen)
-		is.Equal(made.write(ctx, jobs.CancelRecord("a")), ErrNotDone)
+		store := &lateStore{delays: []time.Duration{20 * time.Second}, written: map[string]bool{}}
+		committer := newCommitter(store, NewClock(), 1)
+		useTestClock(committer.clock)
+		committer.readBack = store.contains
+		go committer.run(ctx)
+		committer.openGroups.Store(maxOpenGroups)
+		is.Equal(committer.write(ctx, jobs.CancelRecord("a")), ErrNotDone)
 		is.Equal(store.sent, 0)
-		made.open.Store(0)
-		go func() { _ = made.write(ctx, jobs.CancelRecord("b")) }()
+		committer.openGroups.Store(0)
+		go func() { _ = committer.write(ctx, jobs.CancelRecord("b")) }()
 		time.Sleep(10 * time.Second)
-		is.Equal(made.open.Load(), int32(0)) // given up after its time
+		is.Equal(committer.openGroups.Load(), int32(0)) // given up after its time
 		cancel()
 		time.Sleep(25 * time.Second)
 	})
--- a/batch/simrestart_test.go
+++ b/batch/simrestart_test.go
@@ -12,73 +12,73 @@
 // simLease is the longest lease that a worker grants.
 const simLease = 6 * time.Second
 
-// errSimDown says that nothing answers at a worker's address.
+// errSimDown is returned while nothing listens at a worker's address.
 var errSimDown = eris.New("connection refused")
 
-// begin starts a life: it holds and knows nothing of the one before, and its counts and
-// its clock start anew.
-func (w *simWorker) begin() {
+// startIncarnation starts a new incarnation without state of the one before. Its counts and its clock
+// start anew.
+func (w *simWorker) startIncarnation() {
 	now := time.Now()
 	w.down = false
 	w.bornMS = now.UnixMilli()
-	w.start = now
+	w.clockStart = now
 	w.fence = 0
 	w.until = now
 	w.runs = map[startKey]time.Time{}
 	w.highest = map[jobs.TaskKey]int{}
-	w.ended = nil
-	w.number = 0
-	w.starts = 0
+	w.ends = nil
+	w.lastEnd = 0
+	w.startCount = 0
 }
 
-// restart ends a worker's life with all that it holds; the next one, under the same ID,
-// begins after some time.
-func (s *simWorkers) restart(id string, away time.Duration) {
+// restart ends the incarnation of a worker with all its state. The next one, under the same ID,
+// starts after the given time.
+func (s *simWorkers) restart(id string, downtime time.Duration) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	worker := s.workers[id]
-	worker.settle(s)
+	worker.advance(s)
 	worker.down = true
 	worker.runs = nil
-	worker.ended = nil
-	time.AfterFunc(away, func() {
+	worker.ends = nil
+	time.AfterFunc(downtime, func() {
 		s.lock.Lock()
 		defer s.lock.Unlock()
-		worker.begin()
+		worker.startIncarnation()
 	})
 }
 
 // restartAll restarts all workers at once.
-func (s *simWorkers) restartAll(away time.Duration) {
+func (s *simWorkers) restartAll(downtime time.Duration) {
 	for id := range s.entries() {
-		s.restart(id, away)
+		s.restart(id, downtime)
 	}
 }
 
-// relist has the holder read the list of workers as it is now.
-func (f *sharedFleet) relist() {
+// refreshWorkerList makes the leader read the current worker list.
+func (f *testFleet) refreshWorkerList() {
 	entries := f.workers.entries()
-	f.holder.listed.lock.Lock()
-	f.holder.entries = entries
-	f.holder.listed.lock.Unlock()
-	f.holder.offer(listChanged{})
+	f.leader.workerList.lock.Lock()
+	f.leader.entries = entries
+	f.leader.workerList.lock.Unlock()
+	f.leader.offer(listChangedEvent{})
 }
 
-// edit has the holder read the list with one entry changed.
-func (f *sharedFleet) edit(name string, change func(*placing.WorkerEntry)) {
+// editWorkerEntry makes the leader read the worker list with one entry changed.
+func (f *testFleet) editWorkerEntry(name string, change func(*placing.WorkerEntry)) {
 	entries := f.workers.entries()
 	entry := entries[name]
 	change(&entry)
 	entries[name] = entry
-	f.holder.listed.lock.Lock()
-	f.holder.entries = entries
-	f.holder.listed.lock.Unlock()
-	f.holder.offer(listChanged{})
+	f.leader.workerList.lock.Lock()
+	f.leader.entries = entries
+	f.leader.workerList.lock.Unlock()
+	f.leader.offer(listChangedEvent{})
 }
 
-// started is how many runs a worker has had in its present life.
-func (s *simWorkers) started(name string) int {
+// startCount returns how many runs a worker has had in its present incarnation.
+func (s *simWorkers) startCount(name string) int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.workers[name].starts
+	return s.workers[name].startCount
 }
--- a/batch/state_test.go
+++ b/batch/state_test.go
@@ -13,8 +13,8 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// tailStore is a log of states that grows while it is read. A read waits for
-// the next record as long as it was allowed to.
+// tailStore is a log of states that grows while it is read. A read waits for the next record as long
+// as it is allowed to.
 type tailStore struct {
 	Store
 	lock    sync.Mutex
@@ -34,23 +34,22 @@
 	s.lock.Unlock()
 	for until := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
 		s.lock.Lock()
-		known := s.records[min(from, int64(len(s.records))):]
+		records := s.records[min(from, int64(len(s.records))):]
 		s.lock.Unlock()
-		if len(known) == 0 && time.Now().Before(until) && ctx.Err() == nil {
+		if len(records) == 0 && time.Now().Before(until) && ctx.Err() == nil {
 			continue
 		}
-		batch := Batch{Records: known, Next: from + int64(len(known))}
-		for index := range known {
+		batch := Batch{Records: records, Next: from + int64(len(records))}
+		for index := range records {
 			batch.Offsets = append(batch.Offsets, from+int64(index))
 		}
 		return batch, ctx.Err()
 	}
 }
 
-// standbyOf returns an instance that has read the log so far and knows of one
-// job that runs.
-func standbyOf(t *testing.T, store Store, id string) *Instance {
-	instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), quietLog())
+// newLoadedInstance returns an instance that has read the log and knows one running job.
+func newLoadedInstance(t *testing.T, store Store, id string) *Instance {
+	instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), discardLog())
 	record, err := jobs.SubmissionRecord(&jobs.Submission{ID: id, Steps: []jobs.Step{{Tasks: 1}}})
 	if err != nil {
 		t.Fatal(err)
@@ -58,18 +57,18 @@
 	instance.fold.apply(partOf(id, 8), Batch{Records: []jobs.Record{record}, Offsets: []int64{0}})
 	for _, follower := range append([]*follower{instance.work}, instance.calls...) {
 		follower.loaded = true
-		follower.touch(instance.clock.Now())
+		follower.recordAnswer(instance.clock.Now())
 	}
 	return instance
 }
 
-// Callers ask when they expect the end, which is then being written: they are
-// told of it some milliseconds later, not when they ask again.
+// Callers ask when they expect the end, which is then being written. They are answered some
+// milliseconds later, without asking again.
 func TestQuestionWaitsForAnEndThatIsBeingWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &tailStore{}
-		instance := standbyOf(t, store, "a1")
+		instance := newLoadedInstance(t, store, "a1")
 		go func() {
 			time.Sleep(10 * time.Millisecond)
 			store.add(jobs.StateRecord("other", jobs.StateRunning))
@@ -84,21 +83,21 @@
 	})
 }
 
-// A job that goes on is answered as such after a moment, at few reads; without
-// the log nothing is waited for.
-func TestQuestionAboutAJobThatGoesOnWaitsAMoment(t *testing.T) {
+// A running job is reported as such after a short wait and few reads. Without the log there is
+// no wait.
+func TestStateOfARunningJobWaitsBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &tailStore{}
-		instance := standbyOf(t, store, "a1")
+		instance := newLoadedInstance(t, store, "a1")
 		begin := time.Now()
 		state, outcome := instance.State(t.Context(), "a1")
 		is.Equal(outcome.Verdict, Accepted)
 		is.True(!state.Final())
-		is.True(time.Since(begin) >= endWait-time.Millisecond)
-		is.True(time.Since(begin) < endWait+20*time.Millisecond)
+		is.True(time.Since(begin) >= finalStateWait-time.Millisecond)
+		is.True(time.Since(begin) < finalStateWait+20*time.Millisecond)
 		is.True(store.reads <= 3)
-		instance.work.failures = failuresAway
+		instance.work.failures = unreachableFailures
 		begin = time.Now()
 		_, outcome = instance.State(t.Context(), "a1")
 		is.Equal(outcome.Verdict, Accepted)
@@ -106,14 +105,13 @@
 	})
 }
 
-// On a deployment whose workers cannot be given orders nothing is accepted: each job is
-// refused as never to run, the balancer is told to look elsewhere, and the term is not
-// claimed.
+// On a deployment whose workers cannot be given orders no job is accepted: each one is refused for
+// good, the instance is not ready, and it does not claim the term.
 func TestNothingIsAcceptedThatCannotBeRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &tailStore{}
-		instance := standbyOf(t, store, "a1")
+		instance := newLoadedInstance(t, store, "a1")
 		instance.config.Store(&Config{Version: 1})
 		is.True(instance.Ready())
 		instance.settings.NotServed = "workers cannot be given orders"
@@ -121,11 +119,11 @@
 		outcome := instance.Submit(t.Context(), &jobs.Submission{ID: "a2", Steps: []jobs.Step{{Tasks: 1}}})
 		is.Equal(outcome.Verdict, NotRun)
 		is.Equal(outcome.Reason, "workers cannot be given orders")
-		is.Equal(outcome.RetryAfter, time.Duration(0)) // coming back is of no use
+		is.Equal(outcome.RetryAfter, time.Duration(0)) // a retry would not help
 		is.Equal(len(store.records), 0)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		instance.placingDuty(ctx)
+		instance.leaderDuty(ctx)
 		is.NoErr(ctx.Err()) // it ended at once
 	})
 }
--- /dev/null
+++ b/batch/workerlist_test.go
@@ -0,0 +1,41 @@
+package batch
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+	"github.com/rcrowley/go-metrics"
+	"github.com/rotisserie/eris"
+
+	"github.com/teaselcleat/teaselcleat/jobs"
+	"github.com/teaselcleat/teaselcleat/placing"
+)
+
+// An entry written by another writer makes the worker of that key unusable, and an entry of an
+// unknown pool is ignored. Other entries stay valid.
+func TestEntriesOfAnotherWriterNameNoWorker(t *testing.T) {
+	is := is.New(t)
+	l := newTestLeader(t.Context(), newPartitionedStore(), 3)
+	l.instance.decoder = entryDecoder{}
+	l.pools["pool"] = true
+	l.applyWorkerList(Batch{Records: []jobs.Record{{Key: "w1", Value: []byte("pool")}, {Key: "w2", Value: []byte("pool")}, {Key: "w3", Value: []byte("other")}}})
+	l.applyWorkerList(Batch{Records: []jobs.Record{{Key: "w2", Value: []byte("?")}, {Key: "w4", Value: []byte("?")}, {Key: "", Value: []byte("?")}}})
+	is.Equal(len(l.entries), 2)
+	l.workerList = l.newWorkerListFollower()
+	l.instance.workers = &simClient{fleet: newSimWorkers(0, time.Second), instance: "a"}
+	listChangedEvent{}.apply(l, l.clock.Now())
+	is.Equal(len(l.dispatchers.workers), 1)
+	is.True(l.dispatchers.workers["w1"] != nil)
+	is.Equal(metrics.GetOrRegisterCounter("workers.entries_unreadable", l.instance.metrics.registry).Count(), int64(3))
+}
+
+// entryDecoder decodes the value of an entry as the pool of the worker; "?" is unreadable.
+type entryDecoder struct{ Decoder }
+
+func (entryDecoder) Worker(record jobs.Record) (placing.WorkerEntry, bool, error) {
+	if string(record.Value) == "?" {
+		return placing.WorkerEntry{}, false, eris.New("unreadable")
+	}
+	return placing.WorkerEntry{ID: record.Key, Pool: string(record.Value)}, false, nil
+}
