--- a/scheduler/baseline.go
+++ b/scheduler/baseline.go
@@ -10,12 +10,12 @@
 	Register(PolicyBaseline, func(config Config) Policy { return newBaseline(config) })
 }
 
-// baselineTries is how often the baseline starts a job that fails.
-const baselineTries = 3
+// baselineMaxFailures is the number of failed runs after which the baseline ends a job.
+const baselineMaxFailures = 3
 
-// baseline is first-come first-fit: jobs in order of submission, each on the
-// first workers that have room; jobs that do not fit are passed over. It knows
-// no targets, guarantees, preemption or blame.
+// baseline is a first-come first-fit policy: it tries jobs in order of submission, places each
+// on the first workers with enough free accelerators and skips jobs that do not fit. It has no
+// targets, guarantees, preemption or quarantine.
 type baseline struct {
 	cluster *cluster
 	waiting []*job
@@ -28,36 +28,36 @@
 	b := &baseline{cluster: newCluster(), jobs: map[string]*job{}, runs: map[string]*run{}}
 	for _, spec := range config.Workers {
 		n := b.cluster.add(spec)
-		b.cluster.change(n, func() { n.up = true })
+		b.cluster.update(n, func() { n.up = true })
 	}
 	return b
 }
 
 // Step implements Policy.
 func (b *baseline) Step(event Event, now Time) []Action {
-	actions := b.take(event)
-	return append(actions, b.pass(now)...)
+	actions := b.handle(event)
+	return append(actions, b.runPass(now)...)
 }
 
-func (b *baseline) take(event Event) []Action {
+func (b *baseline) handle(event Event) []Action {
 	switch e := event.(type) {
 	case Submitted:
-		return b.submitted(e.Job)
+		return b.handleSubmitted(e.Job)
 	case Cancelled:
-		return b.cancelled(e.Job)
+		return b.handleCancelled(e.Job)
 	case RunEnded:
-		return b.runEnded(e)
+		return b.handleRunEnded(e)
 	case WorkerUp:
 		n := b.cluster.add(e.Worker)
-		b.cluster.change(n, func() { n.up = true })
+		b.cluster.update(n, func() { n.up = true })
 	case WorkerDown:
-		return b.workerDown(e.Worker)
+		return b.handleWorkerDown(e.Worker)
 	}
 	return nil
 }
 
-func (b *baseline) submitted(spec JobSpec) []Action {
-	if !b.cluster.couldEverFit(spec.Shape) {
+func (b *baseline) handleSubmitted(spec JobSpec) []Action {
+	if !b.cluster.fitsWhenEmpty(spec.Shape) {
 		return []Action{End{Job: spec.ID, Outcome: structs.OutcomeNotRun, Reason: structs.ReasonImpossibleShape}}
 	}
 	b.seq++
@@ -67,7 +67,7 @@
 	return nil
 }
 
-func (b *baseline) cancelled(id string) []Action {
+func (b *baseline) handleCancelled(id string) []Action {
 	j := b.jobs[id]
 	if j == nil {
 		return nil
@@ -76,8 +76,8 @@
 		return []Action{Abort{Job: id, Run: j.run.id, Reason: structs.ReasonCancelled}}
 	}
 	delete(b.jobs, id)
-	for i, known := range b.waiting {
-		if known == j {
+	for i, queued := range b.waiting {
+		if queued == j {
 			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
 			break
 		}
@@ -85,12 +85,12 @@
 	return nil
 }
 
-func (b *baseline) runEnded(e RunEnded) []Action {
+func (b *baseline) handleRunEnded(e RunEnded) []Action {
 	r := b.runs[e.Run]
 	if r == nil {
 		return nil
 	}
-	b.cluster.give(r)
+	b.cluster.release(r)
 	delete(b.runs, e.Run)
 	j := r.job
 	j.run = nil
@@ -100,7 +100,7 @@
 	switch {
 	case e.Result == RunFinished || e.Result == RunAborted:
 		delete(b.jobs, j.spec.ID)
-	case j.pinned() || j.failures >= baselineTries:
+	case j.pinned() || j.failures >= baselineMaxFailures:
 		delete(b.jobs, j.spec.ID)
 		return []Action{End{Job: j.spec.ID, Outcome: structs.OutcomeUnknown, Reason: structs.ReasonJobFails}}
 	default:
@@ -109,23 +109,23 @@
 	return nil
 }
 
-// requeue puts a job back in its place by submission.
+// requeue inserts a job into the queue by its order of submission.
 func (b *baseline) requeue(j *job) {
-	at := 0
-	for at < len(b.waiting) && b.waiting[at].seq < j.seq {
-		at++
+	pos := 0
+	for pos < len(b.waiting) && b.waiting[pos].seq < j.seq {
+		pos++
 	}
 	b.waiting = append(b.waiting, nil)
-	copy(b.waiting[at+1:], b.waiting[at:])
-	b.waiting[at] = j
+	copy(b.waiting[pos+1:], b.waiting[pos:])
+	b.waiting[pos] = j
 }
 
-func (b *baseline) workerDown(id string) []Action {
+func (b *baseline) handleWorkerDown(id string) []Action {
 	n := b.cluster.byID[id]
 	if n == nil || !n.up {
 		return nil
 	}
-	b.cluster.change(n, func() { n.up = false })
+	b.cluster.update(n, func() { n.up = false })
 	var actions []Action
 	for _, r := range n.runs {
 		actions = append(actions, Abort{Job: r.job.spec.ID, Run: r.id, Reason: structs.ReasonMemberLost})
@@ -133,10 +133,10 @@
 	return actions
 }
 
-func (b *baseline) pass(now Time) []Action {
+func (b *baseline) runPass(now Time) []Action {
 	var actions []Action
 	blocked := map[structs.Shape]bool{}
-	kept := b.waiting[:0]
+	unplaced := b.waiting[:0]
 	for _, j := range b.waiting {
 		if !blocked[j.spec.Shape] {
 			if nodes := b.firstFit(j.spec.Shape); nodes != nil {
@@ -145,16 +145,16 @@
 			}
 			blocked[j.spec.Shape] = true
 		}
-		kept = append(kept, j)
+		unplaced = append(unplaced, j)
 	}
-	b.waiting = kept
+	b.waiting = unplaced
 	return actions
 }
 
 func (b *baseline) firstFit(shape structs.Shape) []*node {
-	var anywhere []*node
+	var nodes []*node
 	for _, r := range b.cluster.racks {
-		if r.atLeast(shape.Accelerators) == 0 {
+		if r.nodesWithFree(shape.Accelerators) == 0 {
 			continue
 		}
 		var inRack []*node
@@ -166,9 +166,9 @@
 		if shape.Adjacent && len(inRack) == shape.Members {
 			return inRack
 		}
-		anywhere = append(anywhere, inRack...)
-		if !shape.Adjacent && len(anywhere) >= shape.Members {
-			return anywhere[:shape.Members]
+		nodes = append(nodes, inRack...)
+		if !shape.Adjacent && len(nodes) >= shape.Members {
+			return nodes[:shape.Members]
 		}
 	}
 	return nil
@@ -176,10 +176,10 @@
 
 func (b *baseline) place(j *job, nodes []*node, now Time) Action {
 	b.seq++
-	r := &run{id: j.spec.ID + "#" + strconv.FormatInt(b.seq, 10), job: j, nodes: nodes, shares: make([]*slot, len(nodes)), accelerators: j.spec.Shape.Accelerators, started: now}
+	r := &run{id: j.spec.ID + "#" + strconv.FormatInt(b.seq, 10), job: j, nodes: nodes, slots: make([]*slot, len(nodes)), accelerators: j.spec.Shape.Accelerators, started: now}
 	j.run = r
 	b.runs[r.id] = r
-	b.cluster.take(r)
+	b.cluster.allocate(r)
 	members := make([]structs.Member, 0, len(nodes))
 	for _, n := range nodes {
 		members = append(members, structs.Member{Worker: n.spec.ID, Accelerators: r.accelerators})
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -10,16 +10,17 @@
 	"github.com/teaselcleat/teaselcleat/targets"
 )
 
-// size is an inventory to measure: the users' own, one between, and the target.
+// size describes an inventory to benchmark.
 type size struct {
 	workers, accelerators, perRack, workspaces int
 }
 
+// sizes are the inventory of the current users, a medium one and the target size.
 var sizes = []size{{50, 8, 8, 4}, {500, 8, 8, 40}, {6800, 2, 8, 190}}
 
 func (s size) String() string { return fmt.Sprintf("workers=%d", s.workers) }
 
-func (s size) specs() []scheduler.WorkerSpec {
+func (s size) workerSpecs() []scheduler.WorkerSpec {
 	var specs []scheduler.WorkerSpec
 	for n := range s.workers {
 		rack := n / s.perRack
@@ -38,20 +39,19 @@
 	return t
 }
 
-// loaded is a scheduler at eight tenths of its accelerators, with a queue of
-// blocked gangs.
-func (s size) loaded(b *testing.B) *scheduler.Scheduler {
+// newLoaded returns a scheduler with 80% of its accelerators in use.
+func (s size) newLoaded(b *testing.B) *scheduler.Scheduler {
 	b.Helper()
-	built := scheduler.New(scheduler.Config{Workers: s.specs(), Targets: s.targets()})
+	sched := scheduler.New(scheduler.Config{Workers: s.workerSpecs(), Targets: s.targets()})
 	total := s.workers * s.accelerators * 8 / 10
 	for n := 0; total > 0; n++ {
 		job := s.job(fmt.Sprintf("run%d", n), n, 1+n%4, 1)
-		if len(placed(built.Step(scheduler.Submitted{Job: job}, 0))) == 0 {
-			b.Fatal("the load does not fit")
+		if len(placements(sched.Step(scheduler.Submitted{Job: job}, 0))) == 0 {
+			b.Fatal("a job of the initial load was not placed")
 		}
 		total -= job.Shape.Total()
 	}
-	return built
+	return sched
 }
 
 func (s size) job(id string, n, members, accelerators int) scheduler.JobSpec {
@@ -67,16 +67,16 @@
 				continue
 			}
 			b.Run(fmt.Sprintf("%s/gang=%d", s, members), func(b *testing.B) {
-				built := s.loaded(b)
+				sched := s.newLoaded(b)
 				b.ReportAllocs()
 				b.ResetTimer()
 				for n := range b.N {
-					found := placed(built.Step(scheduler.Submitted{Job: s.job(fmt.Sprintf("j%d", n), n, members, 1)}, 1))
-					if len(found) != 1 {
-						b.Fatal("not placed")
+					places := placements(sched.Step(scheduler.Submitted{Job: s.job(fmt.Sprintf("j%d", n), n, members, 1)}, 1))
+					if len(places) != 1 {
+						b.Fatal("the gang was not placed")
 					}
 					b.StopTimer()
-					built.Step(scheduler.RunEnded{Run: found[0].Run, Result: scheduler.RunAborted}, 1)
+					sched.Step(scheduler.RunEnded{Run: places[0].Run, Result: scheduler.RunAborted}, 1)
 					b.StartTimer()
 				}
 			})
@@ -84,36 +84,36 @@
 	}
 }
 
-// BenchmarkRefuse measures a gang that no inventory holds.
+// BenchmarkRefuse measures the submission of a gang that fits no inventory.
 func BenchmarkRefuse(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
-			built := s.loaded(b)
+			sched := s.newLoaded(b)
 			job := s.job("impossible", 0, s.perRack+1, 1)
 			job.Shape.Adjacent = true
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				built.Step(scheduler.Submitted{Job: job}, 1)
+				sched.Step(scheduler.Submitted{Job: job}, 1)
 			}
 		})
 	}
 }
 
-// BenchmarkBlocked measures a step while every workspace has a blocked gang.
+// BenchmarkBlocked measures one tick while every workspace has a blocked gang.
 func BenchmarkBlocked(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
-			built := s.loaded(b)
+			sched := s.newLoaded(b)
 			for n := range s.workspaces {
 				job := s.job(fmt.Sprintf("blocked%d", n), n, min(128, s.workers), s.accelerators)
 				job.Shape.Adjacent = s.perRack >= 128
-				built.Step(scheduler.Submitted{Job: job}, 1)
+				sched.Step(scheduler.Submitted{Job: job}, 1)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for n := range b.N {
-				built.Step(scheduler.Tick{}, scheduler.Time(2+n*50)) // the placer's tick
+				sched.Step(scheduler.Tick{}, scheduler.Time(2+n*50)) // the interval of the placer's ticks
 			}
 		})
 	}
@@ -124,14 +124,14 @@
 		b.Run(s.String(), func(b *testing.B) {
 			for range b.N {
 				b.StopTimer()
-				built := s.loaded(b)
+				sched := s.newLoaded(b)
 				for n := range 10000 {
 					job := s.job(fmt.Sprintf("q%d", n), n, min(128, s.workers), s.accelerators)
-					built.Step(scheduler.Submitted{Job: job}, 1)
+					sched.Step(scheduler.Submitted{Job: job}, 1)
 				}
 				b.StartTimer()
 				for n := range 10000 {
-					built.Step(scheduler.Cancelled{Job: fmt.Sprintf("q%d", n)}, 1)
+					sched.Step(scheduler.Cancelled{Job: fmt.Sprintf("q%d", n)}, 1)
 				}
 			}
 		})
@@ -141,16 +141,16 @@
 func BenchmarkLoseRack(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
-			built := s.loaded(b)
-			specs := s.specs()
+			sched := s.newLoaded(b)
+			specs := s.workerSpecs()
 			b.ResetTimer()
 			for range b.N {
 				for n := range s.perRack {
-					built.Step(scheduler.WorkerDown{Worker: specs[n].ID}, 1)
+					sched.Step(scheduler.WorkerDown{Worker: specs[n].ID}, 1)
 				}
 				b.StopTimer()
 				for n := range s.perRack {
-					built.Step(scheduler.WorkerUp{Worker: specs[n]}, 1)
+					sched.Step(scheduler.WorkerUp{Worker: specs[n]}, 1)
 				}
 				b.StartTimer()
 			}
@@ -158,7 +158,7 @@
 	}
 }
 
-// BenchmarkState reports the memory of a loaded scheduler.
+// BenchmarkState reports the heap size of a loaded scheduler.
 func BenchmarkState(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
@@ -166,10 +166,10 @@
 			for range b.N {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				built := s.loaded(b)
+				sched := s.newLoaded(b)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				runtime.KeepAlive(built)
+				runtime.KeepAlive(sched)
 			}
 			b.ReportMetric(float64(after.HeapAlloc-min(before.HeapAlloc, after.HeapAlloc))/(1<<20), "state-MB")
 		})
--- a/scheduler/blame.go
+++ b/scheduler/blame.go
@@ -2,152 +2,153 @@
 
 import "slices"
 
-// Constants of blame.
+// Limits of failure tracking, quarantine and probation.
 const (
-	// quarantineAfter is how many different jobs in a row a worker fails before
-	// it is taken out of use.
-	quarantineAfter = 3
-	// quarantineShare bounds the quarantined workers to one in so many.
-	quarantineShare = 10
-	// giveUpAfter is on how many different workers a job fails before the fault
-	// is taken to be its own.
-	giveUpAfter  = 3
-	firstProbe   = 2 * Minute
-	lastProbe    = 30 * Minute
-	probeSlack   = 10 * Minute // what a job must be able to lose to serve as a probe
-	probeTimeCap = 30 * Minute
-	// doubtMost is how long jobs that doubt a worker wait for others after a failure
-	// there. Others may be in use for days.
-	doubtMost = 60 * Minute
+	// quarantineFailures is the number of different jobs in a row that fail on a worker before
+	// it is quarantined.
+	quarantineFailures = 3
+	// quarantineDivisor bounds the quarantined workers to one in 10.
+	quarantineDivisor = 10
+	// maxJobFailures is the number of different workers on which a job fails before it is
+	// taken to be at fault itself.
+	maxJobFailures  = 3
+	minProbeBackoff = 2 * Minute
+	maxProbeBackoff = 30 * Minute
+	minProbeSlack   = 10 * Minute // least slack of a job that may run on a worker on probation
+	maxProbeRunTime = 30 * Minute
+	// suspectTimeout is how long after a failure on a worker the jobs that suspect it wait for
+	// other workers. Those may be in use for days.
+	suspectTimeout = 60 * Minute
 )
 
-// doubt is which doubts of workers a job heeds while it is tried.
-type doubt int
+// avoidance is which suspect workers a placement attempt of a job avoids.
+type avoidance int
 
 const (
-	anyDoubt doubt = iota // and takes no worker that did not start its last run
-	newDoubt              // nothing else is free
-	noDoubt               // nothing else could hold the job
+	avoidSuspects       avoidance = iota // all suspect workers, and those that refused their last start
+	avoidRecentSuspects                  // suspect workers until their suspectUntil; used if no other worker is free
+	avoidNone                            // no worker; used if the job does not fit without suspect workers
 )
 
-// blameBook is what is held against a worker.
-type blameBook struct {
-	streak     []*job // different jobs failed since the last success
-	refused    bool   // it did not start a run, and has started none since
-	probation  bool   // usable for one probing run only
-	probeAfter Time   // when a quarantined worker is tried again
-	probeWait  Time
-	doubtUntil Time // until then jobs that doubt the worker wait for others
+// blameTracker records the failures of a worker.
+type blameTracker struct {
+	failedJobs   []*job // different jobs that failed here since the last success
+	refusedStart bool   // it did not start a run and has started none since
+	probation    bool   // back from quarantine, usable by one probe run at a time
+	nextProbe    Time   // when the quarantine ends
+	probeBackoff Time
+	suspectUntil Time // until then, jobs that suspect the worker wait for others
 }
 
-// doubted reports whether a job had better not use a node: it has failed the job,
-// or others while this one has one try only, or is to be tried again by a small one.
-func (s *Scheduler) doubted(n *node, j *job, now Time) bool {
-	return j.blames(n) || j.pinned() && len(n.streak) > 0 || n.probation && !s.mayProbe(n, j, now)
+// isSuspect reports whether a job should avoid a node: the job failed there, or other jobs did
+// and this one can run only once, or the node is on probation and the job is no probe.
+func (s *Scheduler) isSuspect(n *node, j *job, now Time) bool {
+	return j.failedOn(n) || j.pinned() && len(n.failedJobs) > 0 || n.probation && !s.canProbe(n, j, now)
 }
 
-// heeded is which doubts a job heeds that finds no place if it heeds any.
-func (s *Scheduler) heeded(j *job, now Time) doubt {
+// fallbackAvoidance is the avoidance for a second attempt to place a job after avoidSuspects
+// found no placement.
+func (s *Scheduler) fallbackAvoidance(j *job, now Time) avoidance {
 	switch {
-	case !slices.ContainsFunc(s.cluster.nodes, func(n *node) bool { return n.refused || s.doubted(n, j, now) }):
-		return anyDoubt
-	case s.holdsUndoubted(j, now):
-		return newDoubt
+	case !slices.ContainsFunc(s.cluster.nodes, func(n *node) bool { return n.refusedStart || s.isSuspect(n, j, now) }):
+		return avoidSuspects
+	case s.fitsWithoutSuspects(j, now):
+		return avoidRecentSuspects
 	}
-	return noDoubt
+	return avoidNone
 }
 
-// holdsUndoubted reports whether the workers that are not in doubt hold a job when empty.
-func (s *Scheduler) holdsUndoubted(j *job, now Time) bool {
-	return s.cluster.holdsEmpty(j.spec.Shape, func(n *node) bool { return n.usable() && !s.doubted(n, j, now) })
+// fitsWithoutSuspects reports whether a job fits the workers it does not suspect when they are
+// empty.
+func (s *Scheduler) fitsWithoutSuspects(j *job, now Time) bool {
+	return s.cluster.fitsWhenEmptyOn(j.spec.Shape, func(n *node) bool { return n.usable() && !s.isSuspect(n, j, now) })
 }
 
-// mayProbe reports whether a job may test a worker that was in quarantine.
-func (s *Scheduler) mayProbe(n *node, j *job, now Time) bool {
-	return len(n.runs) == 0 && !j.pinned() && j.spec.Shape.Members == 1 && j.latestStart-now > probeSlack &&
-		s.estimates.estimate(j, planQuantile) < probeTimeCap
+// canProbe reports whether a job may run on a worker on probation.
+func (s *Scheduler) canProbe(n *node, j *job, now Time) bool {
+	return len(n.runs) == 0 && !j.pinned() && j.spec.Shape.Members == 1 && j.latestStart-now > minProbeSlack &&
+		s.estimates.estimate(j, planQuantile) < maxProbeRunTime
 }
 
-// blameFailure notes a failed task and decides whose fault it is. It returns
-// true if the job is to end.
-func (s *Scheduler) blameFailure(j *job, n *node, now Time) (actions []Action, jobEnds bool) {
+// recordFailure records a failed task and attributes the fault to the worker or the job. It
+// returns true if the job ends.
+func (s *Scheduler) recordFailure(j *job, n *node, now Time) (actions []Action, jobEnds bool) {
 	if n == nil {
 		j.failures++
-		return nil, j.failures >= giveUpAfter
+		return nil, j.failures >= maxJobFailures
 	}
 	if n.probation {
 		return s.quarantine(n, now), false
 	}
-	n.doubtUntil = now + doubtMost
+	n.suspectUntil = now + suspectTimeout
 	switch {
-	case !j.blames(n):
-		j.blamed = append(j.blamed, n)
-		n.streak = append(n.streak, j)
-	case !s.holdsUndoubted(j, now):
-		j.failures++ // no other worker can tell whose fault it is
+	case !j.failedOn(n):
+		j.failedNodes = append(j.failedNodes, n)
+		n.failedJobs = append(n.failedJobs, j)
+	case !s.fitsWithoutSuspects(j, now):
+		j.failures++ // no other worker can show whether the job or the worker is at fault
 	}
-	if len(n.streak) >= quarantineAfter {
+	if len(n.failedJobs) >= quarantineFailures {
 		actions = s.quarantine(n, now)
 	}
-	return actions, len(j.blamed)+j.failures >= giveUpAfter
+	return actions, len(j.failedNodes)+j.failures >= maxJobFailures
 }
 
-// quarantine takes a worker out, unless too many are out already, and clears
-// the jobs it failed of blame.
+// quarantine takes a worker out of use unless too many are quarantined already. The jobs that
+// failed there no longer count the failure.
 func (s *Scheduler) quarantine(n *node, now Time) []Action {
-	if !n.probation && s.quarantined >= max(1, len(s.cluster.nodes)/quarantineShare) {
+	if !n.probation && s.quarantined >= max(1, len(s.cluster.nodes)/quarantineDivisor) {
 		return nil
 	}
-	n.probeWait = min(max(2*n.probeWait, firstProbe), lastProbe)
-	n.probeAfter = now + n.probeWait
-	n.doubtUntil = n.probeAfter + doubtMost
+	n.probeBackoff = min(max(2*n.probeBackoff, minProbeBackoff), maxProbeBackoff)
+	n.nextProbe = now + n.probeBackoff
+	n.suspectUntil = n.nextProbe + suspectTimeout
 	n.probation = false
-	for _, j := range n.streak {
-		j.unblame(n)
+	for _, j := range n.failedJobs {
+		j.forgetFailure(n)
 		s.queue.regroup(j)
 	}
-	n.streak = nil
-	s.cluster.change(n, func() { n.quarantined = true })
+	n.failedJobs = nil
+	s.cluster.update(n, func() { n.quarantined = true })
 	s.quarantined++
 	s.witnessDirty = true
 	return []Action{Quarantine{Worker: n.spec.ID}}
 }
 
-func (j *job) unblame(n *node) {
-	for i, known := range j.blamed {
-		if known == n {
-			j.blamed = append(j.blamed[:i], j.blamed[i+1:]...)
+func (j *job) forgetFailure(n *node) {
+	for i, failed := range j.failedNodes {
+		if failed == n {
+			j.failedNodes = append(j.failedNodes[:i], j.failedNodes[i+1:]...)
 			return
 		}
 	}
 }
 
-// clearBlame notes a success on workers. One that was being tried again is back
-// in use.
-func (s *Scheduler) clearBlame(nodes []*node) []Action {
+// recordSuccess records a finished run on workers and ends their probation.
+func (s *Scheduler) recordSuccess(nodes []*node) []Action {
 	var actions []Action
 	for _, n := range nodes {
-		n.streak = nil
+		n.failedJobs = nil
 		if !n.probation {
 			continue
 		}
 		n.probation = false
-		n.probeWait = 0
+		n.probeBackoff = 0
 		s.witnessDirty = true
 		actions = append(actions, Quarantine{Worker: n.spec.ID, Lifted: true})
 	}
 	return actions
 }
 
-// probe lets quarantined workers whose time has come be tried again, by one
-// small job at a time.
-func (s *Scheduler) probe(now Time) {
+// endQuarantines puts quarantined workers on probation when their backoff is over. They take
+// one small job at a time.
+func (s *Scheduler) endQuarantines(now Time) {
 	if s.quarantined == 0 {
 		return
 	}
 	for _, n := range s.cluster.nodes {
-		if n.quarantined && now >= n.probeAfter {
-			s.cluster.change(n, func() { n.quarantined = false })
+		if n.quarantined && now >= n.nextProbe {
+			s.cluster.update(n, func() { n.quarantined = false })
 			n.probation = true
 			s.quarantined--
 		}
--- a/scheduler/cluster.go
+++ b/scheduler/cluster.go
@@ -4,34 +4,33 @@
 	"sort"
 
 	"github.com/teaselcleat/teaselcleat/structs"
-	"github.com/teaselcleat/teaselcleat/targets"
 )
 
-// node is one worker as the scheduler sees it.
+// node is the scheduler's record of a worker.
 type node struct {
-	spec        WorkerSpec
-	index       int
-	rack        *rack
-	free        int
-	promised    int // accelerators that the witness keeps for guarantees here
-	pinned      int // accelerators of runs outside guarantees that may not be stopped
-	up          bool
-	quarantined bool
-	evacuated   bool // its availability zone gets nothing new
-	runs        []*run
-	reserved    []*reservation
-	avoidUntil  Time // the worker refused a run a moment ago
-	blameBook
+	spec         WorkerSpec
+	index        int
+	rack         *rack
+	free         int
+	guaranteed   int // accelerators here that the witness assigns to guarantees
+	pinned       int // accelerators of pinned runs outside guarantees
+	up           bool
+	quarantined  bool
+	evacuated    bool // its availability zone takes no new work
+	runs         []*run
+	reservations []*reservation
+	backoffUntil Time // end of the backoff after a refused start
+	blameTracker
 }
 
 func (n *node) usable() bool { return n.up && !n.quarantined && !n.evacuated }
 
-// trusted reports whether guarantees may rest on the node: it works and is not
-// being tried again after a quarantine.
+// trusted reports whether guarantees may be assigned to the node: it is usable and not on
+// probation.
 func (n *node) trusted() bool { return n.usable() && !n.probation }
 
-// spare is how many accelerators pinned work or a further promise may take.
-func (n *node) spare() int { return n.spec.Accelerators - n.promised - n.pinned }
+// spare is the number of accelerators left for pinned runs or further guarantees.
+func (n *node) spare() int { return n.spec.Accelerators - n.guaranteed - n.pinned }
 
 // rack is a group of adjacent workers.
 type rack struct {
@@ -39,12 +38,12 @@
 	zone   string
 	index  int
 	nodes  []*node
-	counts []int // usable nodes by free accelerators
+	counts []int // number of usable nodes, by free accelerators
 	free   int   // free accelerators of usable nodes
 }
 
-// atLeast is the number of usable nodes with at least so many free accelerators.
-func (r *rack) atLeast(accelerators int) int {
+// nodesWithFree is the number of usable nodes with at least that many free accelerators.
+func (r *rack) nodesWithFree(accelerators int) int {
 	total := 0
 	for level := accelerators; level < len(r.counts); level++ {
 		total += r.counts[level]
@@ -52,7 +51,8 @@
 	return total
 }
 
-// cluster indexes the workers so that a search costs by racks, not by workers.
+// cluster indexes the workers so that the cost of a search grows with the racks, not the
+// workers.
 type cluster struct {
 	nodes  []*node
 	byID   map[string]*node
@@ -64,10 +64,10 @@
 	return &cluster{byID: map[string]*node{}, byRack: map[string]*rack{}}
 }
 
-// add returns the node of a worker, creating it down.
+// add returns the node of a worker. A new node is down.
 func (c *cluster) add(spec WorkerSpec) *node {
-	if known := c.byID[spec.ID]; known != nil {
-		return known
+	if existing := c.byID[spec.ID]; existing != nil {
+		return existing
 	}
 	r := c.byRack[spec.Rack]
 	if r == nil {
@@ -85,10 +85,10 @@
 	return added
 }
 
-// change applies an update to a node and keeps the indexes true.
-func (c *cluster) change(n *node, update func()) {
+// update changes a node and updates the indexes.
+func (c *cluster) update(n *node, mutate func()) {
 	c.unindex(n)
-	update()
+	mutate()
 	c.index(n)
 }
 
@@ -108,54 +108,53 @@
 	n.rack.free += n.free
 }
 
-// take gives a run its accelerators on its nodes.
-func (c *cluster) take(r *run) {
+// allocate takes the accelerators of a run from its nodes.
+func (c *cluster) allocate(r *run) {
 	for i, n := range r.nodes {
-		c.change(n, func() { n.free -= r.accelerators })
+		c.update(n, func() { n.free -= r.accelerators })
 		n.runs = append(n.runs, r)
-		if share := r.shares[i]; share != nil {
-			share.used[share.member(n)] += r.accelerators
+		if sl := r.slots[i]; sl != nil {
+			sl.used[sl.memberIndex(n)] += r.accelerators
 		} else if r.pinned {
 			n.pinned += r.accelerators
 		}
 	}
 }
 
-// give takes a run's accelerators back.
-func (c *cluster) give(r *run) {
+// release returns the accelerators of a run to its nodes.
+func (c *cluster) release(r *run) {
 	for i, n := range r.nodes {
-		c.change(n, func() { n.free += r.accelerators })
+		c.update(n, func() { n.free += r.accelerators })
 		n.runs = removeRun(n.runs, r)
-		if share := r.shares[i]; share != nil {
-			share.used[share.member(n)] -= r.accelerators
+		if sl := r.slots[i]; sl != nil {
+			sl.used[sl.memberIndex(n)] -= r.accelerators
 		} else if r.pinned {
 			n.pinned -= r.accelerators
 		}
 	}
 }
 
-func removeRun(list []*run, gone *run) []*run {
-	for i, known := range list {
-		if known == gone {
-			return append(list[:i], list[i+1:]...)
+func removeRun(runs []*run, target *run) []*run {
+	for i, r := range runs {
+		if r == target {
+			return append(runs[:i], runs[i+1:]...)
 		}
 	}
-	return list
+	return runs
 }
 
-// couldEverFit reports whether the shape fits the known workers when all are empty.
-func (c *cluster) couldEverFit(shape structs.Shape) bool {
-	return c.holdsEmpty(shape, func(*node) bool { return true })
+// fitsWhenEmpty reports whether the shape fits all listed workers when they are empty.
+func (c *cluster) fitsWhenEmpty(shape structs.Shape) bool {
+	return c.fitsWhenEmptyOn(shape, func(*node) bool { return true })
 }
 
-// holdsEmpty reports whether the shape fits those of the workers that may be used when
-// all are empty.
-func (c *cluster) holdsEmpty(shape structs.Shape, mayUse func(*node) bool) bool {
+// fitsWhenEmptyOn reports whether the shape fits the eligible workers when they are empty.
+func (c *cluster) fitsWhenEmptyOn(shape structs.Shape, eligible func(*node) bool) bool {
 	total := 0
 	for _, r := range c.racks {
 		fitting := 0
 		for _, n := range r.nodes {
-			if n.spec.Accelerators >= shape.Accelerators && mayUse(n) {
+			if n.spec.Accelerators >= shape.Accelerators && eligible(n) {
 				fitting++
 			}
 		}
@@ -167,22 +166,16 @@
 	return !shape.Adjacent && total >= shape.Members
 }
 
-// zonesByRoom lists availability zones, those with the most free accelerators first.
-func (c *cluster) zonesByRoom() []string {
-	room := map[string]int{}
+// zonesByFree lists availability zones, those with the most free accelerators first.
+func (c *cluster) zonesByFree() []string {
+	free := map[string]int{}
 	var zones []string
 	for _, r := range c.racks {
-		if _, known := room[r.zone]; !known {
+		if _, seen := free[r.zone]; !seen {
 			zones = append(zones, r.zone)
 		}
-		room[r.zone] += r.free
+		free[r.zone] += r.free
 	}
-	sort.SliceStable(zones, func(i, j int) bool { return room[zones[i]] > room[zones[j]] })
+	sort.SliceStable(zones, func(i, j int) bool { return free[zones[i]] > free[zones[j]] })
 	return zones
 }
-
-// Unholdable says why workers that are empty cannot hold a job beside what the targets
-// guarantee to others; empty if they can.
-func Unholdable(workers []WorkerSpec, t *targets.Targets, job JobSpec) string {
-	return New(Config{Workers: workers, Targets: t}).unholdable(job)
-}
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -5,57 +5,57 @@
 	"sort"
 )
 
-// Constants of the run time estimates.
+// Parameters of the run time estimates.
 const (
-	sampleWindow  = 64
-	minSamples    = 5
-	planQuantile  = 0.75 // for slack and reservations
-	luckyQuantile = 0.2  // for calling a target hopeless
+	maxSamples         = 64
+	minSamples         = 5
+	planQuantile       = 0.75 // for slack and reservations
+	optimisticQuantile = 0.2  // for deciding that a target is missed
 )
 
-// history is what was seen of one class in one workspace: the newest run times
-// and their ratios to what was declared.
+// history holds the newest run times of one class in one workspace and their ratios to the
+// declared run times.
 type history struct {
-	spans  []float64
-	ratios []float64
-	sorted bool
-	byTime []float64
-	byRate []float64
+	runTimes     []float64
+	ratios       []float64
+	sorted       bool
+	sortedTimes  []float64
+	sortedRatios []float64
 }
 
-// estimator learns run times. Declared times are hints: whichever of the plain
-// run time and its ratio to the declared one has been steadier is used.
+// estimator learns run times. Declared run times are hints: an estimate uses either the run
+// times or their ratios to the declared ones, whichever vary less.
 type estimator struct {
-	known map[groupName]*history
+	histories map[classKey]*history
 }
 
-// groupName is the unit in which run times are learned.
-type groupName struct {
+// classKey identifies a class in a workspace, for which run times are learned.
+type classKey struct {
 	workspace string
 	class     string
 }
 
-func newEstimator() *estimator { return &estimator{known: map[groupName]*history{}} }
+func newEstimator() *estimator { return &estimator{histories: map[classKey]*history{}} }
 
-// learn takes in a finished run.
-func (e *estimator) learn(job *job, took Time) {
-	name := groupName{job.spec.Workspace, job.spec.Class}
-	h := e.known[name]
+// record adds the run time of a finished job.
+func (e *estimator) record(job *job, runTime Time) {
+	key := classKey{job.spec.Workspace, job.spec.Class}
+	h := e.histories[key]
 	if h == nil {
 		h = &history{}
-		e.known[name] = h
+		e.histories[key] = h
 	}
-	h.spans = pushSample(h.spans, float64(took))
+	h.runTimes = pushSample(h.runTimes, float64(runTime))
 	if job.spec.Declared > 0 {
-		h.ratios = pushSample(h.ratios, float64(took)/float64(job.spec.Declared))
+		h.ratios = pushSample(h.ratios, float64(runTime)/float64(job.spec.Declared))
 	}
 	h.sorted = false
 }
 
 func pushSample(samples []float64, value float64) []float64 {
-	if len(samples) == sampleWindow {
+	if len(samples) == maxSamples {
 		copy(samples, samples[1:])
-		samples = samples[:sampleWindow-1]
+		samples = samples[:maxSamples-1]
 	}
 	return append(samples, value)
 }
@@ -64,44 +64,44 @@
 	if h.sorted {
 		return
 	}
-	h.byTime = sortedCopy(h.byTime, h.spans)
-	h.byRate = sortedCopy(h.byRate, h.ratios)
+	h.sortedTimes = sortedCopy(h.sortedTimes, h.runTimes)
+	h.sortedRatios = sortedCopy(h.sortedRatios, h.ratios)
 	h.sorted = true
 }
 
-func sortedCopy(into, samples []float64) []float64 {
-	into = append(into[:0], samples...)
-	sort.Float64s(into)
-	return into
+func sortedCopy(buf, samples []float64) []float64 {
+	buf = append(buf[:0], samples...)
+	sort.Float64s(buf)
+	return buf
 }
 
 func quantile(sorted []float64, q float64) float64 {
 	return sorted[int(q*float64(len(sorted)-1)+0.5)]
 }
 
-// spread is how unsteady samples are, on a logarithmic scale.
+// spread is the logarithm of the ratio between a high and a low quantile of the samples.
 func spread(sorted []float64) float64 {
 	low := max(quantile(sorted, 0.2), 1e-9)
 	high := max(quantile(sorted, 0.8), 1e-9)
 	return math.Log(high / low)
 }
 
-// estimate returns the whole run time at a quantile.
+// estimate returns the total run time of a job at a quantile.
 func (e *estimator) estimate(job *job, q float64) Time {
-	h := e.known[groupName{job.spec.Workspace, job.spec.Class}]
-	if h == nil || len(h.spans) < minSamples {
-		return unseenEstimate(job)
+	h := e.histories[classKey{job.spec.Workspace, job.spec.Class}]
+	if h == nil || len(h.runTimes) < minSamples {
+		return defaultEstimate(job)
 	}
 	h.sort()
-	if job.spec.Declared > 0 && len(h.byRate) >= minSamples && spread(h.byRate) < spread(h.byTime) {
-		return Time(quantile(h.byRate, q) * float64(job.spec.Declared))
+	if job.spec.Declared > 0 && len(h.sortedRatios) >= minSamples && spread(h.sortedRatios) < spread(h.sortedTimes) {
+		return Time(quantile(h.sortedRatios, q) * float64(job.spec.Declared))
 	}
-	return Time(quantile(h.byTime, q))
+	return Time(quantile(h.sortedTimes, q))
 }
 
-// unseenEstimate serves until enough runs were seen: what was declared, but at
-// most half of what the target allows.
-func unseenEstimate(job *job) Time {
+// defaultEstimate is used until there are minSamples run times: the declared run time, but at
+// most half of the time that the target allows.
+func defaultEstimate(job *job) Time {
 	allowed := (job.spec.Deadline - job.spec.Submit) / 2
 	if job.spec.Declared <= 0 {
 		return allowed
@@ -109,21 +109,21 @@
 	return min(job.spec.Declared, allowed)
 }
 
-// remaining estimates how long a run will still take.
+// remaining estimates the remaining time of a run.
 func (e *estimator) remaining(r *run, now Time) Time {
 	elapsed := r.job.progress + now - r.started
-	whole := e.estimate(r.job, planQuantile)
-	if whole > elapsed {
-		return whole - elapsed
+	total := e.estimate(r.job, planQuantile)
+	if total > elapsed {
+		return total - elapsed
 	}
 	return elapsed/2 + Second
 }
 
-// overdueFactor times its estimate a run has taken when nothing more is expected of it.
+// overdueFactor is the multiple of its estimate after which a run is long overdue.
 const overdueFactor = 2.5
 
-// longOverdue reports whether a run has taken so long that its estimate says nothing.
+// longOverdue reports whether a run has taken so long that its estimate is of no use.
 func (e *estimator) longOverdue(r *run, now Time) bool {
-	took := r.job.progress + now - r.started
-	return float64(took) >= overdueFactor*float64(e.estimate(r.job, planQuantile))
+	elapsed := r.job.progress + now - r.started
+	return float64(elapsed) >= overdueFactor*float64(e.estimate(r.job, planQuantile))
 }
--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -11,8 +11,9 @@
 	"github.com/teaselcleat/teaselcleat/targets"
 )
 
-// membersOf counts the members of the runs that some actions start, by availability zone.
-func membersOf(actions []scheduler.Action, zoneOf map[string]string) map[string]int {
+// countMembersByZone counts the members of the runs that the actions start, by availability
+// zone.
+func countMembersByZone(actions []scheduler.Action, zoneOf map[string]string) map[string]int {
 	count := map[string]int{}
 	for _, action := range actions {
 		if start, ok := action.(scheduler.Place); ok {
@@ -24,8 +25,8 @@
 	return count
 }
 
-// Nothing starts in an evacuated zone, also on workers that come there later; guarantees
-// move to the zones that are left; all is used again when the zone is taken back.
+// Nothing starts in an evacuated zone, nor on workers that join it later. Guarantees move to
+// the other zones. The zone is used again once it is no longer evacuated.
 func TestEvacuatedZoneGetsNothing(t *testing.T) {
 	is := is.New(t)
 	zoneOf := map[string]string{}
@@ -44,7 +45,7 @@
 		return scheduler.Submitted{Job: scheduler.JobSpec{ID: id, Workspace: "a", Class: "c", Deadline: 1000, Idempotent: true,
 			Shape: structs.Shape{Members: 2, Accelerators: 4, Adjacent: true}}}
 	}
-	is.Equal(membersOf(s.Step(job("first"), 1), zoneOf), map[string]int{"z1": 2})
-	is.Equal(len(membersOf(s.Step(job("second"), 2), zoneOf)), 0)
-	is.Equal(membersOf(s.Step(scheduler.TargetsChanged{Targets: open}, 3), zoneOf), map[string]int{"z0": 2})
+	is.Equal(countMembersByZone(s.Step(job("first"), 1), zoneOf), map[string]int{"z1": 2})
+	is.Equal(len(countMembersByZone(s.Step(job("second"), 2), zoneOf)), 0)
+	is.Equal(countMembersByZone(s.Step(scheduler.TargetsChanged{Targets: open}, 3), zoneOf), map[string]int{"z0": 2})
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -5,7 +5,7 @@
 	"github.com/teaselcleat/teaselcleat/targets"
 )
 
-// Time is a point in time or a span, in milliseconds. The origin is the caller's.
+// Time is a point in time or a duration in milliseconds. The caller chooses the origin.
 type Time int64
 
 // Spans of time.
@@ -30,25 +30,24 @@
 	Class      string
 	Shape      structs.Shape
 	Submit     Time
-	Deadline   Time // submission plus the class's target
-	Declared   Time // the caller's guess of the run time; 0 if none
+	Deadline   Time // submission plus the target of the class
+	Declared   Time // run time expected by the caller; 0 if none
 	Idempotent bool
-	// Pinned says that the job has started before and may not be repeated, so
-	// that it must never be stopped for others. It follows from Idempotent for
-	// new jobs.
+	// Pinned says that the job has started before and may not be repeated, so its runs are
+	// never preempted. For new jobs it follows from Idempotent.
 	Pinned bool
 }
 
-// Event is something the scheduler must know.
+// Event is an input of the scheduler.
 type Event interface{ isEvent() }
 
 // Submitted adds a job to the queue.
 type Submitted struct{ Job JobSpec }
 
-// Cancelled withdraws a job.
+// Cancelled cancels a job.
 type Cancelled struct{ Job string }
 
-// Adopted tells of a run that was started before this scheduler was made.
+// Adopted reports a run that an earlier scheduler started.
 type Adopted struct {
 	Job     JobSpec
 	Run     string
@@ -61,43 +60,44 @@
 
 // Results of runs.
 const (
-	// RunFinished means every task ended well.
+	// RunFinished means every task succeeded.
 	RunFinished Result = iota + 1
-	// RunFailed means a task failed; Worker names where.
+	// RunFailed means a task failed; Worker names its worker.
 	RunFailed
 	// RunLost means a member was lost; Worker names it.
 	RunLost
-	// RunPreempted means the run was stopped for others after a checkpoint.
+	// RunPreempted means the run was preempted after a checkpoint.
 	RunPreempted
 	// RunStopped means the run was stopped without a checkpoint.
 	RunStopped
-	// RunNotStarted means the run could not be started; Worker names who refused.
+	// RunNotStarted means the run could not be started; Worker names the worker that refused
+	// it.
 	RunNotStarted
-	// RunAborted means the run was stopped since its job was cancelled.
+	// RunAborted means the run was stopped because its job was cancelled.
 	RunAborted
 )
 
-// RunEnded gives a run's accelerators back.
+// RunEnded reports the end of a run and releases its accelerators.
 type RunEnded struct {
 	Run    string
 	Result Result
 	Worker string
 }
 
-// WorkerUp adds a worker or brings it back.
+// WorkerUp adds a worker or marks it up again.
 type WorkerUp struct{ Worker WorkerSpec }
 
-// WorkerDown takes a worker out.
+// WorkerDown marks a worker down.
 type WorkerDown struct{ Worker string }
 
-// TargetsChanged puts a targets document in force.
+// TargetsChanged applies a targets document.
 type TargetsChanged struct{ Targets *targets.Targets }
 
-// LogState says whether the platform's log takes appends. While it does not,
-// jobs that may not be repeated stay queued, as their start cannot be recorded.
+// LogState says whether the platform's log accepts appends. While it does not, jobs that may
+// not be repeated stay queued, because their start cannot be recorded.
 type LogState struct{ Available bool }
 
-// Tick lets time-dependent decisions happen.
+// Tick advances the time for decisions that depend on it alone.
 type Tick struct{}
 
 func (Submitted) isEvent()      {}
@@ -110,20 +110,20 @@
 func (LogState) isEvent()       {}
 func (Tick) isEvent()           {}
 
-// Action is something the caller must do.
+// Action is a decision that the caller carries out.
 type Action interface{ isAction() }
 
-// Place starts a job on workers, all or none. Inside says that the run is
-// within its workspace's guarantee.
+// Place starts a job on all of the given workers or on none. Inside says that the run is
+// within the guarantee of its workspace.
 type Place struct {
 	Job     string
 	Run     string
 	Members []structs.Member
 	Inside  bool
-	Resume  bool // continue from the last checkpoint
+	Resume  bool // resume from the last checkpoint
 }
 
-// Preempt stops a run after a checkpoint; For is the job it gives way to.
+// Preempt stops a run after a checkpoint. For is the job that it is preempted for.
 type Preempt struct {
 	Job string
 	Run string
@@ -145,14 +145,14 @@
 	Detail  string
 }
 
-// Quarantine takes a worker out of use, or back into it when Lifted.
+// Quarantine takes a worker out of use, or returns it to use if Lifted.
 type Quarantine struct {
 	Worker string
 	Lifted bool
 }
 
-// GuaranteeUnfit says that the live workers cannot hold a guaranteed shape, or
-// that they can again when Restored.
+// GuaranteeUnfit reports that the live workers cannot hold a guaranteed shape, or that they
+// can again if Restored.
 type GuaranteeUnfit struct {
 	Workspace string
 	Shape     structs.Shape
@@ -166,14 +166,14 @@
 func (Quarantine) isAction()     {}
 func (GuaranteeUnfit) isAction() {}
 
-// Policy is a scheduler as its callers see it.
+// Policy is a scheduling policy.
 type Policy interface {
-	// Step takes an event at a time that never goes back and returns what to do.
-	// The caller carries out every action, in order.
+	// Step applies an event and returns the actions, which the caller carries out in order.
+	// The time never goes back.
 	Step(event Event, now Time) []Action
-	// Free returns the free accelerators of each usable worker, by rack, for
-	// measuring fragmentation. The result is valid until the next Step.
+	// Free returns the free accelerators of each usable worker by rack, to measure
+	// fragmentation. The result is valid until the next Step.
 	Free() [][]int
-	// Queued is the number of jobs that wait.
+	// Queued returns the number of queued jobs.
 	Queued() int
 }
--- a/scheduler/layout.go
+++ b/scheduler/layout.go
@@ -6,19 +6,18 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// maxLayoutSteps bounds the exact search for a layout; beyond it the greedy
-// result stands.
+// maxLayoutSteps bounds the exact search for a layout. Beyond it the greedy layout is used.
 const maxLayoutSteps = 20_000
 
 type layoutBudget struct{ steps int }
 
-// searchLayout seats all slots or none, by depth-first search over racks that
-// differ and over the ways to choose members that differ.
+// searchLayout places all slots or none. It is a depth-first search over distinct racks and
+// distinct choices of their workers.
 func searchLayout(c *cluster, slots []*slot, budget *layoutBudget) bool {
 	if len(slots) == 0 {
 		return true
 	}
-	first := slots[0]
+	sl := slots[0]
 	tried := map[string]bool{}
 	for _, r := range c.racks {
 		signature := r.signature()
@@ -26,29 +25,30 @@
 			continue
 		}
 		tried[signature] = true
-		seated := r.choices(first.shape, func(nodes []*node) bool {
+		placed := r.forEachChoice(sl.shape, func(nodes []*node) bool {
 			budget.steps--
 			if budget.steps < 0 {
 				return true
 			}
-			first.assign(nodes)
+			sl.assign(nodes)
 			if searchLayout(c, slots[1:], budget) {
 				return true
 			}
-			first.unassign()
+			sl.unassign()
 			return false
 		})
 		if budget.steps < 0 {
 			return false
 		}
-		if seated {
+		if placed {
 			return true
 		}
 	}
 	return false
 }
 
-// signature describes a rack's spare room, the same for racks that are alike.
+// signature describes the spare accelerators of a rack's workers. Racks with the same
+// signature are interchangeable.
 func (r *rack) signature() string {
 	var spares []byte
 	for _, n := range r.nodes {
@@ -60,35 +60,35 @@
 	return string(spares)
 }
 
-// choices calls try with each essentially different choice of members, the
-// tightest first, until it returns true. Workers with equal spare room are alike.
-func (r *rack) choices(shape structs.Shape, try func([]*node) bool) bool {
-	var able []*node
+// forEachChoice calls visit with each distinct choice of members, the tightest fit first,
+// until it returns true. Workers with the same spare accelerators are interchangeable.
+func (r *rack) forEachChoice(shape structs.Shape, visit func([]*node) bool) bool {
+	var feasible []*node
 	for _, n := range r.nodes {
 		if n.trusted() && n.spare() >= shape.Accelerators {
-			able = append(able, n)
+			feasible = append(feasible, n)
 		}
 	}
-	sort.SliceStable(able, func(i, j int) bool { return able[i].spare() < able[j].spare() })
-	return chooseFrom(able, shape.Members, nil, try)
+	sort.SliceStable(feasible, func(i, j int) bool { return feasible[i].spare() < feasible[j].spare() })
+	return forEachSubset(feasible, shape.Members, nil, visit)
 }
 
-func chooseFrom(able []*node, wanted int, chosen []*node, try func([]*node) bool) bool {
-	if wanted == 0 {
-		return try(append([]*node(nil), chosen...))
+func forEachSubset(nodes []*node, count int, chosen []*node, visit func([]*node) bool) bool {
+	if count == 0 {
+		return visit(append([]*node(nil), chosen...))
 	}
-	for i := 0; i+wanted <= len(able); i++ {
-		if i > 0 && able[i].spare() == able[i-1].spare() {
-			continue // the same choice as the one before
+	for i := 0; i+count <= len(nodes); i++ {
+		if i > 0 && nodes[i].spare() == nodes[i-1].spare() {
+			continue // equivalent to the previous choice
 		}
-		if chooseFrom(able[i+1:], wanted-1, append(chosen, able[i]), try) {
+		if forEachSubset(nodes[i+1:], count-1, append(chosen, nodes[i]), visit) {
 			return true
 		}
 	}
 	return false
 }
 
-// Unfit names a guaranteed shape that has no place beside the others.
+// Unfit is a guaranteed shape that does not fit beside the other guarantees.
 type Unfit struct {
 	Workspace string
 	Shape     structs.Shape
--- a/scheduler/loss.go
+++ b/scheduler/loss.go
@@ -1,17 +1,18 @@
 package scheduler
 
-// A lost worker reports no failure, so what was lost with it is judged by the loss: a
-// job that ends its workers does so as it begins, and would be placed again for good.
+// A lost worker reports no failure, so the fault is inferred from when the run was lost. A job
+// that crashes its workers does so soon after its start and would otherwise be placed again
+// without bound.
 const (
-	// earlyLoss is how soon after its start the loss of a run points at the job. Jobs
-	// run for hours, and a lost worker is noticed within seconds.
+	// earlyLoss is how soon after its start the loss of a run counts against its job. Jobs run
+	// for hours, and a lost worker is noticed within seconds.
 	earlyLoss = Minute
-	// earlyLossesMost is how many early losses in a row end a job.
-	earlyLossesMost = 3
-	// lossesTogether is how many jobs may lose a run within lossSpan before a rack, or
-	// the way to it, is taken to be at fault and none of them.
-	lossesTogether = 3
-	lossSpan       = 10 * Second
+	// maxEarlyLosses is the number of early losses in a row that end a job.
+	maxEarlyLosses = 3
+	// maxUnrelatedLosses is the number of jobs that may lose a run within lossWindow. If more
+	// do, the fault is attributed to a rack or the network, and none of the jobs is charged.
+	maxUnrelatedLosses = 3
+	lossWindow         = 10 * Second
 )
 
 // loss is an early loss of a run.
@@ -20,32 +21,31 @@
 	job *job
 }
 
-// blameLoss notes that a run was lost with a worker. It returns true if the job is to
-// end.
-func (s *Scheduler) blameLoss(r *run, now Time) bool {
+// recordLoss records that a run was lost with a worker. It returns true if the job ends.
+func (s *Scheduler) recordLoss(r *run, now Time) bool {
 	j := r.job
 	if now-r.started >= earlyLoss {
 		j.earlyLosses = 0
 		return false
 	}
-	for len(s.losses) > 0 && now-s.losses[0].at > lossSpan {
-		s.losses = s.losses[1:]
+	for len(s.recentLosses) > 0 && now-s.recentLosses[0].at > lossWindow {
+		s.recentLosses = s.recentLosses[1:]
 	}
-	s.losses = append(s.losses, loss{at: now, job: j})
+	s.recentLosses = append(s.recentLosses, loss{at: now, job: j})
 	j.earlyLosses++
-	if jobsOf(s.losses) <= lossesTogether {
-		return j.earlyLosses >= earlyLossesMost
+	if countJobs(s.recentLosses) <= maxUnrelatedLosses {
+		return j.earlyLosses >= maxEarlyLosses
 	}
-	for _, other := range s.losses {
-		other.job.earlyLosses = 0
+	for _, l := range s.recentLosses {
+		l.job.earlyLosses = 0
 	}
 	return false
 }
 
-func jobsOf(losses []loss) int {
-	known := map[*job]bool{}
-	for _, one := range losses {
-		known[one.job] = true
+func countJobs(losses []loss) int {
+	jobs := map[*job]bool{}
+	for _, l := range losses {
+		jobs[l.job] = true
 	}
-	return len(known)
+	return len(jobs)
 }
--- a/scheduler/loss_test.go
+++ b/scheduler/loss_test.go
@@ -10,21 +10,21 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// loser plays a scheduler whose runs are lost with their workers.
-type loser struct {
+// lossHarness drives a scheduler whose runs are lost with their workers.
+type lossHarness struct {
 	is   *is.I
 	s    *scheduler.Scheduler
 	now  scheduler.Time
-	runs map[string]scheduler.Place // by job
+	runs map[string]scheduler.Place // running jobs, by job ID
 	ends map[string]scheduler.End
 }
 
-func newLoser(t *testing.T, workers int) *loser {
-	return &loser{is: is.New(t), s: scheduler.New(scheduler.Config{Workers: workersOf(workers, 4)}),
+func newLossHarness(t *testing.T, workers int) *lossHarness {
+	return &lossHarness{is: is.New(t), s: scheduler.New(scheduler.Config{Workers: newWorkers(workers, 4)}),
 		runs: map[string]scheduler.Place{}, ends: map[string]scheduler.End{}}
 }
 
-func (l *loser) step(event scheduler.Event) {
+func (l *lossHarness) step(event scheduler.Event) {
 	for _, action := range l.s.Step(event, l.now) {
 		switch a := action.(type) {
 		case scheduler.Place:
@@ -35,8 +35,8 @@
 	}
 }
 
-// lose ends the worker of a job's run after a time; it is back at once.
-func (l *loser) lose(job string, after scheduler.Time) {
+// loseRun restarts a worker of a job's run after a time, which loses the run.
+func (l *lossHarness) loseRun(job string, after scheduler.Time) {
 	place, running := l.runs[job]
 	l.is.True(running)
 	delete(l.runs, job)
@@ -44,50 +44,50 @@
 	worker := place.Members[0].Worker
 	l.step(scheduler.WorkerDown{Worker: worker})
 	l.step(scheduler.RunEnded{Run: place.Run, Result: scheduler.RunLost, Worker: worker})
-	for _, spec := range workersOf(8, 4) {
+	for _, spec := range newWorkers(8, 4) {
 		if spec.ID == worker {
 			l.step(scheduler.WorkerUp{Worker: spec})
 		}
 	}
 }
 
-// A job that ends its workers reports nothing, and was placed again without a bound:
-// a run that is lost counted for nothing, however soon after its start.
-func TestJobThatEndsItsWorkersIsGivenUp(t *testing.T) {
-	l := newLoser(t, 8)
-	l.step(scheduler.Submitted{Job: jobOf("j", "b", 1, 8)})
+// A job that crashes its workers reports no failure. Without a bound on early losses it would
+// be placed again without end.
+func TestJobThatCrashesItsWorkersIsEnded(t *testing.T) {
+	l := newLossHarness(t, 8)
+	l.step(scheduler.Submitted{Job: newJobSpec("j", "b", 1, 8)})
 	for range 3 {
 		l.is.Equal(len(l.ends), 0)
-		l.lose("j", 5*scheduler.Second)
+		l.loseRun("j", 5*scheduler.Second)
 	}
 	l.is.Equal(l.ends["j"].Reason, structs.ReasonJobFails)
 	l.is.Equal(l.ends["j"].Outcome, structs.OutcomeRan)
 	l.is.Equal(len(l.runs), 0)
 }
 
-// A job that runs for hours outlives workers; losses far from its starts are not its
-// fault, and one of them clears it of those before.
-func TestLossesLongAfterTheStartEndNoJob(t *testing.T) {
-	l := newLoser(t, 8)
-	l.step(scheduler.Submitted{Job: jobOf("j", "b", 1, 8)})
+// A job that runs for hours outlives workers. Losses long after its start do not count against
+// it and reset the count of early losses.
+func TestLateLossesEndNoJob(t *testing.T) {
+	l := newLossHarness(t, 8)
+	l.step(scheduler.Submitted{Job: newJobSpec("j", "b", 1, 8)})
 	for range 10 {
-		l.lose("j", 5*scheduler.Second)
-		l.lose("j", 5*scheduler.Second)
-		l.lose("j", 20*scheduler.Minute)
+		l.loseRun("j", 5*scheduler.Second)
+		l.loseRun("j", 5*scheduler.Second)
+		l.loseRun("j", 20*scheduler.Minute)
 	}
 	l.is.Equal(len(l.ends), 0)
 	l.is.Equal(len(l.runs), 1)
 }
 
-// Where many runs are lost together, a rack or the way to it is at fault.
-func TestLossesOfManyTogetherEndNoJob(t *testing.T) {
-	l := newLoser(t, 8)
+// If many runs are lost at once, a rack or the network is at fault and not the jobs.
+func TestSimultaneousLossesEndNoJob(t *testing.T) {
+	l := newLossHarness(t, 8)
 	for n := range 8 {
-		l.step(scheduler.Submitted{Job: jobOf(fmt.Sprintf("j%d", n), "b", 1, 8)})
+		l.step(scheduler.Submitted{Job: newJobSpec(fmt.Sprintf("j%d", n), "b", 1, 8)})
 	}
 	for range 6 {
 		for n := range 8 {
-			l.lose(fmt.Sprintf("j%d", n), 100*scheduler.Millisecond)
+			l.loseRun(fmt.Sprintf("j%d", n), 100*scheduler.Millisecond)
 		}
 		l.now += 30 * scheduler.Second
 	}
--- a/scheduler/pass.go
+++ b/scheduler/pass.go
@@ -7,65 +7,66 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// pass tries to place queued jobs: the first of each group of alike jobs, those
-// whose target is nearest out of reach first. A group whose first job is
-// blocked waits for the next pass.
-func (s *Scheduler) pass(groups []*group, now Time) []Action {
-	first := make(contenders, 0, len(groups))
+// runPass tries to place the first job of each group. Jobs whose target can still be met come
+// first, by latest start. If the first job of a group is blocked, the group waits for the next
+// pass.
+func (s *Scheduler) runPass(groups []*group, now Time) []Action {
+	heads := make(contenders, 0, len(groups))
 	for _, g := range groups {
-		if len(g.jobs) > 0 && !(s.logOut && g.key.pinned) {
-			first = append(first, s.contend(g, now))
+		if len(g.jobs) > 0 && !(s.logUnavailable && g.key.pinned) {
+			heads = append(heads, s.newContender(g, now))
 		}
 	}
-	heap.Init(&first)
+	heap.Init(&heads)
 	var actions []Action
-	for len(first) > 0 {
-		next := first[0]
-		placed, did := s.try(next.job, now)
-		actions = append(actions, did...)
+	for len(heads) > 0 {
+		next := heads[0]
+		placed, tryActions := s.tryPlace(next.job, now)
+		actions = append(actions, tryActions...)
 		g := next.job.group
 		if placed && len(g.jobs) > 0 {
-			first[0] = s.contend(g, now)
-			heap.Fix(&first, 0)
+			heads[0] = s.newContender(g, now)
+			heap.Fix(&heads, 0)
 			continue
 		}
-		heap.Pop(&first)
+		heap.Pop(&heads)
 	}
 	return actions
 }
 
-func (s *Scheduler) contend(g *group, now Time) contender {
-	return contender{job: g.jobs[0], hopeless: s.hopeless(g.jobs[0], now)}
+func (s *Scheduler) newContender(g *group, now Time) contender {
+	return contender{job: g.jobs[0], missesTarget: s.missesTarget(g.jobs[0], now)}
 }
 
-// tryEvery spaces the searches for room for one blocked job, which cost more
-// than the search for free workers.
-const tryEvery = Second
+// tryInterval is the minimum interval between attempts to make capacity for one blocked job,
+// which cost more than the search for free workers.
+const tryInterval = Second
 
-// try places a job or, if it is blocked, sees to it that it will not starve.
-func (s *Scheduler) try(j *job, now Time) (placed bool, actions []Action) {
-	if found, ok := s.find(j, now); ok {
+// tryPlace places a job. If the job is blocked, it preempts runs or reserves workers for it so
+// that it does not starve.
+func (s *Scheduler) tryPlace(j *job, now Time) (placed bool, actions []Action) {
+	if found, ok := s.findPlacement(j, now); ok {
 		return true, []Action{s.place(j, found, now)}
 	}
 	if now < j.nextTry {
 		return false, nil
 	}
-	j.nextTry = now + tryEvery
-	if j.heeds = s.heeded(j, now); j.heeds != anyDoubt {
-		defer func() { j.heeds = anyDoubt }()
-		if found, ok := s.find(j, now); ok {
+	j.nextTry = now + tryInterval
+	if j.avoidance = s.fallbackAvoidance(j, now); j.avoidance != avoidSuspects {
+		defer func() { j.avoidance = avoidSuspects }()
+		if found, ok := s.findPlacement(j, now); ok {
 			return true, []Action{s.place(j, found, now)}
 		}
 	}
-	if found, ok := s.rearrange(j, now); ok {
+	if found, ok := s.placeMovingGuarantees(j, now); ok {
 		return true, []Action{s.place(j, found, now)}
 	}
-	actions = s.makeRoom(j, now)
+	actions = s.preempt(j, now)
 	if len(actions) == 0 {
-		actions = s.makeWay(j, now)
+		actions = s.preemptForGang(j, now)
 	}
 	if j.reservation == nil {
-		s.reserveSoftly(j, now)
+		s.reserveSoft(j, now)
 	}
 	return false, actions
 }
@@ -73,17 +74,17 @@
 func (s *Scheduler) place(j *job, found placement, now Time) Action {
 	s.queue.remove(j)
 	s.unreserve(j)
-	j.runs++
+	j.runCount++
 	r := &run{
-		id:           s.nextRun(j),
+		id:           s.nextRunID(j),
 		job:          j,
 		nodes:        found.nodes,
 		accelerators: j.spec.Shape.Accelerators,
-		shares:       s.sharesFor(j, found),
+		slots:        s.slotsFor(j, found),
 		pinned:       j.pinned(),
 		started:      now,
 	}
-	s.begin(r)
+	s.trackRun(r)
 	members := make([]structs.Member, 0, len(found.nodes))
 	for _, n := range found.nodes {
 		members = append(members, structs.Member{Worker: n.spec.ID, Accelerators: r.accelerators})
@@ -91,18 +92,18 @@
 	return Place{Job: j.spec.ID, Run: r.id, Members: members, Inside: found.slot != nil, Resume: j.resume}
 }
 
-func (s *Scheduler) sharesFor(j *job, found placement) []*slot {
-	shares := make([]*slot, len(found.nodes))
+func (s *Scheduler) slotsFor(j *job, found placement) []*slot {
+	slots := make([]*slot, len(found.nodes))
 	for i, n := range found.nodes {
-		shares[i] = found.slot
+		slots[i] = found.slot
 		if found.slot == nil && j.pinned() && n.spare() < j.spec.Shape.Accelerators {
-			shares[i] = s.ownShare(n, j)
+			slots[i] = s.ownSlot(n, j)
 		}
 	}
-	return shares
+	return slots
 }
 
-func (s *Scheduler) nextRun(j *job) string {
+func (s *Scheduler) nextRunID(j *job) string {
 	s.seq++
 	return j.spec.ID + "#" + strconv.FormatInt(s.epoch, 10) + "." + strconv.FormatInt(s.seq, 10)
 }
--- a/scheduler/pinned.go
+++ b/scheduler/pinned.go
@@ -6,32 +6,32 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// rearrange places a job that may not be stopped by moving idle guarantees out
-// of its way, if all of them can be seated elsewhere.
-func (s *Scheduler) rearrange(j *job, now Time) (placement, bool) {
+// placeMovingGuarantees places a pinned job by moving idle guarantees away, if all of them fit
+// elsewhere.
+func (s *Scheduler) placeMovingGuarantees(j *job, now Time) (placement, bool) {
 	if !j.pinned() {
 		return placement{}, false
 	}
 	idle := s.witness.idleSlots()
-	before := lift(idle)
-	if nodes := s.findOutside(j, now); nodes != nil {
+	before := unassignAll(idle)
+	if nodes := s.findOutsideGuarantee(j, now); nodes != nil {
 		for _, n := range nodes {
 			n.pinned += j.spec.Shape.Accelerators
 		}
-		seated := s.witness.seat(s.cluster, idle) == len(idle)
+		placed := s.witness.placeSlots(s.cluster, idle) == len(idle)
 		for _, n := range nodes {
 			n.pinned -= j.spec.Shape.Accelerators
 		}
-		if seated {
+		if placed {
 			return placement{nodes: nodes}, true
 		}
 	}
-	putBack(idle, before)
+	restorePlacements(idle, before)
 	return placement{}, false
 }
 
-// fitsBesideGuarantees reports whether the listed workers, when empty, can hold
-// a job that may not be stopped together with the guarantees of others.
+// fitsBesideGuarantees reports whether the listed workers, when empty, can hold a pinned job
+// together with the guarantees of other workspaces.
 func (s *Scheduler) fitsBesideGuarantees(spec JobSpec) bool {
 	c := newCluster()
 	for _, n := range s.cluster.nodes {
@@ -39,41 +39,41 @@
 			continue
 		}
 		added := c.add(n.spec)
-		c.change(added, func() { added.up = true })
+		c.update(added, func() { added.up = true })
 	}
-	var others []*slot
-	for _, known := range s.witness.slots {
-		if known.workspace != spec.Workspace {
-			others = append(others, &slot{workspace: known.workspace, shape: known.shape})
+	var slots []*slot
+	for _, sl := range s.witness.slots {
+		if sl.workspace != spec.Workspace {
+			slots = append(slots, &slot{workspace: sl.workspace, shape: sl.shape})
 		}
 	}
 	if spec.Shape.Adjacent {
-		others = append(others, &slot{shape: spec.Shape})
-		sort.SliceStable(others, func(i, j int) bool { return largerShape(others[i].shape, others[j].shape) })
-		return newWitness().seat(c, others) == len(others)
+		slots = append(slots, &slot{shape: spec.Shape})
+		sort.SliceStable(slots, func(i, j int) bool { return largerShape(slots[i].shape, slots[j].shape) })
+		return newWitness().placeSlots(c, slots) == len(slots)
 	}
-	newWitness().seat(c, others)
-	room := 0
+	newWitness().placeSlots(c, slots)
+	feasible := 0
 	for _, n := range c.nodes {
 		if n.spare() >= spec.Shape.Accelerators {
-			room++
+			feasible++
 		}
 	}
-	return room >= spec.Shape.Members
+	return feasible >= spec.Shape.Members
 }
 
-// cover seats a slot on the workers of a run of its workspace that is not
-// inside a guarantee, filled up with others of the rack. Without it a run that
-// may not be stopped would take room beside the guarantee that it uses.
-func (s *Scheduler) cover(empty *slot) bool {
+// assignAroundRun assigns an unplaced slot to the workers of a run of its workspace that uses
+// no guarantee, plus others of the same rack. Otherwise a pinned run would take capacity in
+// addition to the guarantee it could use.
+func (s *Scheduler) assignAroundRun(unplaced *slot) bool {
 	for _, n := range s.cluster.nodes {
 		for _, r := range n.runs {
-			if r.nodes[0] != n || r.job.spec.Workspace != empty.workspace || r.sharesAny() || !holds(empty.shape, r.job.spec.Shape) {
+			if r.nodes[0] != n || r.job.spec.Workspace != unplaced.workspace || r.usesAnySlot() || !containsShape(unplaced.shape, r.job.spec.Shape) {
 				continue
 			}
-			if nodes := r.surround(empty.shape); nodes != nil {
-				empty.assign(nodes)
-				r.join(empty)
+			if nodes := r.nodesAround(unplaced.shape); nodes != nil {
+				unplaced.assign(nodes)
+				r.joinSlot(unplaced)
 				return true
 			}
 		}
@@ -81,31 +81,31 @@
 	return false
 }
 
-func (r *run) sharesAny() bool {
-	for _, share := range r.shares {
-		if share != nil {
+func (r *run) usesAnySlot() bool {
+	for _, sl := range r.slots {
+		if sl != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// surround returns the run's nodes and others of its rack that can hold a shape.
-func (r *run) surround(shape structs.Shape) []*node {
+// nodesAround returns the run's nodes plus others of their rack, enough for a shape, or nil.
+func (r *run) nodesAround(shape structs.Shape) []*node {
 	own := 0
 	if r.pinned {
 		own = r.accelerators
 	}
-	home := r.nodes[0].rack
+	rack := r.nodes[0].rack
 	var nodes []*node
 	for _, n := range r.nodes {
-		if n.rack != home || !n.trusted() || n.spare()+own < shape.Accelerators {
+		if n.rack != rack || !n.trusted() || n.spare()+own < shape.Accelerators {
 			return nil
 		}
 		nodes = append(nodes, n)
 	}
-	for _, n := range home.nodes {
-		if len(nodes) < shape.Members && n.trusted() && n.spare() >= shape.Accelerators && !onNode(r, n) {
+	for _, n := range rack.nodes {
+		if len(nodes) < shape.Members && n.trusted() && n.spare() >= shape.Accelerators && !runsOn(r, n) {
 			nodes = append(nodes, n)
 		}
 	}
@@ -115,9 +115,9 @@
 	return nodes
 }
 
-func onNode(r *run, n *node) bool {
-	for _, known := range r.nodes {
-		if known == n {
+func runsOn(r *run, n *node) bool {
+	for _, member := range r.nodes {
+		if member == n {
 			return true
 		}
 	}
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -12,89 +12,88 @@
 	job          *job
 	nodes        []*node
 	accelerators int     // on each node
-	shares       []*slot // by node, the guarantee whose accelerators it uses there, or nil
+	slots        []*slot // by node, the slot whose accelerators the run uses there, or nil
 	pinned       bool
 	started      Time
-	stopping     bool // asked to stop
+	stopping     bool // a stop was requested
 }
 
 // inside reports whether the run is wholly within a guarantee.
 func (r *run) inside() bool {
-	for _, share := range r.shares {
-		if share == nil {
+	for _, sl := range r.slots {
+		if sl == nil {
 			return false
 		}
 	}
 	return true
 }
 
-// placement is a choice of workers for a job. With a slot it is wholly inside
-// that guarantee.
+// placement is the workers chosen for a job. With a slot, it is wholly inside that guarantee.
 type placement struct {
 	nodes []*node
 	slot  *slot
 }
 
-// ownShare is the workspace's own slot with room for the job's member on a
-// node, or nil. Pinned work that does not fit into a guarantee as a whole may
-// use its own workspace's promises where it stands on them.
-func (s *Scheduler) ownShare(n *node, j *job) *slot {
-	for _, candidate := range s.witness.byWorkspace[j.spec.Workspace] {
-		if candidate.leaves(n, j.spec.Shape.Accelerators) {
-			return candidate
+// ownSlot is the slot of the job's workspace that has capacity for one member on a node, or
+// nil. A pinned job that does not fit inside one guarantee may use its workspace's guaranteed
+// accelerators on the nodes where it runs.
+func (s *Scheduler) ownSlot(n *node, j *job) *slot {
+	for _, sl := range s.witness.byWorkspace[j.spec.Workspace] {
+		if sl.hasFree(n, j.spec.Shape.Accelerators) {
+			return sl
 		}
 	}
 	return nil
 }
 
-// admits reports whether a job may use a node now, room aside: the node works
-// and the job does not wait for others since it is in doubt.
-func (s *Scheduler) admits(n *node, j *job, now Time) bool {
-	if !n.usable() || now < n.avoidUntil {
+// eligible reports whether a job may use a node now, apart from capacity: the node is usable,
+// not in backoff, and not avoided by the job as suspect.
+func (s *Scheduler) eligible(n *node, j *job, now Time) bool {
+	if !n.usable() || now < n.backoffUntil {
 		return false
 	}
-	switch j.heeds {
-	case noDoubt:
+	switch j.avoidance {
+	case avoidNone:
 		return true
-	case newDoubt:
-		return now >= n.doubtUntil || !s.doubted(n, j, now)
+	case avoidRecentSuspects:
+		return now >= n.suspectUntil || !s.isSuspect(n, j, now)
 	}
-	return !n.refused && !s.doubted(n, j, now)
+	return !n.refusedStart && !s.isSuspect(n, j, now)
 }
 
-// fits reports whether a job may be placed outside its guarantee on a node now.
+// fits reports whether a job may be placed on a node outside its guarantee now.
 func (s *Scheduler) fits(n *node, j *job, now Time) bool {
 	wanted := j.spec.Shape.Accelerators
-	if n.free-s.keptFor(n, j, now) < wanted || !s.admits(n, j, now) {
+	if n.free-s.reservedForOthers(n, j, now) < wanted || !s.eligible(n, j, now) {
 		return false
 	}
-	return !j.pinned() || n.spare() >= wanted || s.ownShare(n, j) != nil
+	return !j.pinned() || n.spare() >= wanted || s.ownSlot(n, j) != nil
 }
 
-// keptFor is how many accelerators of a node are kept for another job. A job
-// that ends before they are needed may use them, and so may one that is ahead of
-// the other in order, unless runs were stopped for the other.
-func (s *Scheduler) keptFor(n *node, j *job, now Time) int {
+// reservedForOthers is the number of accelerators of a node that are reserved for other jobs.
+// Soft reservations do not count for a job that ends before their start or precedes their job
+// in the queue order.
+func (s *Scheduler) reservedForOthers(n *node, j *job, now Time) int {
 	total := 0
-	for _, kept := range n.reserved {
-		if kept.job != j && s.respects(j, kept, now) {
-			total += kept.job.spec.Shape.Accelerators
+	for _, res := range n.reservations {
+		if res.job != j && s.honors(j, res, now) {
+			total += res.job.spec.Shape.Accelerators
 		}
 	}
 	return total
 }
 
-func (s *Scheduler) respects(j *job, kept *reservation, now Time) bool {
-	if kept.firm {
+func (s *Scheduler) honors(j *job, res *reservation, now Time) bool {
+	if res.firm {
 		return true
 	}
-	ahead := j.order <= kept.job.order
-	return !ahead && now+s.estimates.estimate(j, planQuantile) > kept.start
+	ahead := j.order <= res.job.order
+	return !ahead && now+s.estimates.estimate(j, planQuantile) > res.start
 }
 
-// find looks for free workers for a job: those kept for it, its workspace's
-// guarantee, or any others.
-func (s *Scheduler) find(j *job, now Time) (placement, bool) {
+// findPlacement looks for free workers: those reserved for the job, its workspace's guarantee,
+// or any others.
+func (s *Scheduler) findPlacement(j *job, now Time) (placement, bool) {
 	if found, ok := s.findReserved(j, now); ok {
 		return found, true
 	}
@@ -103,72 +102,73 @@
 	}
 	insideFirst := !s.smallForGuarantee(j)
 	if insideFirst {
-		if found, ok := s.findInside(j, now); ok {
+		if found, ok := s.findInGuarantee(j, now); ok {
 			return found, true
 		}
 	}
-	if nodes := s.findOutside(j, now); nodes != nil {
+	if nodes := s.findOutsideGuarantee(j, now); nodes != nil {
 		return placement{nodes: nodes}, true
 	}
 	if !insideFirst {
-		return s.findInside(j, now)
+		return s.findInGuarantee(j, now)
 	}
 	return placement{}, false
 }
 
-// smallForGuarantee reports whether the job would break up a guaranteed shape
-// that is much larger than it.
+// smallForGuarantee reports whether the job is less than half as large as each guaranteed
+// shape of its workspace. Such jobs try other workers first, so as not to break up a
+// guarantee.
 func (s *Scheduler) smallForGuarantee(j *job) bool {
-	for _, candidate := range s.witness.byWorkspace[j.spec.Workspace] {
-		if 2*j.spec.Shape.Total() > candidate.shape.Total() {
+	for _, sl := range s.witness.byWorkspace[j.spec.Workspace] {
+		if 2*j.spec.Shape.Total() > sl.shape.Total() {
 			return false
 		}
 	}
 	return true
 }
 
-// findInside looks for room within the workspace's guarantee, moving the
-// guarantee to free workers if its own are in use by others.
-func (s *Scheduler) findInside(j *job, now Time) (placement, bool) {
-	for _, candidate := range s.witness.byWorkspace[j.spec.Workspace] {
-		nodes := s.insideMembers(candidate, j, now, func(n *node) bool { return n.freeInside(j) >= j.spec.Shape.Accelerators })
+// findInGuarantee looks for capacity within the workspace's guarantee. A guarantee whose
+// workers others use is moved to free workers.
+func (s *Scheduler) findInGuarantee(j *job, now Time) (placement, bool) {
+	for _, sl := range s.witness.byWorkspace[j.spec.Workspace] {
+		nodes := s.chooseMembers(sl, j, now, func(n *node) bool { return n.freeForGuarantee(j) >= j.spec.Shape.Accelerators })
 		if nodes != nil {
-			return placement{nodes: nodes, slot: candidate}, true
+			return placement{nodes: nodes, slot: sl}, true
 		}
 	}
-	for _, candidate := range s.witness.byWorkspace[j.spec.Workspace] {
-		if candidate.nodes == nil || !candidate.idle() || !holds(candidate.shape, j.spec.Shape) || !s.relocate(candidate, j, now) {
+	for _, sl := range s.witness.byWorkspace[j.spec.Workspace] {
+		if sl.nodes == nil || !sl.idle() || !containsShape(sl.shape, j.spec.Shape) || !s.relocate(sl, j, now) {
 			continue
 		}
-		nodes := s.insideMembers(candidate, j, now, func(n *node) bool { return n.freeInside(j) >= j.spec.Shape.Accelerators })
+		nodes := s.chooseMembers(sl, j, now, func(n *node) bool { return n.freeForGuarantee(j) >= j.spec.Shape.Accelerators })
 		if nodes != nil {
-			return placement{nodes: nodes, slot: candidate}, true
+			return placement{nodes: nodes, slot: sl}, true
 		}
 	}
 	return placement{}, false
 }
 
-// freeInside is what is free of a node for work inside a guarantee: all but what
-// is being taken back there for other guarantees.
-func (n *node) freeInside(j *job) int {
+// freeForGuarantee is the number of accelerators of a node that are free for runs inside a
+// guarantee: all but those being reclaimed for other guarantees.
+func (n *node) freeForGuarantee(j *job) int {
 	free := n.free
-	for _, kept := range n.reserved {
-		if kept.job != j && kept.slot != nil && kept.holds(n) {
-			free -= kept.job.spec.Shape.Accelerators
+	for _, res := range n.reservations {
+		if res.job != j && res.slot != nil && res.usableOn(n) {
+			free -= res.job.spec.Shape.Accelerators
 		}
 	}
 	return free
 }
 
-// holds reports whether a shape fits into another.
-func holds(outer, inner structs.Shape) bool {
+// containsShape reports whether inner fits into outer.
+func containsShape(outer, inner structs.Shape) bool {
 	return outer.Members >= inner.Members && outer.Accelerators >= inner.Accelerators
 }
 
-// insideMembers chooses members of a slot whose unused part holds the job, those
-// with the least left over first. usable judges each node besides.
-func (s *Scheduler) insideMembers(candidate *slot, j *job, now Time, usable func(*node) bool) []*node {
-	if candidate.nodes == nil || !holds(candidate.shape, j.spec.Shape) {
+// chooseMembers chooses members of a slot whose unused part holds the job, those with the
+// least left over first. It considers only feasible nodes.
+func (s *Scheduler) chooseMembers(sl *slot, j *job, now Time, feasible func(*node) bool) []*node {
+	if sl.nodes == nil || !containsShape(sl.shape, j.spec.Shape) {
 		return nil
 	}
 	wanted := j.spec.Shape.Accelerators
@@ -177,9 +177,9 @@
 		left int
 	}
 	var choices []choice
-	for i, n := range candidate.nodes {
-		left := candidate.shape.Accelerators - candidate.used[i] - wanted
-		if left >= 0 && s.admits(n, j, now) && usable(n) {
+	for i, n := range sl.nodes {
+		left := sl.shape.Accelerators - sl.used[i] - wanted
+		if left >= 0 && s.eligible(n, j, now) && feasible(n) {
 			choices = append(choices, choice{n, left})
 		}
 	}
@@ -194,19 +194,19 @@
 	return nodes
 }
 
-// relocate moves an idle slot onto free workers: unpromised ones, or those of
-// another idle slot of the same shape, which takes this one's in exchange.
+// relocate moves an idle slot to free workers: workers with enough spare accelerators, or
+// those of another idle slot of the same shape in exchange.
 func (s *Scheduler) relocate(moving *slot, j *job, now Time) bool {
 	free := func(n *node) bool {
-		return n.trusted() && n.free-s.keptFor(n, j, now) >= moving.shape.Accelerators && s.admits(n, j, now)
+		return n.trusted() && n.free-s.reservedForOthers(n, j, now) >= moving.shape.Accelerators && s.eligible(n, j, now)
 	}
-	if nodes := s.freeUnpromised(moving, free); nodes != nil {
+	if nodes := s.findUnguaranteed(moving, free); nodes != nil {
 		moving.unassign()
 		moving.assign(nodes)
 		return true
 	}
 	for _, other := range s.witness.slots {
-		if other == moving || other.shape != moving.shape || other.nodes == nil || !other.idle() || !all(other.nodes, free) {
+		if other == moving || other.shape != moving.shape || other.nodes == nil || !other.idle() || !allNodes(other.nodes, free) {
 			continue
 		}
 		other.nodes, moving.nodes = moving.nodes, other.nodes
@@ -215,9 +215,9 @@
 	return false
 }
 
-func (s *Scheduler) freeUnpromised(moving *slot, free func(*node) bool) []*node {
+func (s *Scheduler) findUnguaranteed(moving *slot, free func(*node) bool) []*node {
 	for _, r := range s.cluster.racks {
-		if r.atLeast(moving.shape.Accelerators) < moving.shape.Members {
+		if r.nodesWithFree(moving.shape.Accelerators) < moving.shape.Members {
 			continue
 		}
 		var nodes []*node
@@ -233,42 +233,42 @@
 	return nil
 }
 
-func all(nodes []*node, test func(*node) bool) bool {
+func allNodes(nodes []*node, pred func(*node) bool) bool {
 	for _, n := range nodes {
-		if !test(n) {
+		if !pred(n) {
 			return false
 		}
 	}
 	return true
 }
 
-// findOutside looks for free workers anywhere: in one rack if the shape is
-// adjacent, otherwise as near to each other as can be.
-func (s *Scheduler) findOutside(j *job, now Time) []*node {
+// findOutsideGuarantee looks for free workers anywhere: in one rack if the shape is adjacent,
+// otherwise in one rack, one availability zone or the whole fleet, in this order.
+func (s *Scheduler) findOutsideGuarantee(j *job, now Time) []*node {
 	shape := j.spec.Shape
 	if shape.Members == 1 {
-		return s.findOne(j, now)
+		return s.findSingle(j, now)
 	}
-	if nodes := s.findRack(j, now); nodes != nil || shape.Adjacent {
+	if nodes := s.findInRack(j, now); nodes != nil || shape.Adjacent {
 		return nodes
 	}
-	for _, zone := range s.cluster.zonesByRoom() {
-		if nodes := s.gather(j, now, func(r *rack) bool { return r.zone == zone }); nodes != nil {
+	for _, zone := range s.cluster.zonesByFree() {
+		if nodes := s.gatherNodes(j, now, func(r *rack) bool { return r.zone == zone }); nodes != nil {
 			return nodes
 		}
 	}
-	return s.gather(j, now, func(*rack) bool { return true })
+	return s.gatherNodes(j, now, func(*rack) bool { return true })
 }
 
-// findOne takes the fullest worker that has room in the fullest rack that has
-// one, so that whole workers and whole racks stay whole.
-func (s *Scheduler) findOne(j *job, now Time) []*node {
+// findSingle takes the fullest feasible worker of the fullest rack that has one, so that empty
+// workers and racks stay free for gangs.
+func (s *Scheduler) findSingle(j *job, now Time) []*node {
 	var best *node
 	for _, r := range s.cluster.racks {
-		if r.atLeast(j.spec.Shape.Accelerators) == 0 || best != nil && r.free >= best.rack.free {
+		if r.nodesWithFree(j.spec.Shape.Accelerators) == 0 || best != nil && r.free >= best.rack.free {
 			continue
 		}
-		if n := s.fullest(r, j, now); n != nil {
+		if n := s.fullestNode(r, j, now); n != nil {
 			best = n
 		}
 	}
@@ -278,8 +278,8 @@
 	return []*node{best}
 }
 
-// fullest is the worker of a rack with the least room that is still enough.
-func (s *Scheduler) fullest(r *rack, j *job, now Time) *node {
+// fullestNode is the feasible worker of a rack with the fewest free accelerators.
+func (s *Scheduler) fullestNode(r *rack, j *job, now Time) *node {
 	var best *node
 	for _, n := range r.nodes {
 		if (best == nil || n.free < best.free) && s.fits(n, j, now) {
@@ -289,54 +289,54 @@
 	return best
 }
 
-// findRack takes the rack that the shape fills most tightly.
-func (s *Scheduler) findRack(j *job, now Time) []*node {
+// findInRack chooses the rack that the shape fills most tightly.
+func (s *Scheduler) findInRack(j *job, now Time) []*node {
 	shape := j.spec.Shape
 	var best []*node
 	bestLeft, bestFree := 0, 0
 	for _, r := range s.cluster.racks {
-		left := r.atLeast(shape.Accelerators) - shape.Members
+		left := r.nodesWithFree(shape.Accelerators) - shape.Members
 		if left < 0 {
 			continue
 		}
 		if best != nil && (left > bestLeft || (left == bestLeft && r.free >= bestFree)) {
 			continue
 		}
-		if nodes := s.tightest(r, j, now); nodes != nil {
+		if nodes := s.tightestNodes(r, j, now); nodes != nil {
 			best, bestLeft, bestFree = nodes, left, r.free
 		}
 	}
 	return best
 }
 
-// tightest takes the fullest workers of a rack that have room, or nil if too few have.
-func (s *Scheduler) tightest(r *rack, j *job, now Time) []*node {
-	able := s.able(r, j, now)
-	if len(able) < j.spec.Shape.Members {
+// tightestNodes takes the fullest feasible workers of a rack, or nil if there are too few.
+func (s *Scheduler) tightestNodes(r *rack, j *job, now Time) []*node {
+	feasible := s.feasibleNodes(r, j, now)
+	if len(feasible) < j.spec.Shape.Members {
 		return nil
 	}
-	sort.SliceStable(able, func(a, b int) bool {
-		if able[a].free != able[b].free {
-			return able[a].free < able[b].free
+	sort.SliceStable(feasible, func(a, b int) bool {
+		if feasible[a].free != feasible[b].free {
+			return feasible[a].free < feasible[b].free
 		}
-		return able[a].promised < able[b].promised
+		return feasible[a].guaranteed < feasible[b].guaranteed
 	})
-	return able[:j.spec.Shape.Members:j.spec.Shape.Members]
+	return feasible[:j.spec.Shape.Members:j.spec.Shape.Members]
 }
 
-func (s *Scheduler) able(r *rack, j *job, now Time) []*node {
-	var able []*node
+func (s *Scheduler) feasibleNodes(r *rack, j *job, now Time) []*node {
+	var feasible []*node
 	for _, n := range r.nodes {
 		if s.fits(n, j, now) {
-			able = append(able, n)
+			feasible = append(feasible, n)
 		}
 	}
-	return able
+	return feasible
 }
 
-// gather takes members from several racks, those with the most room first, so
+// gatherNodes takes members from several racks, those with the most feasible workers first, so
 // that few racks are used.
-func (s *Scheduler) gather(j *job, now Time, within func(*rack) bool) []*node {
+func (s *Scheduler) gatherNodes(j *job, now Time, include func(*rack) bool) []*node {
 	shape := j.spec.Shape
 	type option struct {
 		rack *rack
@@ -345,10 +345,10 @@
 	var options []option
 	total := 0
 	for _, r := range s.cluster.racks {
-		room := r.atLeast(shape.Accelerators)
-		if room > 0 && within(r) {
-			options = append(options, option{r, room})
-			total += room
+		count := r.nodesWithFree(shape.Accelerators)
+		if count > 0 && include(r) {
+			options = append(options, option{r, count})
+			total += count
 		}
 	}
 	if total < shape.Members {
@@ -357,8 +357,8 @@
 	sort.SliceStable(options, func(a, b int) bool { return options[a].room > options[b].room })
 	var nodes []*node
 	for _, o := range options {
-		able := s.able(o.rack, j, now)
-		nodes = append(nodes, able[:min(len(able), shape.Members-len(nodes))]...)
+		feasible := s.feasibleNodes(o.rack, j, now)
+		nodes = append(nodes, feasible[:min(len(feasible), shape.Members-len(nodes))]...)
 		if len(nodes) == shape.Members {
 			return nodes
 		}
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -2,56 +2,55 @@
 
 import "sort"
 
-// Constants of preemption.
+// Parameters of preemption.
 const (
-	// RestartCost is what stopping and running again is taken to cost a run.
+	// RestartCost is the assumed cost of stopping a run and starting it again.
 	RestartCost = 30 * Second
-	// maxPreemptions is how often one job gives way to more urgent ones; a
-	// reclaimed guarantee is not bound by it.
+	// maxPreemptions bounds how often one job is preempted for more urgent ones. Reclaiming a
+	// guarantee is not subject to it.
 	maxPreemptions = 6
-	// maxMadeWay is the same for large gangs that need not be prompt.
-	maxMadeWay = 4
-	// promptTarget is the target below which a blocked job does not wait before
-	// others give way.
-	promptTarget = 15 * Minute
-	// waitShare is the part of its time that any other blocked job has left
-	// when others give way.
-	waitShare = 4 // a quarter
-	// makeWayShare is the part of its time after which smaller runs are stopped
-	// for a blocked adjacent gang.
-	makeWayShare = 50
+	// maxGangPreemptions is the same bound for preemptForGang.
+	maxGangPreemptions = 4
+	// urgentTarget is the target up to which a blocked job preempts others without waiting.
+	urgentTarget = 15 * Minute
+	// preemptSlackDivisor sets when any other blocked job preempts: with a quarter of its
+	// allowed time left until its latest start.
+	preemptSlackDivisor = 4
+	// gangPreemptDivisor sets when smaller runs are stopped for a blocked adjacent gang: after
+	// it has been queued for 1/50 of its allowed time.
+	gangPreemptDivisor = 50
 )
 
 // victimRule decides whether a run may be stopped for a job.
 type victimRule func(*run) bool
 
-// makeRoom looks for runs to stop so that a blocked job can start, and keeps
-// their workers for it. It returns the stops to carry out.
-func (s *Scheduler) makeRoom(j *job, now Time) []Action {
+// preempt stops runs so that a blocked job can start and reserves their workers for it.
+func (s *Scheduler) preempt(j *job, now Time) []Action {
 	if j.reservation != nil && j.reservation.firm {
 		return nil
 	}
 	if actions := s.reclaim(j, now); actions != nil {
 		return actions
 	}
-	if !s.pressing(j, now) {
+	if !s.mayPreempt(j, now) {
 		return nil
 	}
-	rule := func(r *run) bool { return s.yields(r, j, now) }
-	return s.clear(j, now, rule)
+	rule := func(r *run) bool { return s.isPreemptible(r, j, now) }
+	return s.preemptCheapest(j, now, rule)
 }
 
-// reclaim takes back the workspace's own guarantee from whoever borrows it.
+// reclaim stops runs outside any guarantee that use the guaranteed workers of the job's
+// workspace.
 func (s *Scheduler) reclaim(j *job, now Time) []Action {
-	for _, candidate := range s.witness.byWorkspace[j.spec.Workspace] {
+	for _, sl := range s.witness.byWorkspace[j.spec.Workspace] {
 		rule := func(r *run) bool { return !r.pinned && !r.inside() }
-		nodes := s.insideMembers(candidate, j, now, func(n *node) bool {
-			return n.freeInside(j)+stoppable(n, rule) >= j.spec.Shape.Accelerators
+		nodes := s.chooseMembers(sl, j, now, func(n *node) bool {
+			return n.freeForGuarantee(j)+stoppable(n, rule) >= j.spec.Shape.Accelerators
 		})
 		if nodes == nil {
 			continue
 		}
-		return s.stopFor(j, nodes, candidate, rule, now)
+		return s.stopVictims(j, nodes, sl, rule, now)
 	}
 	return nil
 }
@@ -66,19 +65,19 @@
 	return total
 }
 
-// pressing reports whether a blocked job should make others give way now.
-func (s *Scheduler) pressing(j *job, now Time) bool {
-	if s.hopeless(j, now) {
+// mayPreempt reports whether a blocked job may preempt other runs now.
+func (s *Scheduler) mayPreempt(j *job, now Time) bool {
+	if s.missesTarget(j, now) {
 		return false
 	}
 	allowed := j.spec.Deadline - j.spec.Submit
-	return allowed <= promptTarget || j.latestStart-now <= allowed/waitShare
+	return allowed <= urgentTarget || j.latestStart-now <= allowed/preemptSlackDivisor
 }
 
-// yields reports whether a run gives way to a more urgent job: it can be
-// repeated, it is not inside another workspace's guarantee, and its own target
-// is either out of reach already or can still be met afterwards.
-func (s *Scheduler) yields(r *run, j *job, now Time) bool {
+// isPreemptible reports whether a run may be preempted for a more urgent job: it can be
+// repeated, it is not inside the guarantee of another workspace, and its own target is missed
+// already or can still be met afterwards.
+func (s *Scheduler) isPreemptible(r *run, j *job, now Time) bool {
 	if r.stopping || r.pinned || (r.inside() && r.job.spec.Workspace != j.spec.Workspace) {
 		return false
 	}
@@ -93,16 +92,16 @@
 	return slack > s.estimates.estimate(j, planQuantile)+2*RestartCost && r.job.order > j.order
 }
 
-// clear finds the cheapest workers whose runs may be stopped under a rule.
-func (s *Scheduler) clear(j *job, now Time, rule victimRule) []Action {
+// preemptCheapest stops the victims on the workers where they cost least.
+func (s *Scheduler) preemptCheapest(j *job, now Time, rule victimRule) []Action {
 	shape := j.spec.Shape
 	if !shape.Adjacent {
-		var everywhere []nodeCost
+		var costs []nodeCost
 		for _, r := range s.cluster.racks {
-			everywhere = append(everywhere, s.clearCosts(r, j, now, rule)...)
+			costs = append(costs, s.preemptionCosts(r, j, now, rule)...)
 		}
-		nodes, _ := cheapest(everywhere, shape.Members)
-		return s.stopFor(j, nodes, nil, rule, now)
+		nodes, _ := cheapest(costs, shape.Members)
+		return s.stopVictims(j, nodes, nil, rule, now)
 	}
 	var best []*node
 	bestCost := 0
@@ -110,15 +109,15 @@
 		if len(r.nodes) < shape.Members {
 			continue
 		}
-		nodes, cost := cheapest(s.clearCosts(r, j, now, rule), shape.Members)
+		nodes, cost := cheapest(s.preemptionCosts(r, j, now, rule), shape.Members)
 		if nodes != nil && (best == nil || cost < bestCost) {
 			best, bestCost = nodes, cost
 		}
 	}
-	return s.stopFor(j, best, nil, rule, now)
+	return s.stopVictims(j, best, nil, rule, now)
 }
 
-// nodeCost is a worker and what stopping the runs in the way there costs.
+// nodeCost is a worker and the cost of stopping the victims there.
 type nodeCost struct {
 	node *node
 	cost int
@@ -138,37 +137,37 @@
 	return nodes, total
 }
 
-func (n *node) keptForAnother(j *job) bool {
-	for _, kept := range n.reserved {
-		if kept.job != j && kept.firm {
+func (n *node) reservedForOther(j *job) bool {
+	for _, res := range n.reservations {
+		if res.job != j && res.firm {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Scheduler) clearCosts(r *rack, j *job, now Time, rule victimRule) []nodeCost {
+func (s *Scheduler) preemptionCosts(r *rack, j *job, now Time, rule victimRule) []nodeCost {
 	var costs []nodeCost
 	for _, n := range r.nodes {
-		if n.keptForAnother(j) || !s.admits(n, j, now) {
+		if n.reservedForOther(j) || !s.eligible(n, j, now) {
 			continue
 		}
-		if j.pinned() && n.spare() < j.spec.Shape.Accelerators && s.ownShare(n, j) == nil {
+		if j.pinned() && n.spare() < j.spec.Shape.Accelerators && s.ownSlot(n, j) == nil {
 			continue
 		}
-		victims, ok := victimsOn(n, j, rule)
+		victims, ok := selectVictims(n, j, rule)
 		if ok {
-			costs = append(costs, nodeCost{n, stopCost(victims)})
+			costs = append(costs, nodeCost{n, totalStopCost(victims)})
 		}
 	}
 	return costs
 }
 
-// victimsOn chooses the runs to stop on a node, the cheapest first, until the
-// job's members fit.
-func victimsOn(n *node, j *job, rule victimRule) ([]*run, bool) {
+// selectVictims chooses the runs to stop on a node, the cheapest first, until one member of
+// the job fits.
+func selectVictims(n *node, j *job, rule victimRule) ([]*run, bool) {
 	wanted := j.spec.Shape.Accelerators
-	free := n.freeInside(j)
+	free := n.freeForGuarantee(j)
 	var candidates []*run
 	for _, r := range n.runs {
 		if r.stopping {
@@ -189,13 +188,13 @@
 	return victims, free >= wanted
 }
 
-// stopCost weighs a stop by the accelerators it idles and by how often the job
-// gave way before.
+// stopCost weighs a stop by the accelerators it idles and the number of earlier preemptions of
+// the job.
 func (r *run) stopCost() int {
 	return len(r.nodes) * r.accelerators * (1 + r.job.preemptions)
 }
 
-func stopCost(victims []*run) int {
+func totalStopCost(victims []*run) int {
 	total := 0
 	for _, r := range victims {
 		total += r.stopCost()
@@ -203,16 +202,16 @@
 	return total
 }
 
-// stopFor stops what is in the way on the chosen workers and keeps them.
-func (s *Scheduler) stopFor(j *job, nodes []*node, in *slot, rule victimRule, now Time) []Action {
+// stopVictims stops the victims on the chosen workers and reserves the workers for the job.
+func (s *Scheduler) stopVictims(j *job, nodes []*node, sl *slot, rule victimRule, now Time) []Action {
 	if nodes == nil {
 		return nil
 	}
 	var actions []Action
 	for _, n := range nodes {
-		victims, ok := victimsOn(n, j, rule)
+		victims, ok := selectVictims(n, j, rule)
 		if !ok {
-			continue // a gang stopped on an earlier worker freed this one too
+			continue // a gang stopped on an earlier worker freed this one as well
 		}
 		for _, victim := range victims {
 			if victim.stopping {
@@ -223,20 +222,20 @@
 			actions = append(actions, Preempt{Job: victim.job.spec.ID, Run: victim.id, For: j.spec.ID})
 		}
 	}
-	s.reserve(&reservation{job: j, nodes: nodes, slot: in, start: now, expires: now + firmReservation, firm: true})
+	s.reserve(&reservation{job: j, nodes: nodes, slot: sl, start: now, expires: now + firmReservationTimeout, firm: true})
 	return actions
 }
 
-// makeWay stops small runs that can wait so that a large adjacent gang need not
-// wait until a rack happens to be empty.
-func (s *Scheduler) makeWay(j *job, now Time) []Action {
+// preemptForGang stops smaller runs with enough slack for a large adjacent gang, which would
+// otherwise wait until a whole rack happens to be free.
+func (s *Scheduler) preemptForGang(j *job, now Time) []Action {
 	allowed := j.spec.Deadline - j.spec.Submit
-	if !j.spec.Shape.Adjacent || j.reservation != nil && j.reservation.firm || now-j.waitSince < allowed/makeWayShare {
+	if !j.spec.Shape.Adjacent || j.reservation != nil && j.reservation.firm || now-j.queuedSince < allowed/gangPreemptDivisor {
 		return nil
 	}
 	rule := func(r *run) bool {
 		smaller := r.job.spec.Shape.Total() < j.spec.Shape.Total()
-		return smaller && r.job.preemptions < maxMadeWay && s.yields(r, j, now)
+		return smaller && r.job.preemptions < maxGangPreemptions && s.isPreemptible(r, j, now)
 	}
-	return s.clear(j, now, rule)
+	return s.preemptCheapest(j, now, rule)
 }
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -8,66 +8,66 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// job is one job that has not ended.
+// job is a job that has not ended.
 type job struct {
 	spec        JobSpec
 	seq         int64 // order of submission
 	run         *run  // nil while queued
-	runs        int
+	runCount    int
 	preemptions int
 	failures    int
-	blamed      []*node
-	earlyLosses int  // runs in a row that were lost soon after their start
-	progress    Time // run time that checkpoints preserved
+	failedNodes []*node
+	earlyLosses int  // runs in a row lost soon after their start
+	progress    Time // run time preserved by checkpoints
 	resume      bool
-	latestStart Time // deadline less the estimated rest, when last queued
-	order       Time // latestStart, brought forward for shapes that are hard to place
+	latestStart Time // deadline less the estimated remaining run time, as of the last enqueue
+	order       Time // latestStart less orderBoost
 	group       *group
-	position    int // in the group's heap; -1 when not queued
+	heapIndex   int // -1 when not queued
 	reservation *reservation
-	waitSince   Time
-	nextTry     Time // when room may be made for it again
-	heeds       doubt
+	queuedSince Time
+	nextTry     Time // earliest next attempt to make capacity for it
+	avoidance   avoidance
 }
 
-// pinned reports whether a run of the job may not be stopped for others.
+// pinned reports whether runs of the job may not be stopped for others.
 func (j *job) pinned() bool { return !j.spec.Idempotent || j.spec.Pinned }
 
-func (j *job) blames(n *node) bool {
-	for _, known := range j.blamed {
-		if known == n {
+func (j *job) failedOn(n *node) bool {
+	for _, failed := range j.failedNodes {
+		if failed == n {
 			return true
 		}
 	}
 	return false
 }
 
-// avoided names the workers that failed the job, the same for the same set of them.
-func (j *job) avoided() string {
-	names := make([]string, 0, len(j.blamed))
-	for _, n := range j.blamed {
+// avoidedWorkers is a canonical string of the workers that the job failed on.
+func (j *job) avoidedWorkers() string {
+	names := make([]string, 0, len(j.failedNodes))
+	for _, n := range j.failedNodes {
 		names = append(names, n.spec.ID)
 	}
 	sort.Strings(names)
 	return strings.Join(names, " ")
 }
 
-// groupKey names jobs that are alike to the placement search.
+// groupKey identifies jobs that are equivalent in a search for a placement.
 type groupKey struct {
 	workspace string
 	class     string
 	shape     structs.Shape
 	pinned    bool
-	avoided   string // workers that failed the jobs
+	avoided   string // workers that the jobs failed on
 }
 
-// group holds queued jobs that are alike, by latest start. When its first job
-// finds no place, the others need not be tried.
+// group holds equivalent queued jobs, ordered by latest start. If the first finds no
+// placement, the others need not be tried.
 type group struct {
-	key  groupKey
-	at   int // in the queue's order
-	jobs []*job
-	unheld
+	key   groupKey
+	index int // in queue.order
+	jobs  []*job
+	schedulability
 }
 
 // Len, Less, Swap, Push and Pop implement heap.Interface.
@@ -80,22 +80,22 @@
 }
 func (g *group) Swap(i, j int) {
 	g.jobs[i], g.jobs[j] = g.jobs[j], g.jobs[i]
-	g.jobs[i].position = i
-	g.jobs[j].position = j
+	g.jobs[i].heapIndex = i
+	g.jobs[j].heapIndex = j
 }
 func (g *group) Push(x any) {
 	added := x.(*job)
-	added.position = len(g.jobs)
+	added.heapIndex = len(g.jobs)
 	g.jobs = append(g.jobs, added)
 }
 func (g *group) Pop() any {
 	last := g.jobs[len(g.jobs)-1]
 	g.jobs = g.jobs[:len(g.jobs)-1]
-	last.position = -1
+	last.heapIndex = -1
 	return last
 }
 
-// queue holds the jobs that wait, in groups that have some.
+// queue holds the queued jobs in non-empty groups.
 type queue struct {
 	groups map[groupKey]*group
 	order  []*group
@@ -105,10 +105,10 @@
 func newQueue() *queue { return &queue{groups: map[groupKey]*group{}} }
 
 func (q *queue) add(j *job) {
-	key := groupKey{j.spec.Workspace, j.spec.Class, j.spec.Shape, j.pinned(), j.avoided()}
+	key := groupKey{j.spec.Workspace, j.spec.Class, j.spec.Shape, j.pinned(), j.avoidedWorkers()}
 	g := q.groups[key]
 	if g == nil {
-		g = &group{key: key, at: len(q.order)}
+		g = &group{key: key, index: len(q.order)}
 		q.groups[key] = g
 		q.order = append(q.order, g)
 	}
@@ -118,48 +118,48 @@
 }
 
 func (q *queue) remove(j *job) {
-	if j.position < 0 {
+	if j.heapIndex < 0 {
 		return
 	}
-	heap.Remove(j.group, j.position)
+	heap.Remove(j.group, j.heapIndex)
 	q.size--
 	if len(j.group.jobs) == 0 {
-		q.drop(j.group)
+		q.dropGroup(j.group)
 	}
 }
 
-func (q *queue) drop(empty *group) {
+func (q *queue) dropGroup(g *group) {
 	last := q.order[len(q.order)-1]
-	q.order[empty.at] = last
-	last.at = empty.at
+	q.order[g.index] = last
+	last.index = g.index
 	q.order[len(q.order)-1] = nil
 	q.order = q.order[:len(q.order)-1]
-	delete(q.groups, empty.key)
+	delete(q.groups, g.key)
 }
 
-// regroup moves a job to those that it is now alike to, if it is queued.
+// regroup moves a queued job to the group of its current key.
 func (q *queue) regroup(j *job) {
-	if j.position < 0 {
+	if j.heapIndex < 0 {
 		return
 	}
 	q.remove(j)
 	q.add(j)
 }
 
-// contender is a group's first job in one pass over the queue.
+// contender is the first job of a group in one scheduling pass.
 type contender struct {
-	job      *job
-	hopeless bool
+	job          *job
+	missesTarget bool
 }
 
-// contenders is a heap of groups' first jobs: those whose target can still be
-// met first, then by latest start.
+// contenders is a heap of the first jobs of the groups: those whose target can still be met
+// come first, then by latest start.
 type contenders []contender
 
 func (c contenders) Len() int { return len(c) }
 func (c contenders) Less(i, j int) bool {
-	if c[i].hopeless != c[j].hopeless {
-		return !c[i].hopeless
+	if c[i].missesTarget != c[j].missesTarget {
+		return !c[i].missesTarget
 	}
 	if c[i].job.order != c[j].job.order {
 		return c[i].job.order < c[j].job.order
--- a/scheduler/refusal_test.go
+++ b/scheduler/refusal_test.go
@@ -6,27 +6,28 @@
 	"github.com/teaselcleat/teaselcleat/scheduler"
 )
 
-// A try takes longer than a worker without an answer is avoided.
-func TestGangTriesAllRacksBeforeOneThatDidNotAnswer(t *testing.T) {
-	i := newIdler(t, 12, 4)
-	gang := jobOf("gang", "b", 4, 8)
+// One attempt takes longer than refusalBackoff, so an unresponsive worker is out of backoff
+// again when the gang is placed anew.
+func TestGangTriesEveryRackBeforeAnUnresponsiveWorker(t *testing.T) {
+	h := newHarness(t, 12, 4)
+	gang := newJobSpec("gang", "b", 4, 8)
 	gang.Shape.Adjacent = true
-	i.submit(gang)
+	h.submit(gang)
 	silent := map[string]string{"r000": "w001", "r001": "w005"}
 	for range 10 {
-		worker, unanswered := silent[rackOf(i.runs["gang"].Members[0].Worker)]
+		worker, unanswered := silent[rackOf(h.runs["gang"].Members[0].Worker)]
 		if !unanswered {
 			return
 		}
-		i.now += 4500 * scheduler.Millisecond // at a lease of 6 s: the round, and the release without an answer
-		i.end("gang", scheduler.RunNotStarted, worker)
-		i.is.True(i.starts("gang", 5*scheduler.Second))
+		h.now += 4500 * scheduler.Millisecond // with a lease of 6 s: the reservation round and the unanswered release
+		h.endRun("gang", scheduler.RunNotStarted, worker)
+		h.is.True(h.startsOrEnds("gang", 5*scheduler.Second))
 	}
-	t.Fatal("it was not tried in the third rack")
+	t.Fatal("the gang was not tried in the third rack")
 }
 
 func rackOf(worker string) string {
-	for _, spec := range workersOf(12, 4) {
+	for _, spec := range newWorkers(12, 4) {
 		if spec.ID == worker {
 			return spec.Rack
 		}
@@ -34,23 +35,23 @@
 	return ""
 }
 
-// Where nothing else holds the job, a worker that refused it is tried again soon.
-func TestOnlyWorkerIsTriedAgainSoonAfterARefusal(t *testing.T) {
-	i := newIdler(t, 1, 1)
-	i.submit(jobOf("j", "b", 1, 8))
+// If the job fits no other worker, the one that refused it is retried soon.
+func TestOnlyWorkerIsRetriedSoonAfterARefusal(t *testing.T) {
+	h := newHarness(t, 1, 1)
+	h.submit(newJobSpec("j", "b", 1, 8))
 	for range 5 {
-		i.end("j", scheduler.RunNotStarted, "w000")
-		i.is.True(i.starts("j", 5*scheduler.Second))
+		h.endRun("j", scheduler.RunNotStarted, "w000")
+		h.is.True(h.startsOrEnds("j", 5*scheduler.Second))
 	}
 }
 
-// While all others are in use, a worker that refused a run is tried again within a minute.
-func TestIdleWorkerIsTriedAgainAfterARefusalWhileOthersAreInUse(t *testing.T) {
-	i := newIdler(t, 2, 1)
-	i.submit(jobOf("j", "b", 1, 8))
-	refusing := i.runs["j"].Members[0].Worker
-	i.submit(jobOf("long", "c", 1, 8))
-	i.end("j", scheduler.RunNotStarted, refusing)
-	i.is.True(i.starts("j", scheduler.Minute))
-	i.is.Equal(i.runs["j"].Members[0].Worker, refusing)
+// While all other workers are in use, a worker that refused a run is retried within a minute.
+func TestRefusingWorkerIsRetriedWhileOthersAreBusy(t *testing.T) {
+	h := newHarness(t, 2, 1)
+	h.submit(newJobSpec("j", "b", 1, 8))
+	refusing := h.runs["j"].Members[0].Worker
+	h.submit(newJobSpec("long", "c", 1, 8))
+	h.endRun("j", scheduler.RunNotStarted, refusing)
+	h.is.True(h.startsOrEnds("j", scheduler.Minute))
+	h.is.Equal(h.runs["j"].Members[0].Worker, refusing)
 }
--- a/scheduler/registry.go
+++ b/scheduler/registry.go
@@ -9,16 +9,16 @@
 
 // Names of the policies of this package.
 const (
-	// PolicyTargets is the policy that serves.
+	// PolicyTargets schedules by targets and guarantees; it is the policy used in production.
 	PolicyTargets = "targets"
 	// PolicyBaseline is first-come first-fit, for comparison.
 	PolicyBaseline = "baseline"
 )
 
-// policies is filled by init functions only and read after them.
+// policies is written by init functions only.
 var policies = map[string]func(Config) Policy{}
 
-// Register adds a policy under a name; a name taken twice is a broken invariant.
+// Register adds a policy. It panics if the name is registered already.
 func Register(name string, factory func(Config) Policy) {
 	if _, taken := policies[name]; taken {
 		panic("scheduler: policy registered twice: " + name)
@@ -35,7 +35,7 @@
 	return factory(config), nil
 }
 
-// PolicyNames lists the registered policies in order.
+// PolicyNames lists the registered policies in alphabetical order.
 func PolicyNames() []string {
 	var names []string
 	for name := range policies {
--- a/scheduler/reserve.go
+++ b/scheduler/reserve.go
@@ -2,15 +2,15 @@
 
 import "sort"
 
-// Constants of reservations.
+// Parameters of reservations.
 const (
-	maxReservations   = 4
-	reservationReview = 30 * Second // how long a soft reservation stands before it is chosen anew
-	firmReservation   = 5 * Minute  // how long stopped runs are waited for
+	maxReservations        = 4
+	softReservationTimeout = 30 * Second // after it, the workers are chosen again
+	firmReservationTimeout = 5 * Minute  // how long to wait for stopped runs to end
 )
 
-// reservation keeps workers for a job that cannot start yet. A firm one has had
-// runs stopped for it; a soft one lets others use the workers until its start.
+// reservation holds workers for a blocked job. For a firm one, runs were stopped; a soft one
+// lets other jobs use the workers until its start.
 type reservation struct {
 	job     *job
 	nodes   []*node
@@ -20,118 +20,118 @@
 	firm    bool
 }
 
-func (s *Scheduler) reserve(kept *reservation) {
-	s.unreserve(kept.job)
-	kept.job.reservation = kept
-	for _, n := range kept.nodes {
-		n.reserved = append(n.reserved, kept)
+func (s *Scheduler) reserve(res *reservation) {
+	s.unreserve(res.job)
+	res.job.reservation = res
+	for _, n := range res.nodes {
+		n.reservations = append(n.reservations, res)
 	}
-	s.reservations = append(s.reservations, kept)
+	s.reservations = append(s.reservations, res)
 }
 
 func (s *Scheduler) unreserve(j *job) {
-	kept := j.reservation
-	if kept == nil {
+	res := j.reservation
+	if res == nil {
 		return
 	}
 	j.reservation = nil
-	for _, n := range kept.nodes {
-		n.reserved = removeReservation(n.reserved, kept)
+	for _, n := range res.nodes {
+		n.reservations = removeReservation(n.reservations, res)
 	}
-	s.reservations = removeReservation(s.reservations, kept)
+	s.reservations = removeReservation(s.reservations, res)
 }
 
-func removeReservation(list []*reservation, gone *reservation) []*reservation {
-	for i, known := range list {
-		if known == gone {
-			return append(list[:i], list[i+1:]...)
+func removeReservation(reservations []*reservation, target *reservation) []*reservation {
+	for i, res := range reservations {
+		if res == target {
+			return append(reservations[:i], reservations[i+1:]...)
 		}
 	}
-	return list
+	return reservations
 }
 
-// findReserved places a job on the workers kept for it once all are free.
+// findReserved returns the workers reserved for a job once all of them are free.
 func (s *Scheduler) findReserved(j *job, now Time) (placement, bool) {
-	kept := j.reservation
-	if kept == nil {
+	res := j.reservation
+	if res == nil {
 		return placement{}, false
 	}
 	wanted := j.spec.Shape.Accelerators
-	for _, n := range kept.nodes {
+	for _, n := range res.nodes {
 		free := n.free
-		if kept.slot == nil {
-			free -= s.keptFor(n, j, now)
+		if res.slot == nil {
+			free -= s.reservedForOthers(n, j, now)
 		}
-		if !kept.holds(n) || free < wanted || !s.admits(n, j, now) {
+		if !res.usableOn(n) || free < wanted || !s.eligible(n, j, now) {
 			return placement{}, false
 		}
-		if kept.slot == nil && j.pinned() && n.spare() < wanted && s.ownShare(n, j) == nil {
+		if res.slot == nil && j.pinned() && n.spare() < wanted && s.ownSlot(n, j) == nil {
 			return placement{}, false
 		}
 	}
-	return placement{nodes: kept.nodes, slot: kept.slot}, true
+	return placement{nodes: res.nodes, slot: res.slot}, true
 }
 
-// expireReservations drops those whose time is over, whose workers are gone, or
-// whose freed accelerators a guarantee has taken.
+// expireReservations drops reservations that have expired, whose workers are no longer usable,
+// or whose freed accelerators are used by a guarantee.
 func (s *Scheduler) expireReservations(now Time) {
-	for _, kept := range append([]*reservation(nil), s.reservations...) {
-		if now >= kept.expires || !all(kept.nodes, kept.holds) || !all(kept.nodes, kept.comes) {
-			s.unreserve(kept.job)
-			s.roomChanged = true
+	for _, res := range append([]*reservation(nil), s.reservations...) {
+		if now >= res.expires || !allNodes(res.nodes, res.usableOn) || !allNodes(res.nodes, res.willHaveCapacity) {
+			s.unreserve(res.job)
+			s.capacityChanged = true
 		}
 	}
 }
 
-// holds reports whether a node still serves the reservation.
-func (k *reservation) holds(n *node) bool {
-	return n.usable() && (k.slot == nil || k.slot.leaves(n, k.job.spec.Shape.Accelerators))
+// usableOn reports whether the reservation can still be used on a node.
+func (r *reservation) usableOn(n *node) bool {
+	return n.usable() && (r.slot == nil || r.slot.hasFree(n, r.job.spec.Shape.Accelerators))
 }
 
-// comes reports whether a node has the room for the job of a firm reservation,
-// or will have it when the runs that were asked to stop have stopped.
-func (k *reservation) comes(n *node) bool {
-	if !k.firm {
+// willHaveCapacity reports whether a node of a firm reservation has capacity for the job, or
+// will have it when all stopping runs have ended.
+func (res *reservation) willHaveCapacity(n *node) bool {
+	if !res.firm {
 		return true
 	}
-	stopping := func(r *run) bool { return r.stopping }
-	return n.free+stoppable(n, stopping) >= k.job.spec.Shape.Accelerators
+	stopping := func(run *run) bool { return run.stopping }
+	return n.free+stoppable(n, stopping) >= res.job.spec.Shape.Accelerators
 }
 
-// leaves reports whether the slot has a member on the node with so many
-// accelerators not in use by inside runs.
-func (s *slot) leaves(n *node, wanted int) bool {
-	member := s.member(n)
+// hasFree reports whether the slot has a member on the node with that many accelerators not
+// used by runs inside it.
+func (s *slot) hasFree(n *node, wanted int) bool {
+	member := s.memberIndex(n)
 	return member >= 0 && s.used[member]+wanted <= s.shape.Accelerators
 }
 
-// reserveSoftly keeps for a blocked gang the workers that should be free first.
-func (s *Scheduler) reserveSoftly(j *job, now Time) {
+// reserveSoft reserves for a blocked gang the workers expected to be free first.
+func (s *Scheduler) reserveSoft(j *job, now Time) {
 	if j.reservation != nil || len(s.reservations) >= maxReservations || j.spec.Shape.Members < 2 {
 		return
 	}
-	nodes, start := s.soonest(j, now)
+	nodes, start := s.earliestNodes(j, now)
 	if nodes == nil {
 		return
 	}
-	s.reserve(&reservation{job: j, nodes: nodes, start: start, expires: now + reservationReview})
+	s.reserve(&reservation{job: j, nodes: nodes, start: start, expires: now + softReservationTimeout})
 }
 
-// nodeTime is a worker and when it should have room.
+// nodeTime is a worker and when it is expected to have capacity.
 type nodeTime struct {
 	node *node
 	at   Time
 }
 
-// soonest chooses the workers on which a job could start first, in one rack if
-// its shape is adjacent.
-func (s *Scheduler) soonest(j *job, now Time) ([]*node, Time) {
+// earliestNodes chooses the workers on which a job could start first, in one rack if its shape
+// is adjacent.
+func (s *Scheduler) earliestNodes(j *job, now Time) ([]*node, Time) {
 	if !j.spec.Shape.Adjacent {
-		var everywhere []nodeTime
+		var times []nodeTime
 		for _, r := range s.cluster.racks {
-			everywhere = append(everywhere, s.roomTimes(r, j, now)...)
+			times = append(times, s.freeTimes(r, j, now)...)
 		}
-		return firstFree(everywhere, j.spec.Shape.Members)
+		return earliestFree(times, j.spec.Shape.Members)
 	}
 	var best []*node
 	var bestAt Time
@@ -139,7 +139,7 @@
 		if len(r.nodes) < j.spec.Shape.Members {
 			continue
 		}
-		nodes, at := firstFree(s.roomTimes(r, j, now), j.spec.Shape.Members)
+		nodes, at := earliestFree(s.freeTimes(r, j, now), j.spec.Shape.Members)
 		if nodes != nil && (best == nil || at < bestAt) {
 			best, bestAt = nodes, at
 		}
@@ -147,7 +147,7 @@
 	return best, bestAt
 }
 
-func firstFree(times []nodeTime, wanted int) ([]*node, Time) {
+func earliestFree(times []nodeTime, wanted int) ([]*node, Time) {
 	if len(times) < wanted {
 		return nil, 0
 	}
@@ -159,25 +159,25 @@
 	return nodes, times[wanted-1].at
 }
 
-func (s *Scheduler) roomTimes(r *rack, j *job, now Time) []nodeTime {
+func (s *Scheduler) freeTimes(r *rack, j *job, now Time) []nodeTime {
 	var times []nodeTime
 	for _, n := range r.nodes {
-		if !s.admits(n, j, now) || len(n.reserved) > 0 {
+		if !s.eligible(n, j, now) || len(n.reservations) > 0 {
 			continue
 		}
-		if j.pinned() && n.spare() < j.spec.Shape.Accelerators && s.ownShare(n, j) == nil {
+		if j.pinned() && n.spare() < j.spec.Shape.Accelerators && s.ownSlot(n, j) == nil {
 			continue
 		}
-		if at, ok := s.roomTime(n, j.spec.Shape.Accelerators, now); ok {
+		if at, ok := s.freeTime(n, j.spec.Shape.Accelerators, now); ok {
 			times = append(times, nodeTime{n, at})
 		}
 	}
 	return times
 }
 
-// roomTime estimates when a worker has so many free accelerators. A run that is long overdue
-// may go on for ever: no room is expected of it.
-func (s *Scheduler) roomTime(n *node, wanted int, now Time) (Time, bool) {
+// freeTime estimates when a worker has that many free accelerators. Runs that are long overdue
+// may never end, so they are not expected to free any.
+func (s *Scheduler) freeTime(n *node, wanted int, now Time) (Time, bool) {
 	if n.free >= wanted {
 		return now, true
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -5,54 +5,54 @@
 	"github.com/teaselcleat/teaselcleat/targets"
 )
 
-// Config is what a policy is made from.
+// Config configures a policy.
 type Config struct {
-	Workers []WorkerSpec // known from the start, all up
+	Workers []WorkerSpec // initial workers, all up
 	Targets *targets.Targets
-	Epoch   int64 // makes run identifiers differ from those of earlier schedulers
+	Epoch   int64 // part of run identifiers, to distinguish them from those of earlier schedulers
 }
 
 func init() {
 	Register(PolicyTargets, func(config Config) Policy { return New(config) })
 }
 
-// Scheduler is the policy that serves. It is not safe for concurrent use.
+// Scheduler is the PolicyTargets policy. It is not safe for concurrent use.
 type Scheduler struct {
-	cluster      *cluster
-	witness      *witness
-	queue        *queue
-	estimates    *estimator
-	jobs         map[string]*job
-	runs         map[string]*run
-	reservations []*reservation
-	quarantined  int
-	evacuated    map[string]bool // availability zones that get nothing new
-	losses       []loss          // early ones of the last lossSpan, in order
-	witnessDirty bool            // a worker came or went, or the targets changed
-	inventory    int64           // counts the changes of workers and targets, from 1 on
-	seq          int64
-	epoch        int64
-	logOut       bool
-	roomChanged  bool   // accelerators or workers may have come free since the last full pass
-	nextPass     Time   // when the whole queue is tried again in any case
-	touched      *group // of the job that the present event concerns
+	cluster          *cluster
+	witness          *witness
+	queue            *queue
+	estimates        *estimator
+	jobs             map[string]*job
+	runs             map[string]*run
+	reservations     []*reservation
+	quarantined      int
+	evacuated        map[string]bool // availability zones that take no new work
+	recentLosses     []loss          // early losses within lossWindow, in order
+	witnessDirty     bool            // the witness must be repaired: workers or targets changed
+	inventoryVersion int64           // number of changes of workers and targets, starting at 1
+	seq              int64
+	epoch            int64
+	logUnavailable   bool
+	capacityChanged  bool   // capacity may have been freed since the last full pass
+	nextPass         Time   // time of the next full pass
+	touchedGroup     *group // group of the job that the current event enqueued
 }
 
 // New returns a scheduler with the given workers up.
 func New(config Config) *Scheduler {
 	s := &Scheduler{
-		cluster:   newCluster(),
-		witness:   newWitness(),
-		queue:     newQueue(),
-		estimates: newEstimator(),
-		jobs:      map[string]*job{},
-		runs:      map[string]*run{},
-		epoch:     config.Epoch,
-		inventory: 1,
+		cluster:          newCluster(),
+		witness:          newWitness(),
+		queue:            newQueue(),
+		estimates:        newEstimator(),
+		jobs:             map[string]*job{},
+		runs:             map[string]*run{},
+		epoch:            config.Epoch,
+		inventoryVersion: 1,
 	}
 	for _, spec := range config.Workers {
 		n := s.cluster.add(spec)
-		s.cluster.change(n, func() { n.up = true })
+		s.cluster.update(n, func() { n.up = true })
 	}
 	if config.Targets != nil {
 		s.setTargets(config.Targets)
@@ -60,99 +60,99 @@
 	return s
 }
 
-// Step implements Policy. All of the queue is tried again when room may have
-// come free, and once in a while for what time alone changes; an event that
-// concerns one group of alike jobs tries that group only, so that a burst of
-// submissions or a wave of cancellations costs by its own size.
+// Step implements Policy. It runs a full pass if capacity may have been freed, and at least
+// every tryInterval for decisions that depend on time. An event that concerns one group runs a
+// pass over that group only, so that a burst of submissions or cancellations costs in
+// proportion to its size.
 func (s *Scheduler) Step(event Event, now Time) []Action {
-	actions := s.take(event, now)
+	actions := s.handle(event, now)
 	if s.witnessDirty {
 		actions = append(actions, s.repairWitness()...)
-		s.roomChanged = true
+		s.capacityChanged = true
 	}
 	s.expireReservations(now)
-	touched := s.touched
-	s.touched = nil
-	if s.roomChanged || now >= s.nextPass {
-		s.roomChanged = false
-		s.nextPass = now + tryEvery
-		actions = append(actions, s.endUnheld(now)...)
-		return append(actions, s.pass(s.queue.order, now)...)
+	g := s.touchedGroup
+	s.touchedGroup = nil
+	if s.capacityChanged || now >= s.nextPass {
+		s.capacityChanged = false
+		s.nextPass = now + tryInterval
+		actions = append(actions, s.endUnschedulable(now)...)
+		return append(actions, s.runPass(s.queue.order, now)...)
 	}
-	if touched != nil {
-		return append(actions, s.pass([]*group{touched}, now)...)
+	if g != nil {
+		return append(actions, s.runPass([]*group{g}, now)...)
 	}
 	return actions
 }
 
-func (s *Scheduler) take(event Event, now Time) []Action {
+func (s *Scheduler) handle(event Event, now Time) []Action {
 	switch e := event.(type) {
 	case Submitted:
-		s.submitted(e.Job, now)
+		s.handleSubmitted(e.Job, now)
 	case Cancelled:
-		return s.cancelled(e.Job)
+		return s.handleCancelled(e.Job)
 	case Adopted:
-		s.adopted(e)
+		s.handleAdopted(e)
 	case RunEnded:
-		s.roomChanged = true
-		return s.runEnded(e, now)
+		s.capacityChanged = true
+		return s.handleRunEnded(e, now)
 	case WorkerUp:
-		s.roomChanged = true
-		s.workerUp(e.Worker)
+		s.capacityChanged = true
+		s.handleWorkerUp(e.Worker)
 	case WorkerDown:
-		return s.workerDown(e.Worker)
+		return s.handleWorkerDown(e.Worker)
 	case TargetsChanged:
 		s.setTargets(e.Targets)
 	case LogState:
-		s.logOut = !e.Available
-		s.roomChanged = true
+		s.logUnavailable = !e.Available
+		s.capacityChanged = true
 	case Tick:
-		s.probe(now)
+		s.endQuarantines(now)
 	}
 	return nil
 }
 
 func (s *Scheduler) newJob(spec JobSpec) *job {
 	s.seq++
-	j := &job{spec: spec, seq: s.seq, position: -1}
+	j := &job{spec: spec, seq: s.seq, heapIndex: -1}
 	s.jobs[spec.ID] = j
 	return j
 }
 
-func (s *Scheduler) submitted(spec JobSpec, now Time) {
-	if _, known := s.jobs[spec.ID]; known {
+func (s *Scheduler) handleSubmitted(spec JobSpec, now Time) {
+	if _, exists := s.jobs[spec.ID]; exists {
 		return
 	}
 	s.enqueue(s.newJob(spec), now)
 }
 
 func (s *Scheduler) enqueue(j *job, now Time) {
-	rest := max(s.estimates.estimate(j, planQuantile)-j.progress, Second)
-	j.latestStart = j.spec.Deadline - rest
-	j.order = j.latestStart - s.headStart(j)
-	j.waitSince = now
+	remaining := max(s.estimates.estimate(j, planQuantile)-j.progress, Second)
+	j.latestStart = j.spec.Deadline - remaining
+	j.order = j.latestStart - s.orderBoost(j)
+	j.queuedSince = now
 	s.queue.add(j)
-	s.touched = j.group
+	s.touchedGroup = j.group
 }
 
-// headStartShare is the part of its allowed time by which an adjacent gang that
-// fills a whole rack is brought forward in the queue.
-const headStartShare = 2
+// orderBoostDivisor divides the allowed time of an adjacent gang that fills a rack; the
+// quotient is its orderBoost.
+const orderBoostDivisor = 2
 
-// headStart is how much earlier an adjacent gang is ordered than its slack
-// says. Workers that fit it come free together only seldom, so it must be first
-// when they do; smaller work finds room at any time.
-func (s *Scheduler) headStart(j *job) Time {
+// orderBoost is how much earlier than its slack says an adjacent gang is ordered. Enough free
+// workers in one rack are rare, so the gang must be first when they occur; smaller jobs find
+// capacity at any time.
+func (s *Scheduler) orderBoost(j *job) Time {
 	if !j.spec.Shape.Adjacent || len(s.cluster.racks) == 0 {
 		return 0
 	}
-	whole := s.cluster.racks[0].total()
-	share := min(Time(j.spec.Shape.Total()), whole)
-	return (j.spec.Deadline - j.spec.Submit) * share / (whole * headStartShare)
+	rackTotal := s.cluster.racks[0].totalAccelerators()
+	gangTotal := min(Time(j.spec.Shape.Total()), rackTotal)
+	return (j.spec.Deadline - j.spec.Submit) * gangTotal / (rackTotal * orderBoostDivisor)
 }
 
-// total is the number of accelerators of the rack's workers.
-func (r *rack) total() Time {
+// totalAccelerators is the number of accelerators of the rack, at least 1.
+func (r *rack) totalAccelerators() Time {
 	total := 0
 	for _, n := range r.nodes {
 		total += n.spec.Accelerators
@@ -160,14 +160,13 @@
 	return Time(max(total, 1))
 }
 
-// hopeless reports whether a queued job's target is out of reach even if its
-// run is a short one.
-func (s *Scheduler) hopeless(j *job, now Time) bool {
-	rest := s.estimates.estimate(j, luckyQuantile) - j.progress
-	return now+max(rest, 0) > j.spec.Deadline
+// missesTarget reports whether a queued job would miss its target even with a short run time.
+func (s *Scheduler) missesTarget(j *job, now Time) bool {
+	remaining := s.estimates.estimate(j, optimisticQuantile) - j.progress
+	return now+max(remaining, 0) > j.spec.Deadline
 }
 
-func (s *Scheduler) cancelled(id string) []Action {
+func (s *Scheduler) handleCancelled(id string) []Action {
 	j := s.jobs[id]
 	if j == nil {
 		return nil
@@ -176,69 +175,69 @@
 		j.run.stopping = true
 		return []Action{Abort{Job: id, Run: j.run.id, Reason: structs.ReasonCancelled}}
 	}
-	s.forget(j) // jobs alike to it are no less blocked than it was
+	s.removeJob(j) // no pass: the cancellation frees no capacity for its group
 	return nil
 }
 
-func (s *Scheduler) forget(j *job) {
+func (s *Scheduler) removeJob(j *job) {
 	s.queue.remove(j)
 	s.unreserve(j)
 	delete(s.jobs, j.spec.ID)
 }
 
-// adopted takes over a run that another instance started. The guarantees are
-// best put in force after all such runs, so that they are laid over them.
-func (s *Scheduler) adopted(e Adopted) {
-	if _, known := s.jobs[e.Job.ID]; known {
+// handleAdopted tracks a run that another instance started. Guarantees should be set after all
+// adoptions, so that the witness is laid out around the runs.
+func (s *Scheduler) handleAdopted(e Adopted) {
+	if _, exists := s.jobs[e.Job.ID]; exists {
 		return
 	}
 	j := s.newJob(e.Job)
-	j.runs = 1
+	j.runCount = 1
 	r := &run{id: e.Run, job: j, pinned: j.pinned(), started: e.Started, accelerators: e.Job.Shape.Accelerators}
 	for _, member := range e.Members {
 		if n := s.cluster.byID[member.Worker]; n != nil && n.free >= r.accelerators {
 			r.nodes = append(r.nodes, n)
 		}
 	}
-	r.shares = make([]*slot, len(r.nodes))
-	s.begin(r)
+	r.slots = make([]*slot, len(r.nodes))
+	s.trackRun(r)
 }
 
-func (s *Scheduler) begin(r *run) {
+func (s *Scheduler) trackRun(r *run) {
 	r.job.run = r
 	s.runs[r.id] = r
-	s.cluster.take(r)
+	s.cluster.allocate(r)
 }
 
-// finish gives back all that a run holds.
-func (s *Scheduler) finish(r *run) {
-	s.cluster.give(r)
+// releaseRun releases everything a run holds.
+func (s *Scheduler) releaseRun(r *run) {
+	s.cluster.release(r)
 	r.job.run = nil
 	delete(s.runs, r.id)
-	if r.pinned && s.witness.missing() > 0 {
-		s.witnessDirty = true // its room may seat a guarantee that had none
+	if r.pinned && s.witness.countUnplaced() > 0 {
+		s.witnessDirty = true // the freed capacity may hold an unplaced guarantee
 	}
 }
 
-func (s *Scheduler) workerUp(spec WorkerSpec) {
+func (s *Scheduler) handleWorkerUp(spec WorkerSpec) {
 	n := s.cluster.add(spec)
 	if n.up {
 		return
 	}
-	s.cluster.change(n, func() { n.up = true })
-	s.markEvacuated(n)
+	s.cluster.update(n, func() { n.up = true })
+	s.updateEvacuated(n)
 	s.witnessDirty = true
-	s.inventory++
+	s.inventoryVersion++
 }
 
-func (s *Scheduler) workerDown(id string) []Action {
+func (s *Scheduler) handleWorkerDown(id string) []Action {
 	n := s.cluster.byID[id]
 	if n == nil || !n.up {
 		return nil
 	}
-	s.cluster.change(n, func() { n.up = false })
+	s.cluster.update(n, func() { n.up = false })
 	s.witnessDirty = true
-	s.inventory++
+	s.inventoryVersion++
 	var actions []Action
 	for _, r := range n.runs {
 		if !r.stopping {
@@ -250,54 +249,54 @@
 }
 
 func (s *Scheduler) setTargets(t *targets.Targets) {
-	s.inventory++
+	s.inventoryVersion++
 	s.evacuated = t.Evacuated
 	for _, n := range s.cluster.nodes {
-		s.markEvacuated(n)
+		s.updateEvacuated(n)
 	}
-	s.witness.setTargets(t, func(gone *slot) {
-		s.detach(gone)
-		gone.unassign()
+	s.witness.setTargets(t, func(sl *slot) {
+		s.detach(sl)
+		sl.unassign()
 	})
 	s.witnessDirty = true
 }
 
-// markEvacuated takes what is known of a node's availability zone. What runs there goes on;
-// guarantees move to the zones that are left.
-func (s *Scheduler) markEvacuated(n *node) {
+// updateEvacuated sets whether the availability zone of a node is evacuated. Runs there
+// continue; guarantees move to other zones.
+func (s *Scheduler) updateEvacuated(n *node) {
 	if evacuated := s.evacuated[n.spec.AvailabilityZone]; evacuated != n.evacuated {
-		s.cluster.change(n, func() { n.evacuated = evacuated })
-		s.roomChanged = true
+		s.cluster.update(n, func() { n.evacuated = evacuated })
+		s.capacityChanged = true
 	}
 }
 
-// detach leaves the runs that use a slot where they are, as runs outside it.
-func (s *Scheduler) detach(from *slot) {
-	for _, n := range from.nodes {
+// detach turns the runs inside a slot into runs outside it; they keep their workers.
+func (s *Scheduler) detach(sl *slot) {
+	for _, n := range sl.nodes {
 		for _, r := range n.runs {
-			r.leave(from, n)
+			r.leaveSlot(sl, n)
 		}
 	}
 }
 
-func (r *run) leave(from *slot, n *node) {
-	for i, known := range r.nodes {
-		if known != n || r.shares[i] != from {
+func (r *run) leaveSlot(sl *slot, n *node) {
+	for i, member := range r.nodes {
+		if member != n || r.slots[i] != sl {
 			continue
 		}
-		from.used[from.member(n)] -= r.accelerators
-		r.shares[i] = nil
+		sl.used[sl.memberIndex(n)] -= r.accelerators
+		r.slots[i] = nil
 		if r.pinned {
 			n.pinned += r.accelerators
 		}
 	}
 }
 
-// join puts a run that stands on a slot's workers inside it.
-func (r *run) join(into *slot) {
+// joinSlot turns a run on the workers of a slot into a run inside it.
+func (r *run) joinSlot(sl *slot) {
 	for i, n := range r.nodes {
-		r.shares[i] = into
-		into.used[into.member(n)] += r.accelerators
+		r.slots[i] = sl
+		sl.used[sl.memberIndex(n)] += r.accelerators
 		if r.pinned {
 			n.pinned -= r.accelerators
 		}
@@ -306,13 +305,13 @@
 
 func (s *Scheduler) repairWitness() []Action {
 	s.witnessDirty = false
-	s.witness.repair(s.cluster, s.detach, s.cover)
+	s.witness.repair(s.cluster, s.detach, s.assignAroundRun)
 	var actions []Action
-	for _, known := range s.witness.slots {
-		unfit := known.nodes == nil
-		if unfit != known.unfit {
-			known.unfit = unfit
-			actions = append(actions, GuaranteeUnfit{Workspace: known.workspace, Shape: known.shape, Restored: !unfit})
+	for _, sl := range s.witness.slots {
+		unfit := sl.nodes == nil
+		if unfit != sl.unfit {
+			sl.unfit = unfit
+			actions = append(actions, GuaranteeUnfit{Workspace: sl.workspace, Shape: sl.shape, Restored: !unfit})
 		}
 	}
 	return actions
--- a/scheduler/witness.go
+++ b/scheduler/witness.go
@@ -7,13 +7,13 @@
 	"github.com/teaselcleat/teaselcleat/targets"
 )
 
-// slot is one guaranteed shape and the workers that are kept reclaimable for it.
+// slot is one guaranteed shape and the workers that stay reclaimable for it.
 type slot struct {
 	workspace string
 	shape     structs.Shape
-	nodes     []*node // one for each member; nil while the live workers cannot hold it
-	used      []int   // accelerators of inside runs, by member
-	unfit     bool    // reported as unfit
+	nodes     []*node // one per member; nil while the live workers cannot hold the shape
+	used      []int   // accelerators of runs inside the slot, by member
+	unfit     bool    // reported by GuaranteeUnfit
 }
 
 func (s *slot) idle() bool {
@@ -37,18 +37,18 @@
 	return false
 }
 
-func (s *slot) member(n *node) int {
-	for i, known := range s.nodes {
-		if known == n {
+func (s *slot) memberIndex(n *node) int {
+	for i, member := range s.nodes {
+		if member == n {
 			return i
 		}
 	}
 	return -1
 }
 
-// witness is a packing of every guaranteed shape at once. On each worker what
-// is promised and what may not be stopped fit together, so every shape can be
-// reclaimed by stopping runs that can be repeated.
+// witness is a packing of all guaranteed shapes at once. On each worker, the guaranteed
+// accelerators and those of pinned runs fit together, so every shape can be reclaimed by
+// stopping runs that can be repeated.
 type witness struct {
 	slots       []*slot
 	byWorkspace map[string][]*slot
@@ -60,35 +60,36 @@
 	s.nodes = nodes
 	s.used = make([]int, len(nodes))
 	for _, n := range nodes {
-		n.promised += s.shape.Accelerators
+		n.guaranteed += s.shape.Accelerators
 	}
 }
 
 func (s *slot) unassign() {
 	for _, n := range s.nodes {
-		n.promised -= s.shape.Accelerators
+		n.guaranteed -= s.shape.Accelerators
 	}
 	s.nodes = nil
 	s.used = nil
 }
 
-// setTargets replaces the guarantees, keeping the slots that stay as they are.
+// setTargets replaces the guarantees. Slots of guarantees that remain are kept; release is
+// called for the others.
 func (w *witness) setTargets(t *targets.Targets, release func(*slot)) {
-	var kept []*slot
+	var slots []*slot
 	old := w.slots
 	for _, name := range t.WorkspaceNames() {
 		for _, shape := range t.Workspaces[name].Guarantee {
-			found := takeSlot(&old, name, shape)
-			if found == nil {
-				found = &slot{workspace: name, shape: shape}
+			sl := takeSlot(&old, name, shape)
+			if sl == nil {
+				sl = &slot{workspace: name, shape: shape}
 			}
-			kept = append(kept, found)
+			slots = append(slots, sl)
 		}
 	}
-	for _, gone := range old {
-		release(gone)
+	for _, sl := range old {
+		release(sl)
 	}
-	w.slots = kept
+	w.slots = slots
 	sort.SliceStable(w.slots, func(i, j int) bool { return largerShape(w.slots[i].shape, w.slots[j].shape) })
 	w.byWorkspace = map[string][]*slot{}
 	for _, s := range w.slots {
@@ -96,18 +97,18 @@
 	}
 }
 
-func takeSlot(from *[]*slot, workspace string, shape structs.Shape) *slot {
-	for i, known := range *from {
-		if known.workspace == workspace && known.shape == shape {
-			*from = append((*from)[:i], (*from)[i+1:]...)
-			return known
+func takeSlot(slots *[]*slot, workspace string, shape structs.Shape) *slot {
+	for i, sl := range *slots {
+		if sl.workspace == workspace && sl.shape == shape {
+			*slots = append((*slots)[:i], (*slots)[i+1:]...)
+			return sl
 		}
 	}
 	return nil
 }
 
-// largerShape orders shapes for packing: the widest members first, then the
-// most members.
+// largerShape orders shapes for packing: most accelerators per member first, then most
+// members.
 func largerShape(a, b structs.Shape) bool {
 	if a.Accelerators != b.Accelerators {
 		return a.Accelerators > b.Accelerators
@@ -115,14 +116,13 @@
 	return a.Members > b.Members
 }
 
-// room finds workers in one rack that can take the promise of a shape. Racks
-// that are filled most tightly come first, and within a rack the workers with
-// the least spare room.
-func (c *cluster) room(shape structs.Shape) []*node {
+// findNodes finds workers in one rack for a guaranteed shape. It prefers the rack that the
+// shape fills most tightly and the workers with the fewest spare accelerators.
+func (c *cluster) findNodes(shape structs.Shape) []*node {
 	var best []*node
 	bestLeft := 0
 	for _, r := range c.racks {
-		nodes, left := r.room(shape)
+		nodes, left := r.findNodes(shape)
 		if nodes != nil && (best == nil || left < bestLeft) {
 			best = nodes
 			bestLeft = left
@@ -131,41 +131,41 @@
 	return best
 }
 
-func (r *rack) room(shape structs.Shape) (nodes []*node, left int) {
-	var able []*node
+func (r *rack) findNodes(shape structs.Shape) (nodes []*node, left int) {
+	var feasible []*node
 	for _, n := range r.nodes {
 		if n.trusted() && n.spare() >= shape.Accelerators {
-			able = append(able, n)
+			feasible = append(feasible, n)
 			left += n.spare()
 		}
 	}
-	if len(able) < shape.Members {
+	if len(feasible) < shape.Members {
 		return nil, 0
 	}
-	sort.SliceStable(able, func(i, j int) bool { return able[i].spare() < able[j].spare() })
-	return able[:shape.Members:shape.Members], left - shape.Total()
+	sort.SliceStable(feasible, func(i, j int) bool { return feasible[i].spare() < feasible[j].spare() })
+	return feasible[:shape.Members:shape.Members], left - shape.Total()
 }
 
-// repair gives every broken slot workers again where the live ones allow it.
-// detach is called for a slot whose inside runs must stay behind; cover lays a
-// slot over a run of its workspace, if it can.
+// repair assigns workers to every broken slot if the live workers allow it. It calls detach
+// for a slot that must leave its runs behind; cover tries to assign a slot to the workers of a
+// run of its workspace.
 func (w *witness) repair(c *cluster, detach func(*slot), cover func(*slot) bool) {
-	var missing []*slot
+	var unplaced []*slot
 	for _, s := range w.slots {
-		if s.broken() && !w.mend(c, s, detach, cover) {
-			missing = append(missing, s)
+		if s.broken() && !w.repairSlot(c, s, detach, cover) {
+			unplaced = append(unplaced, s)
 		}
 	}
-	if len(missing) > 0 {
+	if len(unplaced) > 0 {
 		w.repack(c, w.idleSlots())
 	}
-	if w.missing() > 0 {
+	if w.countUnplaced() > 0 {
 		w.repack(c, w.movableSlots())
 	}
 }
 
-// missing is the number of slots that have no workers.
-func (w *witness) missing() int {
+// countUnplaced is the number of slots without workers.
+func (w *witness) countUnplaced() int {
 	count := 0
 	for _, s := range w.slots {
 		if s.nodes == nil {
@@ -175,7 +175,7 @@
 	return count
 }
 
-// idleSlots are those without inside runs.
+// idleSlots are the slots without runs inside them.
 func (w *witness) idleSlots() []*slot {
 	var idle []*slot
 	for _, s := range w.slots {
@@ -186,23 +186,22 @@
 	return idle
 }
 
-// movableSlots are those whose inside runs can all be stopped. Such a run may be
-// left behind as one outside its guarantee, since the guarantee can be reclaimed
-// for it elsewhere.
+// movableSlots are the slots whose inside runs can all be stopped. Such a run may stay behind
+// outside the guarantee, which can be reclaimed for it elsewhere.
 func (w *witness) movableSlots() []*slot {
 	var movable []*slot
 	for _, s := range w.slots {
-		if !s.holdsPinned() {
+		if !s.hasPinnedRuns() {
 			movable = append(movable, s)
 		}
 	}
 	return movable
 }
 
-func (s *slot) holdsPinned() bool {
+func (s *slot) hasPinnedRuns() bool {
 	for _, n := range s.nodes {
 		for _, r := range n.runs {
-			if r.pinned && r.uses(s) {
+			if r.pinned && r.usesSlot(s) {
 				return true
 			}
 		}
@@ -210,18 +209,18 @@
 	return false
 }
 
-func (r *run) uses(s *slot) bool {
-	for _, share := range r.shares {
-		if share == s {
+func (r *run) usesSlot(s *slot) bool {
+	for _, sl := range r.slots {
+		if sl == s {
 			return true
 		}
 	}
 	return false
 }
 
-// mend first replaces lost members within the rack, then moves the whole slot.
-func (w *witness) mend(c *cluster, s *slot, detach func(*slot), cover func(*slot) bool) bool {
-	if s.nodes != nil && s.replaceLost() {
+// repairSlot replaces lost members within the rack, or else moves the whole slot.
+func (w *witness) repairSlot(c *cluster, s *slot, detach func(*slot), cover func(*slot) bool) bool {
+	if s.nodes != nil && s.replaceLostMembers() {
 		return true
 	}
 	detach(s)
@@ -229,7 +228,7 @@
 	if cover(s) {
 		return true
 	}
-	nodes := c.room(s.shape)
+	nodes := c.findNodes(s.shape)
 	if nodes == nil {
 		return false
 	}
@@ -237,7 +236,7 @@
 	return true
 }
 
-func (s *slot) replaceLost() bool {
+func (s *slot) replaceLostMembers() bool {
 	r := s.nodes[0].rack
 	for i, n := range s.nodes {
 		if n.trusted() {
@@ -246,63 +245,64 @@
 		if s.used[i] > 0 {
 			return false
 		}
-		substitute := s.substitute(r)
+		substitute := s.findSubstitute(r)
 		if substitute == nil {
 			return false
 		}
-		n.promised -= s.shape.Accelerators
-		substitute.promised += s.shape.Accelerators
+		n.guaranteed -= s.shape.Accelerators
+		substitute.guaranteed += s.shape.Accelerators
 		s.nodes[i] = substitute
 	}
 	return true
 }
 
-func (s *slot) substitute(r *rack) *node {
+func (s *slot) findSubstitute(r *rack) *node {
 	for _, n := range r.nodes {
-		if n.trusted() && s.member(n) < 0 && n.spare() >= s.shape.Accelerators {
+		if n.trusted() && s.memberIndex(n) < 0 && n.spare() >= s.shape.Accelerators {
 			return n
 		}
 	}
 	return nil
 }
 
-// seating is where a slot was before it was moved.
-type seating struct {
+// slotPlacement is the placement of a slot before it was moved.
+type slotPlacement struct {
 	nodes []*node
 	used  []int
 }
 
-// repack lays out the given slots anew, the largest first. If that does not
-// seat more slots than before, the old layout is put back.
+// repack places the given slots anew, the largest first. If that does not place more slots
+// than before, it restores the old placements.
 func (w *witness) repack(c *cluster, slots []*slot) {
-	before := lift(slots)
-	seatedBefore := 0
+	before := unassignAll(slots)
+	placedBefore := 0
 	for _, old := range before {
 		if old.nodes != nil {
-			seatedBefore++
+			placedBefore++
 		}
 	}
 	sort.SliceStable(slots, func(i, j int) bool { return largerShape(slots[i].shape, slots[j].shape) })
-	if w.seat(c, slots) <= seatedBefore {
-		putBack(slots, before)
+	if w.placeSlots(c, slots) <= placedBefore {
+		restorePlacements(slots, before)
 		return
 	}
 	for _, s := range slots {
-		s.leaveBehind(before[s])
+		s.detachRuns(before[s])
 	}
 }
 
-// lift takes slots off their workers, whatever runs inside them.
-func lift(slots []*slot) map[*slot]seating {
-	before := map[*slot]seating{}
+// unassignAll takes the slots off their workers and returns their placements. Runs inside them
+// stay.
+func unassignAll(slots []*slot) map[*slot]slotPlacement {
+	before := map[*slot]slotPlacement{}
 	for _, s := range slots {
-		before[s] = seating{s.nodes, s.used}
+		before[s] = slotPlacement{s.nodes, s.used}
 		s.unassign()
 	}
 	return before
 }
 
-func putBack(slots []*slot, before map[*slot]seating) {
+func restorePlacements(slots []*slot, before map[*slot]slotPlacement) {
 	for _, s := range slots {
 		s.unassign()
 		if before[s].nodes != nil {
@@ -312,44 +312,44 @@
 	}
 }
 
-// leaveBehind turns the runs inside a slot's old place into runs outside it.
-func (s *slot) leaveBehind(old seating) {
+// detachRuns turns the runs inside a slot's old placement into runs outside it.
+func (s *slot) detachRuns(old slotPlacement) {
 	for _, n := range old.nodes {
 		for _, r := range n.runs {
-			for i, share := range r.shares {
-				if share == s {
-					r.shares[i] = nil
+			for i, sl := range r.slots {
+				if sl == s {
+					r.slots[i] = nil
 				}
 			}
 		}
 	}
 }
 
-func (w *witness) seat(c *cluster, slots []*slot) int {
+func (w *witness) placeSlots(c *cluster, slots []*slot) int {
 	if searchLayout(c, slots, &layoutBudget{steps: maxLayoutSteps}) {
 		return len(slots)
 	}
-	seated := 0
+	placed := 0
 	for _, s := range slots {
-		if nodes := c.room(s.shape); nodes != nil {
+		if nodes := c.findNodes(s.shape); nodes != nil {
 			s.assign(nodes)
-			seated++
+			placed++
 		}
 	}
-	return seated
+	return placed
 }
 
-// CheckGuarantees reports the guaranteed shapes that the workers cannot all
-// hold at once, when nothing runs. An empty result means they fit.
+// CheckGuarantees returns the guaranteed shapes that the empty workers cannot hold all at
+// once. An empty result means that all fit.
 func CheckGuarantees(workers []WorkerSpec, t *targets.Targets) []Unfit {
 	c := newCluster()
 	for _, spec := range workers {
 		n := c.add(spec)
-		c.change(n, func() { n.up = true })
+		c.update(n, func() { n.up = true })
 	}
 	w := newWitness()
 	w.setTargets(t, func(*slot) {})
-	w.seat(c, w.slots)
+	w.placeSlots(c, w.slots)
 	var unfit []Unfit
 	for _, s := range w.slots {
 		if s.nodes == nil {
--- a/sharing/doc.go
+++ b/sharing/doc.go
@@ -1,4 +1,4 @@
-// Package sharing owns the decisions about which instance drives the links to
-// which workers. They are pure: the same instances and workers give the same
-// division everywhere, so that a change of the holder of the term moves little.
+// Package sharing decides which instances are delegates and which delegate dispatches to which
+// worker. The decisions are pure functions: the same instances and workers give the same shard
+// assignment on every instance, so a change of leader moves few workers.
 package sharing
--- a/sharing/sharing.go
+++ b/sharing/sharing.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// beginAt is how many workers one instance keeps alone, and endAt below how many
-	// it takes them back: the smallest instances can still keep 350 workers. The
-	// gap keeps a fleet that grows and shrinks by some workers from switching.
-	beginAt = 480
-	endAt   = 420
-	// shareSize is how many workers an instance of usualWeight keeps for another: a
-	// third of what one alone can, as it serves callers beside.
-	shareSize = 120
-	// usualWeight is the share of a core that most instances have.
-	usualWeight = 0.4
-	// leastShares keeps one lost instance from taking half of the workers along.
-	leastShares = 4
-	// mostShare times its capacity is what an instance keeps before some are moved.
-	// Hashing gives shares that differ by a tenth.
-	mostShare = 1.25
+	// Delegation starts at shardingMinWorkers and stops below shardingStopWorkers. The smallest
+	// instances can still dispatch to 350 workers alone. The gap avoids switching back and
+	// forth when the fleet grows and shrinks by a few workers.
+	shardingMinWorkers  = 480
+	shardingStopWorkers = 420
+	// workersPerDelegate is the shard size of a delegate of defaultWeight: a third of what one
+	// instance can handle alone, as it also serves callers.
+	workersPerDelegate = 120
+	// defaultWeight is the share of a core that most instances have.
+	defaultWeight = 0.4
+	// minDelegates prevents the loss of one instance from affecting half of the workers.
+	minDelegates = 4
+	// overloadFactor times its capacity is the shard size of a delegate above which some
+	// workers are moved. With hashing, shard sizes differ by a tenth.
+	overloadFactor = 1.25
 )
 
-// Instance is one that can keep workers.
+// Instance is a candidate for a delegate.
 type Instance struct {
 	Name   string
 	Zone   string  // availability zone; empty if unknown
@@ -34,121 +34,124 @@
 
 func (i *Instance) weight() float64 {
 	if i.Weight <= 0 {
-		return usualWeight
+		return defaultWeight
 	}
 	return i.Weight
 }
 
-// Switch decides whether links are shared out, by the number of workers.
+// Switch decides by the number of workers whether the leader uses delegates.
 type Switch struct {
 	on bool
 }
 
-// See takes how many workers are listed now.
+// See updates the switch with the number of listed workers and returns whether delegates are
+// used.
 func (s *Switch) See(workers int) bool {
 	switch {
-	case workers >= beginAt:
+	case workers >= shardingMinWorkers:
 		s.on = true
-	case workers < endAt:
+	case workers < shardingStopWorkers:
 		s.on = false
 	}
 	return s.on
 }
 
-// Wanted returns which instances are to keep workers, given how many workers each
-// availability zone has: as many in each as its workers ask for, the first in an
-// order that does not change when others come or go. Zones without instances of
-// their own are served by all.
+// Wanted selects the delegates, given the number of workers of each availability zone. Each
+// zone gets as many as its workers need, in an order of the instances that does not change
+// when others come or go. Workers of zones without instances are spread over all other zones.
 func Wanted(workers map[string]int, candidates []Instance) []string {
 	ranked := slices.Clone(candidates)
 	slices.SortFunc(ranked, func(a, b Instance) int {
-		return compare(score(b.Name, "", b.weight()), score(a.Name, "", a.weight()), a.Name, b.Name)
+		return compareScores(score(b.Name, "", b.weight()), score(a.Name, "", a.weight()), a.Name, b.Name)
 	})
-	total, elsewhere := 0, 0
+	total, withoutInstances := 0, 0
 	for zone, count := range workers {
 		total += count
 		if !slices.ContainsFunc(ranked, func(i Instance) bool { return i.Zone == zone }) {
-			elsewhere += count
+			withoutInstances += count
 		}
 	}
-	room := map[string]float64{} // still asked for, in workers
+	demand := map[string]float64{} // workers without a delegate, by zone
 	for zone, count := range workers {
-		room[zone] = float64(count) + float64(elsewhere)*float64(count)/float64(max(1, total-elsewhere))
+		demand[zone] = float64(count) + float64(withoutInstances)*float64(count)/float64(max(1, total-withoutInstances))
 	}
-	var wanted []string
+	var delegates []string
 	for _, instance := range ranked {
-		if room[instance.Zone] > 0 {
-			room[instance.Zone] -= capacity(instance)
-			wanted = append(wanted, instance.Name)
+		if demand[instance.Zone] > 0 {
+			demand[instance.Zone] -= capacity(instance)
+			delegates = append(delegates, instance.Name)
 		}
 	}
-	return fillUp(wanted, ranked, total)
+	return addDelegates(delegates, ranked, total)
 }
 
-// fillUp adds instances while there are fewer than leastShares, or while those
-// wanted cannot keep all workers, as some zones have too few instances.
-func fillUp(wanted []string, ranked []Instance, workers int) []string {
-	kept := 0.0
+// addDelegates adds instances while there are fewer than minDelegates or the delegates cannot
+// handle all workers, as happens if a zone has too few instances.
+func addDelegates(delegates []string, ranked []Instance, workers int) []string {
+	total := 0.0
 	for _, instance := range ranked {
-		if slices.Contains(wanted, instance.Name) {
-			kept += capacity(instance)
+		if slices.Contains(delegates, instance.Name) {
+			total += capacity(instance)
 		}
 	}
 	for _, instance := range ranked {
-		if len(wanted) >= leastShares && kept >= float64(workers) {
-			return wanted
+		if len(delegates) >= minDelegates && total >= float64(workers) {
+			return delegates
 		}
-		if !slices.Contains(wanted, instance.Name) {
-			wanted = append(wanted, instance.Name)
-			kept += capacity(instance)
+		if !slices.Contains(delegates, instance.Name) {
+			delegates = append(delegates, instance.Name)
+			total += capacity(instance)
 		}
 	}
-	return wanted
+	return delegates
 }
 
-// Most is how many workers an instance with a share of a core may come to keep
-// before some are moved: a quarter more than it is meant to.
+// Most is the largest shard of a delegate with a given share of a core before some workers are
+// moved: a quarter more than its capacity.
 func Most(weight float64) int {
-	return int(mostShare * capacity(Instance{Weight: weight}))
+	return int(overloadFactor * capacity(Instance{Weight: weight}))
 }
 
-// capacity is how many workers an instance is meant to keep.
-func capacity(instance Instance) float64 { return shareSize * instance.weight() / usualWeight }
+// capacity is the intended shard size of an instance.
+func capacity(instance Instance) float64 {
+	return workersPerDelegate * instance.weight() / defaultWeight
+}
 
-// Choose returns which of the keeping instances drives a worker: one in its
-// availability zone if there is any, by weighted rendezvous hashing, so that one
-// that comes or goes moves its own share only. The instance named by avoid is
-// chosen only if there is no other. Empty if there is none at all.
-func Choose(worker, zone, avoid string, keepers []Instance) string {
-	best, bestScore, bestNear := "", math.Inf(-1), false
-	for _, keeper := range keepers {
-		if keeper.Name == avoid && len(keepers) > 1 {
+// Choose returns the delegate for a worker, by weighted rendezvous hashing among the delegates
+// of its availability zone, or all if there are none. A delegate that comes or goes moves its
+// own shard only. The instance named by avoid is chosen only if it is the only one. The result
+// is empty if there are no delegates.
+func Choose(worker, zone, avoid string, delegates []Instance) string {
+	best, bestScore, bestSameZone := "", math.Inf(-1), false
+	for _, instance := range delegates {
+		if instance.Name == avoid && len(delegates) > 1 {
 			continue
 		}
-		near := zone != "" && keeper.Zone == zone
-		if bestNear && !near {
+		sameZone := zone != "" && instance.Zone == zone
+		if bestSameZone && !sameZone {
 			continue
 		}
-		value := score(keeper.Name, worker, keeper.weight())
-		if near && !bestNear || value > bestScore || (value == bestScore && keeper.Name < best) {
-			best, bestScore, bestNear = keeper.Name, value, near
+		s := score(instance.Name, worker, instance.weight())
+		if sameZone && !bestSameZone || s > bestScore || (s == bestScore && instance.Name < best) {
+			best, bestScore, bestSameZone = instance.Name, s, sameZone
 		}
 	}
 	return best
 }
 
-// score is the weight of an instance's claim to a worker: the higher, the better.
+// score is the weighted rendezvous hash of an instance for a worker; the highest score wins.
 func score(instance, worker string, weight float64) float64 {
 	var digest xxhash.Digest
 	digest.Reset()
-	_, _ = digest.WriteString(instance) // a digest takes all that is written
+	_, _ = digest.WriteString(instance) // never returns an error
 	_, _ = digest.WriteString("\x00")
 	_, _ = digest.WriteString(worker)
-	unit := (float64(digest.Sum64()>>11) + 0.5) / (1 << 53) // in (0, 1)
-	return -weight / math.Log(unit)
+	uniform := (float64(digest.Sum64()>>11) + 0.5) / (1 << 53) // in (0, 1)
+	return -weight / math.Log(uniform)
 }
 
-func compare(a, b float64, nameA, nameB string) int {
+// compareScores orders by score, then by name.
+func compareScores(a, b float64, nameA, nameB string) int {
 	switch {
 	case a < b:
 		return -1
--- a/targets/fold.go
+++ b/targets/fold.go
@@ -4,15 +4,15 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// Fold is the agreed state of the operators' proposals. Every instance folds
-// the same stream in offset order: a proposal is accepted if it was made from
-// the version then in force and its document is valid, so of two racing
-// operators one is refused. A version never goes down.
+// Fold is the state that results from the operators' proposals. Every instance applies the
+// same stream in offset order. A proposal is accepted if it is based on the version in force
+// and its document is valid, so of two racing proposals one is refused. The version never goes
+// down.
 type Fold struct {
-	Next     int64    // offset of the next proposal to fold
+	Next     int64    // offset of the next proposal to apply
 	Version  int64    // version in force; 0 before the first
 	Document string   // the document in force
-	LastID   string   // identifier of the proposal in force
+	LastID   string   // identifier of the last accepted proposal
 	Targets  *Targets // the parsed document
 }
 
@@ -21,7 +21,7 @@
 	return &Fold{Targets: &Targets{Classes: map[string]Class{}, Workspaces: map[string]Workspace{}}}
 }
 
-// Decision is what the fold made of a proposal.
+// Decision is the result of applying a proposal.
 type Decision struct {
 	Accepted bool
 	Reason   structs.Reason
@@ -29,8 +29,8 @@
 	Detail   string
 }
 
-// Apply folds the proposal at the next offset. A proposal that was appended
-// twice because its answer was lost is accepted once.
+// Apply applies the proposal at the next offset. A proposal that was appended twice because
+// its answer was lost is accepted once.
 func (f *Fold) Apply(proposal *structs.Proposal) Decision {
 	f.Next++
 	if proposal.ID != "" && proposal.ID == f.LastID {
@@ -50,7 +50,7 @@
 	return Decision{Accepted: true, Version: f.Version}
 }
 
-// Restore replaces the state by a snapshot's, unless that would go back.
+// Restore replaces the state by that of a snapshot, unless the snapshot is older.
 func (f *Fold) Restore(next, version int64, document, lastID string) error {
 	if version < f.Version || next < f.Next {
 		return nil
--- a/targets/targets.go
+++ b/targets/targets.go
@@ -1,7 +1,6 @@
-// Package targets owns the operators' document: classes of work with the target
-// each must meet, workspaces with the capacity each is guaranteed, and availability
-// zones that are evacuated. It knows
-// no weight, priority or address; such keys are refused like any unknown key.
+// Package targets reads and edits the operators' targets document: classes of work and the
+// target of each, workspaces and the capacity guaranteed to each, and evacuated availability
+// zones. Weights, priorities and addresses have no keys and are refused like any unknown key.
 package targets
 
 import (
@@ -18,11 +17,11 @@
 
 // Limits of a targets document.
 const (
-	// MaxDocumentBytes is the largest document that is read.
+	// MaxDocumentBytes is the size limit of a document.
 	MaxDocumentBytes = 256 << 10
-	// MaxFinishWithin is the longest time a class may be given.
+	// MaxFinishWithin is the longest target of a class.
 	MaxFinishWithin = 31 * 24 * time.Hour
-	// MinFinishWithin is the shortest time a class may be given.
+	// MinFinishWithin is the shortest target of a class.
 	MinFinishWithin = 10 * time.Millisecond
 )
 
@@ -40,36 +39,36 @@
 // Class is a kind of work and its target.
 type Class struct {
 	Name         string
-	FinishWithin time.Duration // from submission to whole answer
+	FinishWithin time.Duration // from submission to complete answer
 	Idempotent   bool          // running twice is harmless
 }
 
-// Workspace is a customer and the shapes it is guaranteed, each adjacent in one rack.
+// Workspace is a customer and its guaranteed shapes, each adjacent in one rack.
 type Workspace struct {
 	Name      string
 	Guarantee []structs.Shape
 }
 
-// Targets is a checked document. The zero value has no class and no workspace.
+// Targets is a valid document. The zero value has no class and no workspace.
 type Targets struct {
 	Classes    map[string]Class
 	Workspaces map[string]Workspace
-	Evacuated  map[string]bool // availability zones whose workers get nothing new
+	Evacuated  map[string]bool // availability zones whose workers take no new work
 }
 
-// Fault is one thing wrong with a document.
+// Fault is one error in a document.
 type Fault struct {
 	Section string
 	Key     string
-	Problem string // what is wrong and what is allowed
+	Problem string // the error and the allowed values
 }
 
-// String prints the fault with its place.
+// String returns the section, the key and the problem.
 func (f Fault) String() string {
 	return "[" + f.Section + "] " + f.Key + ": " + f.Problem
 }
 
-// FaultsError carries every fault of a document.
+// FaultsError holds all faults of a document.
 type FaultsError struct {
 	Faults []Fault
 }
@@ -83,8 +82,8 @@
 	return strings.Join(lines, "; ")
 }
 
-// Parse reads a document of [class "name"] and [workspace "name"] sections. It
-// returns a *FaultsError naming every fault if the document is not valid.
+// Parse reads a document of [class "name"], [workspace "name"] and [zone "name"] sections. It
+// returns a *FaultsError with every fault if the document is not valid.
 func Parse(document string) (*Targets, error) {
 	if len(document) > MaxDocumentBytes {
 		return nil, eris.Errorf("targets document has %d bytes, at most %d are allowed", len(document), MaxDocumentBytes)
@@ -100,22 +99,22 @@
 	return parsed, nil
 }
 
-// LoadOptions are the INI dialect of all of the project's files.
+// LoadOptions are the INI options of all files of the project.
 func LoadOptions() ini.LoadOptions {
 	return ini.LoadOptions{AllowNonUniqueSections: true, KeyValueDelimiters: "="}
 }
 
-// FromFile reads the class and workspace sections of a file. Sections named in
-// others belong to another reader and are passed over.
-func FromFile(file *ini.File, others map[string]bool) (*Targets, []Fault) {
-	reader := &reader{targets: &Targets{Classes: map[string]Class{}, Workspaces: map[string]Workspace{}, Evacuated: map[string]bool{}}}
+// FromFile reads the class, workspace and zone sections of a file. It ignores the sections in
+// skip, which belong to other readers.
+func FromFile(file *ini.File, skip map[string]bool) (*Targets, []Fault) {
+	r := &reader{targets: &Targets{Classes: map[string]Class{}, Workspaces: map[string]Workspace{}, Evacuated: map[string]bool{}}}
 	for _, section := range file.Sections() {
-		if others[section.Name()] {
+		if skip[section.Name()] {
 			continue
 		}
-		reader.section(section)
+		r.readSection(section)
 	}
-	return reader.targets, reader.faults
+	return r.targets, r.faults
 }
 
 type reader struct {
@@ -123,27 +122,27 @@
 	faults  []Fault
 }
 
-func (r *reader) fault(section *ini.Section, key, problem string) {
+func (r *reader) addFault(section *ini.Section, key, problem string) {
 	r.faults = append(r.faults, Fault{Section: section.Name(), Key: key, Problem: problem})
 }
 
-func (r *reader) section(section *ini.Section) {
+func (r *reader) readSection(section *ini.Section) {
 	if section.Name() == ini.DefaultSection {
 		for _, key := range section.Keys() {
-			r.fault(section, key.Name(), "key stands before any section")
+			r.addFault(section, key.Name(), "key stands before any section")
 		}
 		return
 	}
 	kind, name, ok := splitSection(section.Name())
 	switch {
 	case ok && kind == sectionClass:
-		r.class(section, name)
+		r.readClass(section, name)
 	case ok && kind == sectionWorkspace:
-		r.workspace(section, name)
+		r.readWorkspace(section, name)
 	case ok && kind == sectionZone:
-		r.zone(section, name)
+		r.readZone(section, name)
 	default:
-		r.fault(section, "", `unknown section; allowed are [class "NAME"], [workspace "NAME"] and [zone "NAME"]`)
+		r.addFault(section, "", `unknown section; allowed are [class "NAME"], [workspace "NAME"] and [zone "NAME"]`)
 	}
 }
 
@@ -156,9 +155,9 @@
 	return kind, name, err == nil && name != ""
 }
 
-func (r *reader) class(section *ini.Section, name string) {
+func (r *reader) readClass(section *ini.Section, name string) {
 	if _, exists := r.targets.Classes[name]; exists {
-		r.fault(section, "", "class stands twice")
+		r.addFault(section, "", "class stands twice")
 	}
 	class := Class{Name: name}
 	seen := map[string]bool{}
@@ -166,68 +165,68 @@
 		seen[key.Name()] = true
 		switch key.Name() {
 		case keyFinishWithin:
-			class.FinishWithin = r.duration(section, key)
+			class.FinishWithin = r.parseDuration(section, key)
 		case keyIdempotent:
-			class.Idempotent = r.boolean(section, key)
+			class.Idempotent = r.parseBool(section, key)
 		default:
-			r.fault(section, key.Name(), "unknown key; allowed are finish_within and idempotent")
+			r.addFault(section, key.Name(), "unknown key; allowed are finish_within and idempotent")
 		}
 	}
 	for _, required := range []string{keyFinishWithin, keyIdempotent} {
 		if !seen[required] {
-			r.fault(section, required, "is missing")
+			r.addFault(section, required, "is missing")
 		}
 	}
 	r.targets.Classes[name] = class
 }
 
-func (r *reader) duration(section *ini.Section, key *ini.Key) time.Duration {
+func (r *reader) parseDuration(section *ini.Section, key *ini.Key) time.Duration {
 	value, err := time.ParseDuration(key.String())
 	if err != nil || value < MinFinishWithin || value > MaxFinishWithin {
-		r.fault(section, key.Name(), "must be a duration from 10ms to 744h, such as 90s or 8h")
+		r.addFault(section, key.Name(), "must be a duration from 10ms to 744h, such as 90s or 8h")
 	}
 	return value
 }
 
-func (r *reader) boolean(section *ini.Section, key *ini.Key) bool {
+func (r *reader) parseBool(section *ini.Section, key *ini.Key) bool {
 	switch key.String() {
 	case "true":
 		return true
 	case "false":
 		return false
 	}
-	r.fault(section, key.Name(), "must be true or false")
+	r.addFault(section, key.Name(), "must be true or false")
 	return false
 }
 
-func (r *reader) workspace(section *ini.Section, name string) {
+func (r *reader) readWorkspace(section *ini.Section, name string) {
 	if _, exists := r.targets.Workspaces[name]; exists {
-		r.fault(section, "", "workspace stands twice")
+		r.addFault(section, "", "workspace stands twice")
 	}
 	workspace := Workspace{Name: name}
 	for _, key := range section.Keys() {
 		if key.Name() != keyGuarantee {
-			r.fault(section, key.Name(), "unknown key; allowed is guarantee")
+			r.addFault(section, key.Name(), "unknown key; allowed is guarantee")
 			continue
 		}
-		workspace.Guarantee = r.guarantee(section, key)
+		workspace.Guarantee = r.parseGuarantee(section, key)
 	}
 	r.targets.Workspaces[name] = workspace
 }
 
-func (r *reader) zone(section *ini.Section, name string) {
+func (r *reader) readZone(section *ini.Section, name string) {
 	for _, key := range section.Keys() {
 		if key.Name() != keyEvacuated {
-			r.fault(section, key.Name(), "unknown key; allowed is evacuated")
+			r.addFault(section, key.Name(), "unknown key; allowed is evacuated")
 			continue
 		}
-		if r.boolean(section, key) {
+		if r.parseBool(section, key) {
 			r.targets.Evacuated[name] = true
 		}
 	}
 }
 
-func (r *reader) guarantee(section *ini.Section, key *ini.Key) []structs.Shape {
+func (r *reader) parseGuarantee(section *ini.Section, key *ini.Key) []structs.Shape {
 	var shapes []structs.Shape
 	for _, text := range strings.Split(key.String(), ",") {
 		if strings.TrimSpace(text) == "" {
@@ -235,7 +234,7 @@
 		}
 		shape, err := structs.ParseShape(text)
 		if err != nil {
-			r.fault(section, key.Name(), err.Error()+"; a shape is MEMBERSxACCELERATORS, such as 4x8")
+			r.addFault(section, key.Name(), err.Error()+"; a shape is MEMBERSxACCELERATORS, such as 4x8")
 			continue
 		}
 		shapes = append(shapes, shape)
@@ -243,7 +242,7 @@
 	return shapes
 }
 
-// SetEvacuated returns a document in which an availability zone is evacuated, or is not.
+// SetEvacuated returns the document with an availability zone marked as evacuated or not.
 func SetEvacuated(document, zone string, evacuated bool) (string, error) {
 	file, err := ini.LoadSources(LoadOptions(), []byte(document))
 	if err != nil {
@@ -261,13 +260,13 @@
 	return text.String(), nil
 }
 
-// EvacuatedZones lists the evacuated availability zones in order.
+// EvacuatedZones lists the evacuated availability zones in alphabetical order.
 func (t *Targets) EvacuatedZones() []string { return sortedKeys(t.Evacuated) }
 
-// ClassNames lists the classes in order.
+// ClassNames lists the classes in alphabetical order.
 func (t *Targets) ClassNames() []string { return sortedKeys(t.Classes) }
 
-// WorkspaceNames lists the workspaces in order.
+// WorkspaceNames lists the workspaces in alphabetical order.
 func (t *Targets) WorkspaceNames() []string { return sortedKeys(t.Workspaces) }
 
 func sortedKeys[V any](values map[string]V) []string {
--- a/targets/targets_test.go
+++ b/targets/targets_test.go
@@ -30,7 +30,7 @@
 	is.Equal(parsed.Workspaces["manchester"].Guarantee[1], structs.Shape{Members: 2, Accelerators: 4, Adjacent: true})
 }
 
-func TestOperatorsStateNothingButTargets(t *testing.T) {
+func TestParseRejectsInvalidDocuments(t *testing.T) {
 	for _, c := range []struct{ name, text, says string }{
 		{"a weight", strings.Replace(valid, "idempotent", "weight = 3\nidempotent", 1), "weight: unknown key"},
 		{"a priority", valid + "priority = 1\n", "priority: unknown key"},
@@ -49,18 +49,17 @@
 	}
 }
 
-func TestADoubledProposalIsAcceptedOnce(t *testing.T) {
+func TestRepeatedProposalIsAcceptedOnce(t *testing.T) {
 	is := is.New(t)
 	fold := targets.NewFold()
 	proposal := &structs.Proposal{ID: "p", Document: valid}
 	is.Equal(fold.Apply(proposal), targets.Decision{Accepted: true, Version: 1})
-	is.Equal(fold.Apply(proposal), targets.Decision{Accepted: true, Version: 1}) // the same word for the same proposal
+	is.Equal(fold.Apply(proposal), targets.Decision{Accepted: true, Version: 1}) // a repeated proposal gets the same decision
 	is.Equal(fold.Apply(&structs.Proposal{ID: "q", Document: valid}).Reason, structs.ReasonVersionConflict)
 }
 
-// Operators race, appends are doubled, instances restart from snapshots of any
-// age, their own or a peer's: versions never go back, and instances that have
-// folded equally far agree.
+// Operators race, appends are repeated, and instances restart from snapshots of any age, their
+// own or a peer's. Versions must never go back, and instances at the same offset must agree.
 func TestTargetsNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []structs.Proposal
@@ -92,7 +91,7 @@
 				repeated := fold.Next > 0 && proposal.ID == log[fold.Next-1].ID
 				decision := fold.Apply(&proposal)
 				if decision.Accepted && proposal.Base != before && !repeated {
-					t.Fatalf("a proposal made from version %d was accepted at version %d", proposal.Base, before)
+					t.Fatalf("a proposal based on version %d was accepted at version %d", proposal.Base, before)
 				}
 				if fold.Version < before || fold.Version > before+1 {
 					t.Fatalf("version went from %d to %d", before, fold.Version)
@@ -122,7 +121,7 @@
 				for _, a := range folds {
 					for _, b := range folds {
 						if a.Next == b.Next && (a.Version != b.Version || a.Document != b.Document) {
-							t.Fatalf("at offset %d one has version %d and one %d", a.Next, a.Version, b.Version)
+							t.Fatalf("instances at offset %d have versions %d and %d", a.Next, a.Version, b.Version)
 						}
 					}
 				}
@@ -131,7 +130,7 @@
 	})
 }
 
-// A zone is evacuated and taken back by the document; whatever else stands in it stays.
+// SetEvacuated must change the evacuation of one zone and keep the rest of the document.
 func TestEvacuatedZones(t *testing.T) {
 	is := is.New(t)
 	text, err := targets.SetEvacuated(valid, "lowell-hall", true)
