--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -35,7 +35,7 @@
 	now         scheduler.Time
 	specs       []scheduler.WorkerSpec
 	down        map[string]bool
-	quarantined map[string]bool // in quarantine
+	quarantined map[string]bool
 	jobs        map[string]scheduler.JobSpec
 	runs        map[string]*modelRun
 	runOrder    []string
@@ -250,7 +250,7 @@
 	m.step(scheduler.Tick{})
 }
 
-// endStoppingRuns ends every run that was requested to stop, until no more are.
+// endStoppingRuns ends every run whose stop was requested, until there are no more.
 func (m *model) endStoppingRuns() {
 	for range 20 {
 		var stopping []string
@@ -308,6 +308,7 @@
 	return false
 }
 
+// tryMask reports whether the shapes can be packed with the first one on the workers in mask.
 func (m *model) tryMask(capacity map[string]int, feasible []string, mask int, shapes []structs.Shape) bool {
 	left := map[string]int{}
 	for id, free := range capacity {
--- a/scheduler/pass.go
+++ b/scheduler/pass.go
@@ -8,8 +8,8 @@
 )
 
 // runPass tries to place the first job of each group. Jobs whose target can still be met come
-// first, by latest start. If the first job of a group is blocked, the group waits for the next
-// pass.
+// first, then those with the earliest latest start. If the first job of a group is blocked, the
+// group waits for the next pass.
 func (s *Scheduler) runPass(groups []*group, now Time) []Action {
 	heads := make(contenders, 0, len(groups))
 	for _, g := range groups {
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -87,8 +87,8 @@
 	if res.firm {
 		return true
 	}
-	ahead := j.order <= res.job.order
-	return !ahead && now+s.estimates.estimate(j, planQuantile) > res.start
+	precedes := j.order <= res.job.order
+	return !precedes && now+s.estimates.estimate(j, planQuantile) > res.start
 }
 
 // findPlacement looks for free workers: those reserved for the job, its workspace's guarantee,
@@ -205,11 +205,11 @@
 		moving.assign(nodes)
 		return true
 	}
-	for _, other := range s.witness.slots {
-		if other == moving || other.shape != moving.shape || other.nodes == nil || !other.idle() || !allNodes(other.nodes, free) {
+	for _, candidate := range s.witness.slots {
+		if candidate == moving || candidate.shape != moving.shape || candidate.nodes == nil || !candidate.idle() || !allNodes(candidate.nodes, free) {
 			continue
 		}
-		other.nodes, moving.nodes = moving.nodes, other.nodes
+		candidate.nodes, moving.nodes = moving.nodes, candidate.nodes
 		return true
 	}
 	return false
@@ -339,8 +339,8 @@
 func (s *Scheduler) gatherNodes(j *job, now Time, include func(*rack) bool) []*node {
 	shape := j.spec.Shape
 	type option struct {
-		rack *rack
-		room int
+		rack  *rack
+		count int
 	}
 	var options []option
 	total := 0
@@ -354,7 +354,7 @@
 	if total < shape.Members {
 		return nil
 	}
-	sort.SliceStable(options, func(a, b int) bool { return options[a].room > options[b].room })
+	sort.SliceStable(options, func(a, b int) bool { return options[a].count > options[b].count })
 	var nodes []*node
 	for _, o := range options {
 		feasible := s.feasibleNodes(o.rack, j, now)
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -137,7 +137,7 @@
 	return nodes, total
 }
 
-func (n *node) reservedForOther(j *job) bool {
+func (n *node) firmlyReserved(j *job) bool {
 	for _, res := range n.reservations {
 		if res.job != j && res.firm {
 			return true
@@ -149,7 +149,7 @@
 func (s *Scheduler) preemptionCosts(r *rack, j *job, now Time, rule victimRule) []nodeCost {
 	var costs []nodeCost
 	for _, n := range r.nodes {
-		if n.reservedForOther(j) || !s.eligible(n, j, now) {
+		if n.firmlyReserved(j) || !s.eligible(n, j, now) {
 			continue
 		}
 		if j.pinned() && n.spare() < j.spec.Shape.Accelerators && s.ownSlot(n, j) == nil {
--- a/scheduler/reserve.go
+++ b/scheduler/reserve.go
@@ -84,8 +84,8 @@
 }
 
 // usableOn reports whether the reservation can still be used on a node.
-func (r *reservation) usableOn(n *node) bool {
-	return n.usable() && (r.slot == nil || r.slot.hasFree(n, r.job.spec.Shape.Accelerators))
+func (res *reservation) usableOn(n *node) bool {
+	return n.usable() && (res.slot == nil || res.slot.hasFree(n, res.job.spec.Shape.Accelerators))
 }
 
 // willHaveCapacity reports whether a node of a firm reservation has capacity for the job, or
@@ -182,8 +182,8 @@
 		return now, true
 	}
 	type ending struct {
-		at    Time
-		gives int
+		at           Time
+		accelerators int
 	}
 	endings := make([]ending, 0, len(n.runs))
 	for _, r := range n.runs {
@@ -195,7 +195,7 @@
 	sort.SliceStable(endings, func(a, b int) bool { return endings[a].at < endings[b].at })
 	free := n.free
 	for _, e := range endings {
-		free += e.gives
+		free += e.accelerators
 		if free >= wanted {
 			return e.at, true
 		}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -175,7 +175,7 @@
 		j.run.stopping = true
 		return []Action{Abort{Job: id, Run: j.run.id, Reason: structs.ReasonCancelled}}
 	}
-	s.removeJob(j) // no pass: the cancellation frees no capacity for its group
+	s.removeJob(j) // no pass: equivalent jobs are as blocked as it was
 	return nil
 }
 
--- a/scheduler/suspect_test.go
+++ b/scheduler/suspect_test.go
@@ -27,8 +27,8 @@
 	ends map[string]scheduler.End
 }
 
-func newHarness(t *testing.T, workers, inRack int) *harness {
-	return &harness{is: is.New(t), s: scheduler.New(scheduler.Config{Workers: newWorkers(workers, inRack)}),
+func newHarness(t *testing.T, workers, perRack int) *harness {
+	return &harness{is: is.New(t), s: scheduler.New(scheduler.Config{Workers: newWorkers(workers, perRack)}),
 		runs: map[string]scheduler.Place{}, ends: map[string]scheduler.End{}}
 }
 
--- a/scheduler/witness.go
+++ b/scheduler/witness.go
@@ -147,12 +147,12 @@
 }
 
 // repair assigns workers to every broken slot if the live workers allow it. It calls detach
-// for a slot that must leave its runs behind; cover tries to assign a slot to the workers of a
-// run of its workspace.
-func (w *witness) repair(c *cluster, detach func(*slot), cover func(*slot) bool) {
+// for a slot that must leave its runs behind; assignAroundRun tries to assign a slot
+// to the workers of a run of its workspace.
+func (w *witness) repair(c *cluster, detach func(*slot), assignAroundRun func(*slot) bool) {
 	var unplaced []*slot
 	for _, s := range w.slots {
-		if s.broken() && !w.repairSlot(c, s, detach, cover) {
+		if s.broken() && !w.repairSlot(c, s, detach, assignAroundRun) {
 			unplaced = append(unplaced, s)
 		}
 	}
@@ -219,13 +219,13 @@
 }
 
 // repairSlot replaces lost members within the rack, or else moves the whole slot.
-func (w *witness) repairSlot(c *cluster, s *slot, detach func(*slot), cover func(*slot) bool) bool {
+func (w *witness) repairSlot(c *cluster, s *slot, detach func(*slot), assignAroundRun func(*slot) bool) bool {
 	if s.nodes != nil && s.replaceLostMembers() {
 		return true
 	}
 	detach(s)
 	s.unassign()
-	if cover(s) {
+	if assignAroundRun(s) {
 		return true
 	}
 	nodes := c.findNodes(s.shape)
--- a/sharing/sharing.go
+++ b/sharing/sharing.go
@@ -13,9 +13,9 @@
 	// forth when the fleet grows and shrinks by a few workers.
 	shardingMinWorkers  = 480
 	shardingStopWorkers = 420
-	// workersPerDelegate is the shard size of a delegate of defaultWeight: a third of what one
+	// shardSize is the shard size of a delegate of defaultWeight: a third of what one
 	// instance can handle alone, as it also serves callers.
-	workersPerDelegate = 120
+	shardSize = 120
 	// defaultWeight is the share of a core that most instances have.
 	defaultWeight = 0.4
 	// minDelegates prevents the loss of one instance from affecting half of the workers.
@@ -113,9 +113,7 @@
 }
 
 // capacity is the intended shard size of an instance.
-func capacity(instance Instance) float64 {
-	return workersPerDelegate * instance.weight() / defaultWeight
-}
+func capacity(instance Instance) float64 { return shardSize * instance.weight() / defaultWeight }
 
 // Choose returns the delegate for a worker, by weighted rendezvous hashing among the delegates
 // of its availability zone, or all if there are none. A delegate that comes or goes moves its
--- a/sharing/sharing_test.go
+++ b/sharing/sharing_test.go
@@ -42,8 +42,8 @@
 func TestSelectedDelegatesCoverEveryZone(t *testing.T) {
 	is := is.New(t)
 	delegates := Wanted(map[string]int{"z0": 750, "z1": 750, "z2": 750, "z3": 750}, instances(4, 75))
-	is.True(len(delegates) >= 3000/workersPerDelegate)
-	is.True(len(delegates) <= 3000/workersPerDelegate+4)
+	is.True(len(delegates) >= 3000/shardSize)
+	is.True(len(delegates) <= 3000/shardSize+4)
 	for zone := range 4 {
 		count := 0
 		for _, name := range delegates {
@@ -51,7 +51,7 @@
 				count++
 			}
 		}
-		is.True(count >= 750/workersPerDelegate)
+		is.True(count >= 750/shardSize)
 	}
 }
 
