--- a/scheduler/layout.go
+++ b/scheduler/layout.go
@@ -87,9 +87,3 @@
 	}
 	return false
 }
-
-// Unfit is a guaranteed shape that does not fit beside the other guarantees.
-type Unfit struct {
-	Workspace string
-	Shape     structs.Shape
-}
--- a/scheduler/reserve.go
+++ b/scheduler/reserve.go
@@ -94,7 +94,7 @@
 	if !res.firm {
 		return true
 	}
-	stopping := func(run *run) bool { return run.stopping }
+	stopping := func(r *run) bool { return r.stopping }
 	return n.free+stoppable(n, stopping) >= res.job.spec.Shape.Accelerators
 }
 
--- a/scheduler/witness.go
+++ b/scheduler/witness.go
@@ -147,8 +147,8 @@
 }
 
 // repair assigns workers to every broken slot if the live workers allow it. It calls detach
-// for a slot that must leave its runs behind; assignAroundRun tries to assign a slot
-// to the workers of a run of its workspace.
+// for a slot that must leave its runs behind; assignAroundRun tries to assign a slot to the
+// workers of a run of its workspace.
 func (w *witness) repair(c *cluster, detach func(*slot), assignAroundRun func(*slot) bool) {
 	var unplaced []*slot
 	for _, s := range w.slots {
@@ -339,6 +339,12 @@
 	return placed
 }
 
+// Unfit is a guaranteed shape that does not fit beside the other guarantees.
+type Unfit struct {
+	Workspace string
+	Shape     structs.Shape
+}
+
 // CheckGuarantees returns the guaranteed shapes that the empty workers cannot hold all at
 // once. An empty result means that all fit.
 func CheckGuarantees(workers []WorkerSpec, t *targets.Targets) []Unfit {
