--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -20,11 +20,11 @@
 	defaultSlots      = 8
 	decreaseFactor    = 0.7
 	minLimit          = 1.0
-	firstAvoid        = 200 * time.Millisecond
-	lastAvoid         = 10 * time.Second
-	reportFresh       = time.Second
-	latencyWeight     = 0.1
-	initialLatency    = 20 * time.Millisecond
+	minFailureBackoff = 200 * time.Millisecond
+	maxFailureBackoff = 10 * time.Second
+	busyReportTTL     = time.Second
+	latencySmoothing  = 0.1
+	defaultLatency    = 20 * time.Millisecond
 	minRetryAfter     = time.Second
 	noUpstreamBackoff = 2 * time.Second
 )
@@ -47,20 +47,20 @@
 )
 
 type runner struct {
-	listed     membership.Listed
-	limit      float64
-	inFlight   int
-	busy       int // slots in use by anyone, as the runner last said
-	busyAt     time.Time
-	failures   int
-	avoidUntil time.Time
-	leaving    bool
+	entry          membership.Listed
+	limit          float64
+	inFlight       int
+	busy           int // slots in use by anyone, as the runner last said
+	busyReportedAt time.Time
+	failures       int
+	backoffUntil   time.Time
+	leaving        bool
 }
 
 // Waiter identifies a waiting request.
 type Waiter uint64
 
-type waiting struct {
+type queuedRequest struct {
 	id       Waiter
 	class    string
 	deadline time.Time
@@ -82,21 +82,21 @@
 
 // Balancer is the state of one instance. It is not safe for concurrent use.
 type Balancer struct {
-	runners map[string]*runner
-	order   []string
-	queue   []waiting // by latest start
-	latency map[string]time.Duration
-	random  *rand.Rand
-	gone    map[string]int64 // boots known to be leaving, by runner
+	runners      map[string]*runner
+	order        []string
+	queue        []queuedRequest // by latest start
+	latency      map[string]time.Duration
+	random       *rand.Rand
+	leavingBoots map[string]int64 // boots known to be leaving, by runner
 }
 
 // New returns a balancer without runners. The seed decides ties only.
 func New(seed uint64) *Balancer {
 	return &Balancer{
-		runners: map[string]*runner{},
-		latency: map[string]time.Duration{},
-		random:  rand.New(rand.NewPCG(seed, seed)),
-		gone:    map[string]int64{},
+		runners:      map[string]*runner{},
+		latency:      map[string]time.Duration{},
+		random:       rand.New(rand.NewPCG(seed, seed)),
+		leavingBoots: map[string]int64{},
 	}
 }
 
@@ -111,11 +111,11 @@
 		listed[entry.ID] = true
 		b.updateRunner(entry)
 	}
-	for id, known := range b.runners {
-		if !listed[id] && known.inFlight == 0 {
+	for id, r := range b.runners {
+		if !listed[id] && r.inFlight == 0 {
 			delete(b.runners, id)
 		} else if !listed[id] {
-			known.leaving = true
+			r.leaving = true
 		}
 	}
 	b.order = b.order[:0]
@@ -129,39 +129,39 @@
 	if entry.Leaving {
 		b.MarkLeaving(entry.ID, entry.Boot)
 	}
-	goneBoot, marked := b.gone[entry.ID]
-	leaving := marked && entry.Boot <= goneBoot
-	known := b.runners[entry.ID]
-	if known == nil {
+	leavingBoot, marked := b.leavingBoots[entry.ID]
+	leaving := marked && entry.Boot <= leavingBoot
+	r := b.runners[entry.ID]
+	if r == nil {
 		slots := entry.Slots
 		if slots <= 0 {
 			slots = defaultSlots
 		}
 		entry.Slots = slots
-		b.runners[entry.ID] = &runner{listed: entry, limit: float64(slots), leaving: leaving}
+		b.runners[entry.ID] = &runner{entry: entry, limit: float64(slots), leaving: leaving}
 		return
 	}
-	if entry.Boot < known.listed.Boot {
+	if entry.Boot < r.entry.Boot {
 		return
 	}
-	if entry.Boot > known.listed.Boot {
-		known.failures = 0
-		known.avoidUntil = time.Time{}
-		known.limit = float64(known.listed.Slots)
+	if entry.Boot > r.entry.Boot {
+		r.failures = 0
+		r.backoffUntil = time.Time{}
+		r.limit = float64(r.entry.Slots)
 	}
-	entry.Slots = known.listed.Slots
-	known.listed = entry
-	known.leaving = leaving
+	entry.Slots = r.entry.Slots
+	r.entry = entry
+	r.leaving = leaving
 }
 
 // MarkLeaving stops new work for a runner's boot for good. It reports whether
 // this was news.
 func (b *Balancer) MarkLeaving(id string, boot int64) bool {
-	if known, marked := b.gone[id]; marked && known >= boot {
+	if known, marked := b.leavingBoots[id]; marked && known >= boot {
 		return false
 	}
-	b.gone[id] = boot
-	if known := b.runners[id]; known != nil && known.listed.Boot <= boot {
+	b.leavingBoots[id] = boot
+	if known := b.runners[id]; known != nil && known.entry.Boot <= boot {
 		known.leaving = true
 	}
 	return true
@@ -169,96 +169,96 @@
 
 // Runner returns a runner's list entry.
 func (b *Balancer) Runner(id string) (membership.Listed, bool) {
-	known := b.runners[id]
-	if known == nil {
+	r := b.runners[id]
+	if r == nil {
 		return membership.Listed{}, false
 	}
-	return known.listed, true
+	return r.entry, true
 }
 
 // Acquire asks for a slot. It returns a grant with a runner, a grant with a
 // refusal, or false if the request now waits under the given identifier.
 func (b *Balancer) Acquire(id Waiter, class string, deadline time.Time, exclude []string, now time.Time) (Grant, bool) {
 	if len(b.queue) == 0 {
-		if chosen := b.pick(exclude, now); chosen != nil {
-			chosen.inFlight++
-			return Grant{Waiter: id, Runner: chosen.listed.ID}, true
+		if r := b.pickRunner(exclude, now); r != nil {
+			r.inFlight++
+			return Grant{Waiter: id, Runner: r.entry.ID}, true
 		}
 	}
-	if refusal, refused := b.refuse(class, deadline, now); refused {
+	if refusal, refused := b.refusalFor(class, deadline, now); refused {
 		return Grant{Waiter: id, Refusal: refusal}, true
 	}
-	entry := waiting{id: id, class: class, deadline: deadline, exclude: exclude}
-	at := sort.Search(len(b.queue), func(i int) bool { return b.latestStart(b.queue[i]).After(b.latestStart(entry)) })
-	b.queue = append(b.queue, waiting{})
+	request := queuedRequest{id: id, class: class, deadline: deadline, exclude: exclude}
+	at := sort.Search(len(b.queue), func(i int) bool { return b.latestStart(b.queue[i]).After(b.latestStart(request)) })
+	b.queue = append(b.queue, queuedRequest{})
 	copy(b.queue[at+1:], b.queue[at:])
-	b.queue[at] = entry
+	b.queue[at] = request
 	return Grant{}, false
 }
 
-func (b *Balancer) latestStart(entry waiting) time.Time {
-	return entry.deadline.Add(-b.classLatency(entry.class))
+func (b *Balancer) latestStart(request queuedRequest) time.Time {
+	return request.deadline.Add(-b.classLatency(request.class))
 }
 
 func (b *Balancer) classLatency(class string) time.Duration {
-	if known, ok := b.latency[class]; ok {
-		return known
+	if latency, ok := b.latency[class]; ok {
+		return latency
 	}
-	return initialLatency
+	return defaultLatency
 }
 
-// refuse decides whether waiting is hopeless.
-func (b *Balancer) refuse(class string, deadline, now time.Time) (Refusal, bool) {
+// refusalFor decides whether waiting is hopeless.
+func (b *Balancer) refusalFor(class string, deadline, now time.Time) (Refusal, bool) {
 	capacity := b.capacity()
 	if capacity == 0 {
 		return Refusal{Reason: structs.ReasonNoUpstream, RetryAfter: noUpstreamBackoff}, true
 	}
 	service := b.classLatency(class)
-	ahead := b.aheadOf(deadline.Add(-service))
-	wait := time.Duration(float64(service) * float64(ahead+1) / capacity)
-	retryAfter := max(wait, minRetryAfter)
+	ahead := b.countAhead(deadline.Add(-service))
+	queueWait := time.Duration(float64(service) * float64(ahead+1) / capacity)
+	retryAfter := max(queueWait, minRetryAfter)
 	if len(b.queue) >= MaxWaiting {
 		return Refusal{Reason: structs.ReasonQueueFull, RetryAfter: retryAfter}, true
 	}
-	if now.Add(wait + service).After(deadline) {
+	if now.Add(queueWait + service).After(deadline) {
 		return Refusal{Reason: structs.ReasonCannotMeetTarget, RetryAfter: retryAfter}, true
 	}
 	return Refusal{}, false
 }
 
-func (b *Balancer) aheadOf(latest time.Time) int {
-	return sort.Search(len(b.queue), func(i int) bool { return b.latestStart(b.queue[i]).After(latest) })
+func (b *Balancer) countAhead(latestStart time.Time) int {
+	return sort.Search(len(b.queue), func(i int) bool { return b.latestStart(b.queue[i]).After(latestStart) })
 }
 
 func (b *Balancer) capacity() float64 {
 	total := 0.0
 	for _, id := range b.order {
-		if known := b.runners[id]; !known.leaving {
-			total += known.limit
+		if r := b.runners[id]; !r.leaving {
+			total += r.limit
 		}
 	}
 	return total
 }
 
-// pick chooses the runner with the lowest share of slots in use. Ties fall to a
+// pickRunner chooses the runner with the lowest share of slots in use. Ties fall to a
 // random one, so that instances do not move in step.
-func (b *Balancer) pick(exclude []string, now time.Time) *runner {
+func (b *Balancer) pickRunner(exclude []string, now time.Time) *runner {
 	if len(b.order) == 0 {
 		return nil
 	}
 	offset := b.random.IntN(len(b.order))
-	if best := b.lowest(offset, exclude, now); best != nil || len(exclude) == 0 {
-		return best
+	if r := b.leastLoaded(offset, exclude, now); r != nil || len(exclude) == 0 {
+		return r
 	}
-	return b.lowest(offset, nil, now)
+	return b.leastLoaded(offset, nil, now)
 }
 
-func (b *Balancer) lowest(offset int, exclude []string, now time.Time) *runner {
+func (b *Balancer) leastLoaded(offset int, exclude []string, now time.Time) *runner {
 	var best *runner
 	bestLoad := 0.0
 	for i := range b.order {
 		candidate := b.runners[b.order[(offset+i)%len(b.order)]]
-		if !candidate.usable(now) || contains(exclude, candidate.listed.ID) {
+		if !candidate.usable(now) || contains(exclude, candidate.entry.ID) {
 			continue
 		}
 		load := candidate.load(now)
@@ -271,7 +271,7 @@
 }
 
 func (r *runner) usable(now time.Time) bool {
-	if r.leaving || now.Before(r.avoidUntil) {
+	if r.leaving || now.Before(r.backoffUntil) {
 		return false
 	}
 	if r.failures > 0 {
@@ -281,16 +281,16 @@
 }
 
 func (r *runner) load(now time.Time) float64 {
-	used := r.inFlight
-	if now.Sub(r.busyAt) < reportFresh && r.busy > used {
-		used = r.busy
+	inUse := r.inFlight
+	if now.Sub(r.busyReportedAt) < busyReportTTL && r.busy > inUse {
+		inUse = r.busy
 	}
-	return float64(used) / float64(r.listed.Slots)
+	return float64(inUse) / float64(r.entry.Slots)
 }
 
-func contains(list []string, wanted string) bool {
+func contains(list []string, name string) bool {
 	for _, entry := range list {
-		if entry == wanted {
+		if entry == name {
 			return true
 		}
 	}
@@ -299,51 +299,51 @@
 
 // Done returns a slot. busy is the runner's own count, or negative if unknown.
 func (b *Balancer) Done(id, class string, result Result, took time.Duration, busy int, now time.Time) {
-	known := b.runners[id]
-	if known == nil {
+	r := b.runners[id]
+	if r == nil {
 		return
 	}
-	known.inFlight--
+	r.inFlight--
 	if busy >= 0 {
-		known.busy = busy
-		known.busyAt = now
+		r.busy = busy
+		r.busyReportedAt = now
 	}
 	switch result {
 	case ResultAnswered:
-		known.failures = 0
-		known.limit = min(float64(known.listed.Slots), known.limit+1/known.limit)
-		b.learn(class, took)
+		r.failures = 0
+		r.limit = min(float64(r.entry.Slots), r.limit+1/r.limit)
+		b.recordLatency(class, took)
 	case ResultBusy:
-		known.limit = max(minLimit, known.limit*decreaseFactor)
+		r.limit = max(minLimit, r.limit*decreaseFactor)
 	case ResultLeaving:
-		b.MarkLeaving(id, known.listed.Boot)
+		b.MarkLeaving(id, r.entry.Boot)
 	case ResultFailed:
-		known.failures++
-		known.avoidUntil = now.Add(avoidFor(known.failures))
+		r.failures++
+		r.backoffUntil = now.Add(failureBackoff(r.failures))
 	}
 }
 
-func avoidFor(failures int) time.Duration {
-	span := firstAvoid
+func failureBackoff(failures int) time.Duration {
+	backoff := minFailureBackoff
 	for range failures - 1 {
-		span = min(2*span, lastAvoid)
+		backoff = min(2*backoff, maxFailureBackoff)
 	}
-	return span
+	return backoff
 }
 
-func (b *Balancer) learn(class string, took time.Duration) {
-	known, ok := b.latency[class]
+func (b *Balancer) recordLatency(class string, took time.Duration) {
+	average, ok := b.latency[class]
 	if !ok {
 		b.latency[class] = took
 		return
 	}
-	b.latency[class] = known + time.Duration(latencyWeight*float64(took-known))
+	b.latency[class] = average + time.Duration(latencySmoothing*float64(took-average))
 }
 
 // Cancel removes a waiting request and reports whether it was still waiting.
 func (b *Balancer) Cancel(id Waiter) bool {
-	for i, entry := range b.queue {
-		if entry.id == id {
+	for i, request := range b.queue {
+		if request.id == id {
 			b.queue = append(b.queue[:i], b.queue[i+1:]...)
 			return true
 		}
@@ -362,12 +362,12 @@
 			b.queue = b.queue[1:]
 			continue
 		}
-		chosen := b.pick(first.exclude, now)
-		if chosen == nil {
+		r := b.pickRunner(first.exclude, now)
+		if r == nil {
 			return grants
 		}
-		chosen.inFlight++
-		grants = append(grants, Grant{Waiter: first.id, Runner: chosen.listed.ID})
+		r.inFlight++
+		grants = append(grants, Grant{Waiter: first.id, Runner: r.entry.ID})
 		b.queue = b.queue[1:]
 	}
 	return grants
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { prooftest.Main(m, "100") }
 
-var began = time.Unix(1_800_000_000, 0)
+var startTime = time.Unix(1_800_000_000, 0)
 
 func listed(id string, boot int64, leaving bool) membership.Listed {
 	return membership.Listed{ID: id, Role: membership.RoleRunner, Boot: boot, Leaving: leaving, Slots: 2}
@@ -27,22 +27,22 @@
 func TestLeavingRunnersGetNothingNew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := balancer.New(1)
-		now := began
-		held := map[string]int{}
-		gone := map[string]int64{}
+		now := startTime
+		slotsInUse := map[string]int{}
+		leavingBoots := map[string]int64{}
 		boots := map[string]int64{"r0": 1, "r1": 1, "r2": 1}
-		shown := map[string]int64{} // the boot that the list showed last
+		listedBoots := map[string]int64{} // the boot that the list showed last
 		waiting := 0
-		took := func(granted balancer.Grant) {
+		checkGrant := func(granted balancer.Grant) {
 			if granted.Runner == "" {
 				return
 			}
-			held[granted.Runner]++
-			if left, ok := gone[granted.Runner]; ok && shown[granted.Runner] <= left {
+			slotsInUse[granted.Runner]++
+			if leavingBoot, ok := leavingBoots[granted.Runner]; ok && listedBoots[granted.Runner] <= leavingBoot {
 				t.Fatalf("%s is leaving and was given work", granted.Runner)
 			}
-			if held[granted.Runner] > 2 {
-				t.Fatalf("%s holds %d of 2 slots", granted.Runner, held[granted.Runner])
+			if slotsInUse[granted.Runner] > 2 {
+				t.Fatalf("%s holds %d of 2 slots", granted.Runner, slotsInUse[granted.Runner])
 			}
 		}
 		next := balancer.Waiter(0)
@@ -55,16 +55,16 @@
 					}
 					leaving := rapid.IntRange(0, 3).Draw(t, "leaving") == 0
 					if leaving {
-						gone[id] = max(gone[id], boots[id])
+						leavingBoots[id] = max(leavingBoots[id], boots[id])
 					}
-					shown[id] = boots[id]
+					listedBoots[id] = boots[id]
 					list = append(list, listed(id, boots[id], leaving))
 				}
 				b.Update(list)
 			},
 			"restart": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"r0", "r1", "r2"}).Draw(t, "runner")
-				if held[id] == 0 {
+				if slotsInUse[id] == 0 {
 					boots[id]++
 				}
 			},
@@ -75,22 +75,22 @@
 					waiting++
 					return
 				}
-				took(granted)
+				checkGrant(granted)
 			},
 			"done": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"r0", "r1", "r2"}).Draw(t, "runner")
-				if held[id] == 0 {
+				if slotsInUse[id] == 0 {
 					return
 				}
-				held[id]--
+				slotsInUse[id]--
 				result := rapid.SampledFrom([]balancer.Result{balancer.ResultAnswered, balancer.ResultBusy, balancer.ResultLeaving, balancer.ResultFailed}).Draw(t, "result")
 				if result == balancer.ResultLeaving {
-					gone[id] = max(gone[id], shown[id])
+					leavingBoots[id] = max(leavingBoots[id], listedBoots[id])
 				}
 				b.Done(id, "c", result, 10*time.Millisecond, -1, now)
 				for _, granted := range b.Dispatch(now) {
 					waiting--
-					took(granted)
+					checkGrant(granted)
 				}
 			},
 			"pass": func(t *rapid.T) { now = now.Add(time.Second) },
@@ -103,39 +103,39 @@
 	})
 }
 
-func TestHopelessRequestsAreRefusedAtOnceAndToldWhenToComeBack(t *testing.T) {
+func TestRequestsThatCannotMeetTheirDeadlineAreRefusedWithRetryAfter(t *testing.T) {
 	is := is.New(t)
 	b := balancer.New(1)
 	b.Update([]membership.Listed{listed("r0", 1, false)})
 	for n := range 2 {
-		granted, decided := b.Acquire(balancer.Waiter(n), "slow", began.Add(time.Hour), nil, began)
+		granted, decided := b.Acquire(balancer.Waiter(n), "slow", startTime.Add(time.Hour), nil, startTime)
 		is.True(decided)
 		is.Equal(granted.Runner, "r0")
 	}
-	b.Done("r0", "slow", balancer.ResultAnswered, 10*time.Second, 2, began)
-	_, decided := b.Acquire(10, "slow", began.Add(time.Hour), nil, began)
+	b.Done("r0", "slow", balancer.ResultAnswered, 10*time.Second, 2, startTime)
+	_, decided := b.Acquire(10, "slow", startTime.Add(time.Hour), nil, startTime)
 	is.True(decided) // the slot just returned
-	granted, decided := b.Acquire(11, "slow", began.Add(5*time.Second), nil, began)
+	granted, decided := b.Acquire(11, "slow", startTime.Add(5*time.Second), nil, startTime)
 	is.True(decided)
 	is.Equal(granted.Refusal.Reason, structs.ReasonCannotMeetTarget)
 	is.True(granted.Refusal.RetryAfter >= time.Second)
 }
 
-func TestTheMostUrgentWaiterIsServedFirst(t *testing.T) {
+func TestRequestWithTheEarliestDeadlineIsServedFirst(t *testing.T) {
 	is := is.New(t)
 	b := balancer.New(1)
 	b.Update([]membership.Listed{{ID: "r0", Role: membership.RoleRunner, Boot: 1, Slots: 1}})
-	_, decided := b.Acquire(0, "c", began.Add(time.Hour), nil, began)
+	_, decided := b.Acquire(0, "c", startTime.Add(time.Hour), nil, startTime)
 	is.True(decided)
 	for id, within := range map[balancer.Waiter]time.Duration{1: time.Hour, 2: time.Minute, 3: time.Second} {
-		_, decided := b.Acquire(id, "c", began.Add(within), nil, began)
+		_, decided := b.Acquire(id, "c", startTime.Add(within), nil, startTime)
 		is.True(!decided)
 	}
-	b.Done("r0", "c", balancer.ResultAnswered, time.Millisecond, 0, began)
-	is.Equal(fmt.Sprint(b.Dispatch(began)[0].Waiter), "3")
+	b.Done("r0", "c", balancer.ResultAnswered, time.Millisecond, 0, startTime)
+	is.Equal(fmt.Sprint(b.Dispatch(startTime)[0].Waiter), "3")
 }
 
-func TestRetriesStayWithinTheirBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	is := is.New(t)
 	budget := balancer.NewBudget()
 	spent := 0
--- a/gangs/coordinator.go
+++ b/gangs/coordinator.go
@@ -38,19 +38,19 @@
 func (c *Coordinator) Step(event Event, now time.Time) []Action {
 	switch e := event.(type) {
 	case Launch:
-		return c.launch(e, now)
+		return c.onLaunch(e, now)
 	case Adopt:
 		c.adopt(e, now)
 	case StopRun:
-		return c.stopRun(e, now)
+		return c.onStopRun(e, now)
 	case CallEnded:
-		return c.callEnded(e, now)
+		return c.onCallEnded(e, now)
 	case StartRead:
-		return c.startRead(e, now)
+		return c.onStartRead(e, now)
 	case WorkerState:
-		return c.workerState(e, now)
+		return c.onWorkerState(e, now)
 	case Tick:
-		return c.tick(e, now)
+		return c.onTick(e, now)
 	}
 	return nil
 }
@@ -58,36 +58,36 @@
 // adopt trusts nothing but the record: the first polls will show which members
 // still hold their leases.
 func (c *Coordinator) adopt(e Adopt, now time.Time) {
-	g := &gang{job: e.Job, run: e.Run, recorded: true, appended: true, adoptedAt: now}
+	g := &gang{job: e.Job, run: e.Run, startRecorded: true, startAppended: true, adoptedAt: now}
 	for _, m := range e.Members {
-		g.members = append(g.members, &member{Member: m, leased: now, phase: worker.TaskRunning})
+		g.members = append(g.members, &member{Member: m, leaseRenewed: now, phase: worker.TaskRunning})
 	}
 	c.gangs[g.run] = g
-	g.enter(phaseRunning, now)
+	g.enterPhase(phaseRunning, now)
 }
 
-func (g *gang) enter(next phase, now time.Time) {
+func (g *gang) enterPhase(next phase, now time.Time) {
 	g.phase = next
-	g.since = now
+	g.phaseStarted = now
 	for _, m := range g.members {
 		m.acked = false
-		m.ended = false
+		m.callEnded = false
 	}
 }
 
 func (g *gang) callAll(kind CallKind) []Action {
 	var actions []Action
 	for _, m := range g.members {
-		actions = append(actions, g.call(kind, m))
+		actions = append(actions, g.newCall(kind, m))
 	}
 	return actions
 }
 
-func (g *gang) call(kind CallKind, m *member) Call {
+func (g *gang) newCall(kind CallKind, m *member) Call {
 	return Call{Kind: kind, Worker: m.Worker, Run: g.run, Job: g.job, Accelerators: m.Accelerators, Resume: g.resume, Payload: g.payload}
 }
 
-func (g *gang) member(name string) *member {
+func (g *gang) findMember(name string) *member {
 	for _, m := range g.members {
 		if m.Worker == name {
 			return m
@@ -105,56 +105,56 @@
 	return true
 }
 
-func (c *Coordinator) callEnded(e CallEnded, now time.Time) []Action {
+func (c *Coordinator) onCallEnded(e CallEnded, now time.Time) []Action {
 	g := c.gangs[e.Call.Run]
 	if g == nil {
 		return nil
 	}
-	m := g.member(e.Call.Worker)
+	m := g.findMember(e.Call.Worker)
 	switch {
 	case e.Call.Kind == CallReserve && g.phase < phaseStarting:
-		return c.reserved(g, m, e.Err, now)
+		return c.onReserveEnded(g, m, e.Err, now)
 	case e.Call.Kind == CallStart && g.phase == phaseStarting:
-		return c.startEnded(g, m, e.Err, now)
+		return c.onStartEnded(g, m, e.Err, now)
 	case e.Call.Kind == CallRelease && g.phase == phaseReleasing:
-		return c.released(g, m)
+		return c.onReleaseEnded(g, m)
 	}
 	return nil
 }
 
 // withdraw gives up a run of which no task was told to start. A start record
 // that may stand in the log is taken back.
-func (c *Coordinator) withdraw(g *gang, blamed string, now time.Time) []Action {
-	return c.withdrawAs(g, scheduler.RunNotStarted, blamed, now)
+func (c *Coordinator) withdraw(g *gang, failedWorker string, now time.Time) []Action {
+	return c.withdrawAs(g, scheduler.RunNotStarted, failedWorker, now)
 }
 
-func (c *Coordinator) withdrawAs(g *gang, result scheduler.Result, blamed string, now time.Time) []Action {
-	actions := g.release(result, blamed, now)
-	if g.appended {
+func (c *Coordinator) withdrawAs(g *gang, result scheduler.Result, failedWorker string, now time.Time) []Action {
+	actions := g.releaseLeases(result, failedWorker, now)
+	if g.startAppended {
 		actions = append(actions, AppendStop{structs.Stop{Job: g.job, Run: g.run, Term: c.config.Term,
 			Reason: structs.ReasonReserveRefused, NotStarted: true}})
 	}
 	return actions
 }
 
-// release gives up all leases. The scheduler is told of the run's end only when
+// releaseLeases gives up all leases. The scheduler is told of the run's end only when
 // the workers have answered, or the leases have lapsed, so that it does not
 // place others on accelerators that are still held.
-func (g *gang) release(result scheduler.Result, blamed string, now time.Time) []Action {
-	g.result = scheduler.RunEnded{Run: g.run, Result: result, Worker: blamed}
-	g.enter(phaseReleasing, now)
+func (g *gang) releaseLeases(result scheduler.Result, failedWorker string, now time.Time) []Action {
+	g.result = scheduler.RunEnded{Run: g.run, Result: result, Worker: failedWorker}
+	g.enterPhase(phaseReleasing, now)
 	return g.callAll(CallRelease)
 }
 
-func (c *Coordinator) released(g *gang, m *member) []Action {
-	m.ended = true
+func (c *Coordinator) onReleaseEnded(g *gang, m *member) []Action {
+	m.callEnded = true
 	if !g.allEnded() {
 		return nil
 	}
-	return c.gone(g)
+	return c.removeRun(g)
 }
 
-func (c *Coordinator) gone(g *gang) []Action {
+func (c *Coordinator) removeRun(g *gang) []Action {
 	delete(c.gangs, g.run)
 	return []Action{RunEnded{g.result}}
 }
@@ -163,24 +163,24 @@
 // member has answered under this term, or until the earlier holder's
 // reservations have lapsed: to release one member while a start of that holder
 // is on its way to another would let the gang run in part.
-func (c *Coordinator) halt(g *gang, end halt, now time.Time) []Action {
+func (c *Coordinator) halt(g *gang, cause haltCause, now time.Time) []Action {
 	if !c.fenced(g, now) {
-		g.halting = &end
+		g.pendingHalt = &cause
 		return nil
 	}
-	stop := structs.Stop{Job: g.job, Run: g.run, Term: c.config.Term, Reason: end.reason}
-	if end.result == scheduler.RunFailed {
-		stop.Worker = end.blamed
+	stop := structs.Stop{Job: g.job, Run: g.run, Term: c.config.Term, Reason: cause.reason}
+	if cause.result == scheduler.RunFailed {
+		stop.Worker = cause.failedWorker
 	}
-	return append(g.release(end.result, end.blamed, now), AppendStop{stop})
+	return append(g.releaseLeases(cause.result, cause.failedWorker, now), AppendStop{stop})
 }
 
 // fenced reports whether no start of an earlier holder can count any more.
 func (c *Coordinator) fenced(g *gang, now time.Time) bool {
-	return g.adoptedAt.IsZero() || g.allHeard() || now.Sub(g.adoptedAt) > c.config.LeaseTTL
+	return g.adoptedAt.IsZero() || g.allReported() || now.Sub(g.adoptedAt) > c.config.LeaseTTL
 }
 
-func (c *Coordinator) stopRun(e StopRun, now time.Time) []Action {
+func (c *Coordinator) onStopRun(e StopRun, now time.Time) []Action {
 	g := c.gangs[e.Run]
 	if g == nil {
 		return nil
@@ -189,20 +189,20 @@
 	case phaseReleasing:
 		return nil
 	case phaseReserving, phaseRecording:
-		return c.withdrawStopped(g, e, now)
+		return c.stopBeforeStart(g, e, now)
 	}
 	if g.phase == phaseStarting {
-		g.pending = &e
+		g.pendingStop = &e
 		return nil
 	}
 	if !e.Checkpoint {
-		return c.halt(g, halt{e.Reason, "", resultOf(e.Reason)}, now)
+		return c.halt(g, haltCause{e.Reason, "", stopResult(e.Reason)}, now)
 	}
 	if g.phase == phaseStopping {
 		return nil
 	}
-	g.reason = e.Reason
-	g.enter(phaseStopping, now)
+	g.stopReason = e.Reason
+	g.enterPhase(phaseStopping, now)
 	actions := g.callAll(CallStop)
 	for i := range actions {
 		call := actions[i].(Call)
@@ -212,7 +212,7 @@
 	return actions
 }
 
-func resultOf(reason structs.Reason) scheduler.Result {
+func stopResult(reason structs.Reason) scheduler.Result {
 	switch reason {
 	case structs.ReasonCancelled:
 		return scheduler.RunAborted
@@ -222,46 +222,46 @@
 	return scheduler.RunStopped
 }
 
-// withdrawStopped ends a run that is asked to stop before it started.
-func (c *Coordinator) withdrawStopped(g *gang, e StopRun, now time.Time) []Action {
+// stopBeforeStart ends a run that is asked to stop before it started.
+func (c *Coordinator) stopBeforeStart(g *gang, e StopRun, now time.Time) []Action {
 	if e.Reason == structs.ReasonCancelled {
 		return c.withdrawAs(g, scheduler.RunAborted, "", now)
 	}
 	return c.withdraw(g, "", now)
 }
 
-// tick polls workers, gives up steps that took too long and notices members
+// onTick polls workers, gives up steps that took too long and notices members
 // that went silent.
-func (c *Coordinator) tick(e Tick, now time.Time) []Action {
+func (c *Coordinator) onTick(e Tick, now time.Time) []Action {
 	var actions []Action
-	for _, g := range c.sorted() {
+	for _, g := range c.sortedGangs() {
 		actions = append(actions, c.tickGang(g, e, now)...)
 	}
-	return append(actions, c.polls(now)...)
+	return append(actions, c.pollWorkers(now)...)
 }
 
 func (c *Coordinator) tickGang(g *gang, e Tick, now time.Time) []Action {
 	switch g.phase {
 	case phaseReserving:
-		if now.Sub(g.asked) > c.roundLimit() {
+		if now.Sub(g.roundStarted) > c.roundLimit() {
 			return c.withdraw(g, g.firstUnacked(), now)
 		}
 	case phaseRecording:
 		return c.tickRecording(g, e, now)
 	case phaseStarting:
 		// A start may be on its way as long as a lease of the round can be held.
-		if now.Sub(g.asked) > c.config.LeaseTTL {
-			return c.halt(g, halt{structs.ReasonMemberLost, g.firstUnacked(), scheduler.RunLost}, now)
+		if now.Sub(g.roundStarted) > c.config.LeaseTTL {
+			return c.halt(g, haltCause{structs.ReasonMemberLost, g.firstUnacked(), scheduler.RunLost}, now)
 		}
 	case phaseReleasing:
-		if now.Sub(g.since) > c.config.LeaseTTL {
-			return c.gone(g)
+		if now.Sub(g.phaseStarted) > c.config.LeaseTTL {
+			return c.removeRun(g)
 		}
 	case phaseRunning, phaseStopping:
-		if silent := c.silent(g, now); silent != "" {
-			return c.halt(g, halt{structs.ReasonMemberLost, silent, scheduler.RunLost}, now)
+		if name := c.silentMember(g, now); name != "" {
+			return c.halt(g, haltCause{structs.ReasonMemberLost, name, scheduler.RunLost}, now)
 		}
-		return c.review(g, now)
+		return c.evaluate(g, now)
 	}
 	return nil
 }
@@ -270,17 +270,17 @@
 // run that may be repeated starts without it while the log is out.
 func (c *Coordinator) tickRecording(g *gang, e Tick, now time.Time) []Action {
 	if g.idempotent && !e.LogAvailable {
-		g.unrecorded = true
+		g.startUnrecorded = true
 	}
-	held := g.allAcked()
+	reserved := g.allAcked()
 	switch {
-	case !held && now.Sub(g.asked) > c.roundLimit():
+	case !reserved && now.Sub(g.roundStarted) > c.roundLimit():
 		return c.withdraw(g, g.firstUnacked(), now)
-	case g.unrecorded || g.recorded:
-		return c.startWhenHeld(g, now)
-	case now.Sub(g.since) > c.config.RecordWait:
+	case g.startUnrecorded || g.startRecorded:
+		return c.startOrRenew(g, now)
+	case now.Sub(g.phaseStarted) > c.config.RecordWait:
 		return c.withdraw(g, "", now)
-	case held && now.Sub(g.asked) > c.config.LeaseTTL/2:
+	case reserved && now.Sub(g.roundStarted) > c.config.LeaseTTL/2:
 		return g.reserveAll(now)
 	}
 	return nil
@@ -295,29 +295,29 @@
 	return ""
 }
 
-// silent names a member not heard of for most of its lease.
-func (c *Coordinator) silent(g *gang, now time.Time) string {
+// silentMember names a member not heard of for most of its lease.
+func (c *Coordinator) silentMember(g *gang, now time.Time) string {
 	for _, m := range g.members {
-		if now.Sub(m.leased) > c.config.LeaseTTL*3/4 {
+		if now.Sub(m.leaseRenewed) > c.config.LeaseTTL*3/4 {
 			return m.Worker
 		}
 	}
 	return ""
 }
 
-// polls renews the leases of each worker in one call.
-func (c *Coordinator) polls(now time.Time) []Action {
-	runs := map[string][]string{}
+// pollWorkers renews the leases of each worker in one call.
+func (c *Coordinator) pollWorkers(now time.Time) []Action {
+	runsByWorker := map[string][]string{}
 	var workers []string
-	for _, g := range c.sorted() {
+	for _, g := range c.sortedGangs() {
 		if g.phase < phaseRunning || g.phase == phaseReleasing {
 			continue // renewed in whole rounds only, see reserveAll
 		}
 		for _, m := range g.members {
-			if runs[m.Worker] == nil {
+			if runsByWorker[m.Worker] == nil {
 				workers = append(workers, m.Worker)
 			}
-			runs[m.Worker] = append(runs[m.Worker], g.run)
+			runsByWorker[m.Worker] = append(runsByWorker[m.Worker], g.run)
 		}
 	}
 	sort.Strings(workers)
@@ -327,21 +327,21 @@
 			continue
 		}
 		c.nextPoll[name] = now.Add(c.config.LeaseTTL / 4)
-		actions = append(actions, Poll{Worker: name, Runs: runs[name]})
+		actions = append(actions, Poll{Worker: name, Runs: runsByWorker[name]})
 	}
 	for name := range c.nextPoll {
-		if runs[name] == nil && now.After(c.nextPoll[name]) {
+		if runsByWorker[name] == nil && now.After(c.nextPoll[name]) {
 			delete(c.nextPoll, name)
 		}
 	}
 	return actions
 }
 
-func (c *Coordinator) sorted() []*gang {
-	all := make([]*gang, 0, len(c.gangs))
+func (c *Coordinator) sortedGangs() []*gang {
+	gangs := make([]*gang, 0, len(c.gangs))
 	for _, g := range c.gangs {
-		all = append(all, g)
+		gangs = append(gangs, g)
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].run < all[j].run })
-	return all
+	sort.Slice(gangs, func(i, j int) bool { return gangs[i].run < gangs[j].run })
+	return gangs
 }
--- a/gangs/running.go
+++ b/gangs/running.go
@@ -8,10 +8,10 @@
 	"github.com/teaselcleat/teaselcleat/worker"
 )
 
-func (c *Coordinator) workerState(e WorkerState, now time.Time) []Action {
+func (c *Coordinator) onWorkerState(e WorkerState, now time.Time) []Action {
 	var actions []Action
-	for _, g := range c.sorted() {
-		m := g.member(e.Worker)
+	for _, g := range c.sortedGangs() {
+		m := g.findMember(e.Worker)
 		if m == nil || e.Err != nil {
 			continue
 		}
@@ -19,15 +19,15 @@
 			continue
 		}
 		reported := reportedPhase(e.State, g.run)
-		if reported != "" && e.Asked.After(m.leased) {
-			m.leased = e.Asked
+		if reported != "" && e.Asked.After(m.leaseRenewed) {
+			m.leaseRenewed = e.Asked
 		}
-		if e.Asked.Before(g.since) {
+		if e.Asked.Before(g.phaseStarted) {
 			continue // asked before the run came to its present step
 		}
 		m.phase = reported
-		m.heard = true
-		actions = append(actions, c.review(g, now)...)
+		m.reported = true
+		actions = append(actions, c.evaluate(g, now)...)
 	}
 	if e.Err != nil {
 		return actions
@@ -55,71 +55,71 @@
 	return actions
 }
 
-// review judges a run by what its members last reported.
-func (c *Coordinator) review(g *gang, now time.Time) []Action {
+// evaluate judges a run by what its members last reported.
+func (c *Coordinator) evaluate(g *gang, now time.Time) []Action {
 	if g.phase != phaseRunning && g.phase != phaseStopping {
 		return nil
 	}
-	if g.halting != nil {
-		return c.halt(g, *g.halting, now)
+	if g.pendingHalt != nil {
+		return c.halt(g, *g.pendingHalt, now)
 	}
-	finished, down, checkpointed, reserved := 0, 0, 0, 0
+	finished, stopped, checkpointed, reserved := 0, 0, 0, 0
 	for _, m := range g.members {
 		switch m.phase {
 		case worker.TaskFailed:
-			return c.halt(g, halt{structs.ReasonTaskFailed, m.Worker, scheduler.RunFailed}, now)
+			return c.halt(g, haltCause{structs.ReasonTaskFailed, m.Worker, scheduler.RunFailed}, now)
 		case "":
-			return c.halt(g, halt{structs.ReasonMemberLost, m.Worker, scheduler.RunLost}, now)
+			return c.halt(g, haltCause{structs.ReasonMemberLost, m.Worker, scheduler.RunLost}, now)
 		case worker.TaskReserved:
 			reserved++
 		case worker.TaskFinished:
 			finished++
-			down++
+			stopped++
 			checkpointed++
 		case worker.TaskCheckpointed:
-			down++
+			stopped++
 			checkpointed++
 		case worker.TaskStopped:
-			down++
+			stopped++
 		}
 	}
 	switch {
 	case reserved == len(g.members):
 		return c.withdraw(g, "", now)
-	case reserved > 0 && g.allHeard():
-		return c.halt(g, halt{structs.ReasonMemberLost, "", scheduler.RunLost}, now)
+	case reserved > 0 && g.allReported():
+		return c.halt(g, haltCause{structs.ReasonMemberLost, "", scheduler.RunLost}, now)
 	case finished == len(g.members):
-		return c.finished(g, now)
-	case g.phase == phaseStopping && down == len(g.members):
-		return c.stopped(g, checkpointed == len(g.members), now)
-	case g.phase == phaseStopping && now.Sub(g.since) > c.config.ReclaimWithin+c.config.LeaseTTL:
-		return c.stopped(g, false, now)
+		return c.finishRun(g, now)
+	case g.phase == phaseStopping && stopped == len(g.members):
+		return c.finishStop(g, checkpointed == len(g.members), now)
+	case g.phase == phaseStopping && now.Sub(g.phaseStarted) > c.config.ReclaimWithin+c.config.LeaseTTL:
+		return c.finishStop(g, false, now)
 	}
 	return nil
 }
 
-// allHeard reports whether every member has answered under this term. From
+// allReported reports whether every member has answered under this term. From
 // then on no start of an earlier holder can count any more, so a member of an
 // adopted run that is only reserved will never start.
-func (g *gang) allHeard() bool {
+func (g *gang) allReported() bool {
 	for _, m := range g.members {
-		if !m.heard {
+		if !m.reported {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Coordinator) finished(g *gang, now time.Time) []Action {
+func (c *Coordinator) finishRun(g *gang, now time.Time) []Action {
 	actions := []Action{AppendEnd{structs.End{Job: g.job, Run: g.run, Term: c.config.Term, Outcome: structs.OutcomeRan}}}
-	return append(actions, g.release(scheduler.RunFinished, "", now)...)
+	return append(actions, g.releaseLeases(scheduler.RunFinished, "", now)...)
 }
 
-func (c *Coordinator) stopped(g *gang, checkpointed bool, now time.Time) []Action {
+func (c *Coordinator) finishStop(g *gang, checkpointed bool, now time.Time) []Action {
 	result := scheduler.RunStopped
 	if checkpointed {
 		result = scheduler.RunPreempted
 	}
-	stop := structs.Stop{Job: g.job, Run: g.run, Term: c.config.Term, Reason: g.reason, Checkpointed: checkpointed}
-	return append(g.release(result, "", now), AppendStop{stop})
+	stop := structs.Stop{Job: g.job, Run: g.run, Term: c.config.Term, Reason: g.stopReason, Checkpointed: checkpointed}
+	return append(g.releaseLeases(result, "", now), AppendStop{stop})
 }
--- /dev/null
+++ b/gangs/simulation_test.go
@@ -0,0 +1,372 @@
+package gangs_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"github.com/teaselcleat/teaselcleat/gangs"
+	"github.com/teaselcleat/teaselcleat/internal/prooftest"
+	"github.com/teaselcleat/teaselcleat/ledger"
+	"github.com/teaselcleat/teaselcleat/scheduler"
+	"github.com/teaselcleat/teaselcleat/standin"
+	"github.com/teaselcleat/teaselcleat/structs"
+)
+
+func TestMain(m *testing.M) { prooftest.Main(m, "200") }
+
+const (
+	leaseTTL    = 2 * time.Second
+	memberCount = 3
+)
+
+// instance is an instance that places while it believes to hold the term.
+type instance struct {
+	name        string
+	term        int64
+	coordinator *gangs.Coordinator
+	fold        *ledger.State
+	unflushed   []structs.Record
+	inFlight    []pendingCall
+	busy        map[string]bool
+	dead        bool
+	paused      bool
+}
+
+// pendingCall is a call or poll on its way, under the term it was sent with.
+type pendingCall struct {
+	action gangs.Action
+	term   int64
+}
+
+// simulation is a log, workers with real leases, and instances that come and go.
+type simulation struct {
+	t           *rapid.T
+	now         time.Time
+	log         []structs.Record
+	logDown     bool
+	workers     map[string]*standin.Worker
+	unreachable map[string]bool // no call reaches the worker
+	workerNames []string
+	instances   []*instance
+	seq         int
+	jobs        map[string]structs.Job
+	startedRuns map[string]map[string]bool // runs of each job of which a task started
+	leaseLostAt map[string]time.Time       // when a member of an executing run was first without its lease
+	mutation    mutation
+}
+
+type mutation int
+
+const (
+	noMutation        mutation = iota
+	startWithoutAll            // a refused reservation counts as held
+	startBeforeRecord          // tasks start before their record is read back
+	ignoreLostMembers          // a lost lease is reported as held
+)
+
+func newSimulation(t *rapid.T, mutated mutation) *simulation {
+	s := &simulation{t: t, now: time.Unix(1_800_000_000, 0), workers: map[string]*standin.Worker{}, unreachable: map[string]bool{},
+		jobs: map[string]structs.Job{}, startedRuns: map[string]map[string]bool{}, leaseLostAt: map[string]time.Time{}, mutation: mutated}
+	for n := range memberCount {
+		name := fmt.Sprintf("w%d", n)
+		s.workerNames = append(s.workerNames, name)
+		s.workers[name] = standin.NewWorkerAt(8, func() time.Time { return s.now })
+	}
+	for range 2 {
+		s.addInstance()
+	}
+	s.submit()
+	return s
+}
+
+func (s *simulation) addInstance() {
+	s.seq++
+	s.instances = append(s.instances, &instance{name: fmt.Sprintf("h%d", s.seq), fold: ledger.New(), busy: map[string]bool{}})
+}
+
+func (s *simulation) drawInstance() *instance {
+	var live []*instance
+	for _, inst := range s.instances {
+		if !inst.dead && !inst.paused {
+			live = append(live, inst)
+		}
+	}
+	if len(live) == 0 {
+		s.addInstance()
+		return s.instances[len(s.instances)-1]
+	}
+	return rapid.SampledFrom(live).Draw(s.t, "holder")
+}
+
+func (s *simulation) submit() {
+	s.seq++
+	job := structs.Job{ID: fmt.Sprintf("j%d", s.seq), Shape: structs.Shape{Members: memberCount, Accelerators: 8},
+		Idempotent: rapid.Bool().Draw(s.t, "idempotent"), Payload: rapid.SampledFrom([]string{"run_ms=100", "run_ms=5000", "forever"}).Draw(s.t, "run time"), SubmitMS: 1}
+	s.jobs[job.ID] = job
+	s.log = append(s.log, structs.Record{Submit: &job})
+}
+
+func (s *simulation) takeTerm() {
+	inst := s.drawInstance()
+	inst.unflushed = append(inst.unflushed, structs.Record{Term: &structs.Term{Number: inst.fold.Term.Number + 1, Holder: inst.name}})
+}
+
+func (s *simulation) flush() {
+	inst := s.drawInstance()
+	if s.logDown || len(inst.unflushed) == 0 {
+		return
+	}
+	s.log = append(s.log, inst.unflushed[0])
+	if !rapid.Bool().Draw(s.t, "answer lost") {
+		inst.unflushed = inst.unflushed[1:]
+	}
+}
+
+// read folds the log at one instance and follows what changed.
+func (s *simulation) read() {
+	inst := s.drawInstance()
+	if s.logDown {
+		return
+	}
+	for int(inst.fold.Next) < len(s.log) {
+		record := s.log[inst.fold.Next]
+		inst.fold.Apply(&record)
+		if record.Start != nil && inst.term != 0 {
+			entry := inst.fold.Jobs[record.Start.Job]
+			inst.step(s, gangs.StartRead{Run: record.Start.Run, Valid: entry.Run == record.Start.Run})
+		}
+	}
+	s.followTerm(inst)
+	s.followJobs(inst)
+}
+
+func (s *simulation) followTerm(inst *instance) {
+	mine := inst.fold.Term.Holder == inst.name
+	switch {
+	case mine && inst.term != inst.fold.Term.Number:
+		inst.term = inst.fold.Term.Number
+		inst.busy = map[string]bool{}
+		inst.coordinator = gangs.New(gangs.Config{Term: inst.term, LeaseTTL: leaseTTL, ReclaimWithin: time.Second, RecordWait: 3 * time.Second})
+		for _, entry := range s.runningJobs(inst) {
+			inst.busy[entry.Job.ID] = true
+			inst.step(s, gangs.Adopt{Job: entry.Job.ID, Run: entry.Run, Members: entry.Members})
+		}
+	case !mine:
+		inst.term = 0
+	}
+}
+
+func (s *simulation) followJobs(inst *instance) {
+	if inst.term == 0 {
+		return
+	}
+	for _, entry := range s.runningJobs(inst) {
+		if entry.Cancelled {
+			inst.step(s, gangs.StopRun{Run: entry.Run, Reason: structs.ReasonCancelled})
+		}
+	}
+}
+
+// runningJobs lists the running jobs of a holder's fold, in order.
+func (s *simulation) runningJobs(inst *instance) []*ledger.JobEntry {
+	var running []*ledger.JobEntry
+	for n := 1; n <= s.seq; n++ {
+		if entry := inst.fold.Jobs[fmt.Sprintf("j%d", n)]; entry != nil && entry.Phase == ledger.JobRunning {
+			running = append(running, entry)
+		}
+	}
+	return running
+}
+
+// launch places a queued job on all workers.
+func (s *simulation) launch() {
+	inst := s.drawInstance()
+	if inst.term == 0 || len(inst.busy) > 0 {
+		return
+	}
+	for n := 1; n <= s.seq; n++ {
+		entry := inst.fold.Jobs[fmt.Sprintf("j%d", n)]
+		if entry == nil || entry.Phase != ledger.JobQueued || (s.logDown && !entry.Job.Idempotent) {
+			continue
+		}
+		s.seq++
+		place := scheduler.Place{Job: entry.Job.ID, Run: fmt.Sprintf("%s#%d.%d", entry.Job.ID, inst.term, s.seq)}
+		for _, name := range s.workerNames {
+			place.Members = append(place.Members, structs.Member{Worker: name, Accelerators: 8})
+		}
+		inst.busy[entry.Job.ID] = true
+		inst.step(s, gangs.Launch{Place: place, Payload: entry.Job.Payload, Idempotent: entry.Job.Idempotent})
+		return
+	}
+}
+
+func (s *simulation) tick() {
+	inst := s.drawInstance()
+	inst.step(s, gangs.Tick{LogAvailable: !s.logDown})
+}
+
+func (s *simulation) preempt() {
+	inst := s.drawInstance()
+	for _, entry := range s.runningJobs(inst) {
+		if entry.Job.Idempotent {
+			inst.step(s, gangs.StopRun{Run: entry.Run, Checkpoint: true, Reason: structs.ReasonPreempted})
+		}
+	}
+}
+
+func (s *simulation) cancel() {
+	for n := 1; n <= s.seq; n++ {
+		if id := fmt.Sprintf("j%d", n); s.jobs[id].ID != "" {
+			s.log = append(s.log, structs.Record{Cancel: &structs.Cancel{Job: id}})
+			s.submit()
+			return
+		}
+	}
+}
+
+func (s *simulation) injectFault() {
+	name := rapid.SampledFrom(s.workerNames).Draw(s.t, "worker")
+	switch rapid.IntRange(0, 4).Draw(s.t, "fault") {
+	case 0:
+		s.unreachable[name] = true
+	case 1:
+		s.workers[name].SetFaults(standin.WorkerFaults{RefuseAll: true})
+	case 2:
+		s.workers[name].SetFaults(standin.WorkerFaults{RefuseStart: true})
+	case 3:
+		s.workers[name].SetFaults(standin.WorkerFaults{FailAll: true})
+	case 4:
+		s.unreachable = map[string]bool{}
+		s.workers[name].SetFaults(standin.WorkerFaults{})
+	}
+}
+
+func (s *simulation) advanceTime() {
+	s.now = s.now.Add(time.Duration(rapid.IntRange(1, 900).Draw(s.t, "ms")) * time.Millisecond)
+}
+
+// runSecondWithoutFaults lets a second pass in which every call arrives and is answered.
+func (s *simulation) runSecondWithoutFaults() {
+	for range 4 {
+		s.now = s.now.Add(250 * time.Millisecond)
+		for _, inst := range s.instances {
+			if inst.dead || inst.paused {
+				continue
+			}
+			inst.step(s, gangs.Tick{LogAvailable: !s.logDown})
+			for len(inst.inFlight) > 0 {
+				sent := inst.inFlight[0]
+				inst.inFlight = inst.inFlight[1:]
+				s.execute(inst, sent, false)
+			}
+		}
+		s.check()
+	}
+}
+
+func (s *simulation) killOrPause() {
+	inst := s.drawInstance()
+	if rapid.Bool().Draw(s.t, "kill") {
+		inst.dead = true
+		s.addInstance()
+		return
+	}
+	inst.paused = true
+}
+
+func (s *simulation) resume() {
+	for _, inst := range s.instances {
+		inst.paused = false
+	}
+}
+
+// maxPartialDuration is how long a run may go on anywhere after a member lost its
+// lease: the holder notices within most of a lease, and a lease not renewed
+// after that lapses.
+const maxPartialDuration = 2*leaseTTL + time.Second
+
+func (s *simulation) check() {
+	for job, runs := range s.startedRuns {
+		if len(runs) > 1 && !s.jobs[job].Idempotent {
+			s.t.Fatalf("job %s may not be repeated and had %d runs started", job, len(runs))
+		}
+		for run := range runs {
+			s.checkPartial(run)
+		}
+	}
+}
+
+func (s *simulation) checkPartial(run string) {
+	if len(s.executing(run)) == 0 {
+		return
+	}
+	for _, name := range s.workerNames {
+		if s.workers[name].Holds(run) {
+			continue
+		}
+		since, known := s.leaseLostAt[run]
+		if !known {
+			s.leaseLostAt[run] = s.now
+			return
+		}
+		if s.now.Sub(since) > maxPartialDuration {
+			s.t.Fatalf("run %s goes on %s after a member lost its lease", run, s.now.Sub(since))
+		}
+		return
+	}
+}
+
+func (s *simulation) run() {
+	inSequence := func(steps ...func()) func(*rapid.T) {
+		return func(*rapid.T) {
+			for _, step := range steps {
+				step()
+			}
+		}
+	}
+	progress := inSequence(s.flush, s.read, s.launch, s.tick, s.deliverCall, s.deliverCall, s.deliverCall)
+	s.t.Repeat(map[string]func(*rapid.T){
+		"take term":  inSequence(s.takeTerm, s.flush, s.read),
+		"progress":   progress,
+		"progress2":  progress,
+		"progress3":  progress,
+		"arrive":     inSequence(s.deliverCall, s.deliverCall),
+		"flush":      inSequence(s.flush),
+		"read":       inSequence(s.read),
+		"tick":       inSequence(s.tick),
+		"pass":       inSequence(s.advanceTime),
+		"fault":      inSequence(s.injectFault),
+		"heal":       inSequence(func() { s.unreachable = map[string]bool{}; s.logDown = false }),
+		"log":        inSequence(func() { s.logDown = !s.logDown }),
+		"preempt":    inSequence(s.preempt),
+		"cancel":     inSequence(s.cancel),
+		"kill":       inSequence(s.killOrPause),
+		"resume":     inSequence(s.resume),
+		"steady":     inSequence(s.runSecondWithoutFaults),
+		"steady2":    inSequence(s.runSecondWithoutFaults),
+		"more steps": inSequence(s.flush, s.read, s.deliverCall, s.deliverCall, s.tick),
+		"":           inSequence(s.check),
+	})
+}
+
+func TestGangsStartWholeAndStopWhole(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { newSimulation(t, noMutation).run() })
+}
+
+// The proof must notice each mechanism that is taken out.
+func TestProofNoticesBrokenMechanisms(t *testing.T) {
+	for name, broken := range map[string]mutation{
+		"start without all reservations":  startWithoutAll,
+		"start before the record is read": startBeforeRecord,
+		"lost members go unnoticed":       ignoreLostMembers,
+	} {
+		t.Run(name, func(t *testing.T) {
+			if !prooftest.Violates(func(t *rapid.T) { newSimulation(t, broken).run() }) {
+				t.Fatal("no violation was found")
+			}
+		})
+	}
+}
--- a/gangs/start.go
+++ b/gangs/start.go
@@ -8,13 +8,13 @@
 	"github.com/teaselcleat/teaselcleat/worker"
 )
 
-func (c *Coordinator) launch(e Launch, now time.Time) []Action {
+func (c *Coordinator) onLaunch(e Launch, now time.Time) []Action {
 	g := &gang{job: e.Place.Job, run: e.Place.Run, payload: e.Payload, resume: e.Place.Resume, idempotent: e.Idempotent}
 	for _, m := range e.Place.Members {
 		g.members = append(g.members, &member{Member: m})
 	}
 	c.gangs[g.run] = g
-	g.enter(phaseReserving, now)
+	g.enterPhase(phaseReserving, now)
 	return g.reserveAll(now)
 }
 
@@ -24,16 +24,16 @@
 // task only with a quarter of its lease left, then at that moment no other
 // member's lease of the same round has lapsed.
 func (g *gang) reserveAll(now time.Time) []Action {
-	g.asked = now
+	g.roundStarted = now
 	for _, m := range g.members {
 		m.acked = false
-		m.leased = now
+		m.leaseRenewed = now
 	}
 	return g.callAll(CallReserve)
 }
 
-func (c *Coordinator) reserved(g *gang, m *member, err error, now time.Time) []Action {
-	if err != nil || now.Sub(g.asked) > c.roundLimit() {
+func (c *Coordinator) onReserveEnded(g *gang, m *member, err error, now time.Time) []Action {
+	if err != nil || now.Sub(g.roundStarted) > c.roundLimit() {
 		return c.withdraw(g, m.Worker, now)
 	}
 	m.acked = true
@@ -41,9 +41,9 @@
 		return nil
 	}
 	if g.phase == phaseReserving {
-		return c.record(g, now)
+		return c.recordStart(g, now)
 	}
-	if g.recorded || g.unrecorded {
+	if g.startRecorded || g.startUnrecorded {
 		return c.startAll(g, now)
 	}
 	return nil
@@ -53,57 +53,57 @@
 // must come; see reserveAll.
 func (c *Coordinator) roundLimit() time.Duration { return c.config.LeaseTTL / 4 }
 
-// record hands the start to the log once all members are reserved.
-func (c *Coordinator) record(g *gang, now time.Time) []Action {
+// recordStart hands the start to the log once all members are reserved.
+func (c *Coordinator) recordStart(g *gang, now time.Time) []Action {
 	g.phase = phaseRecording
-	g.since = now
-	g.appended = true
+	g.phaseStarted = now
+	g.startAppended = true
 	members := make([]structs.Member, 0, len(g.members))
-	for _, known := range g.members {
-		members = append(members, known.Member)
+	for _, m := range g.members {
+		members = append(members, m.Member)
 	}
 	return []Action{AppendStart{structs.Start{Job: g.job, Run: g.run, Term: c.config.Term, Members: members}}}
 }
 
-func (c *Coordinator) startRead(e StartRead, now time.Time) []Action {
+func (c *Coordinator) onStartRead(e StartRead, now time.Time) []Action {
 	g := c.gangs[e.Run]
 	if g == nil || g.phase == phaseReleasing {
 		return nil
 	}
 	if !e.Valid {
-		return c.startVoid(g, now)
+		return c.onStartVoid(g, now)
 	}
-	g.recorded = true
+	g.startRecorded = true
 	if g.phase != phaseRecording {
 		return nil
 	}
-	return c.startWhenHeld(g, now)
+	return c.startOrRenew(g, now)
 }
 
-// startVoid ends a run whose start does not count: the job was cancelled or
+// onStartVoid ends a run whose start does not count: the job was cancelled or
 // another instance places now.
-func (c *Coordinator) startVoid(g *gang, now time.Time) []Action {
+func (c *Coordinator) onStartVoid(g *gang, now time.Time) []Action {
 	result := scheduler.RunAborted
 	if g.phase == phaseRecording {
 		result = scheduler.RunNotStarted
 	}
-	return g.release(result, "", now)
+	return g.releaseLeases(result, "", now)
 }
 
-// startWhenHeld starts a run whose round of reservations is fresh, and renews
+// startOrRenew starts a run whose round of reservations is fresh, and renews
 // the round first if it is not.
-func (c *Coordinator) startWhenHeld(g *gang, now time.Time) []Action {
+func (c *Coordinator) startOrRenew(g *gang, now time.Time) []Action {
 	if !g.allAcked() {
 		return nil // the round's last answer will start it
 	}
-	if now.Sub(g.asked) > c.config.LeaseTTL/2 {
+	if now.Sub(g.roundStarted) > c.config.LeaseTTL/2 {
 		return g.reserveAll(now)
 	}
 	return c.startAll(g, now)
 }
 
 func (c *Coordinator) startAll(g *gang, now time.Time) []Action {
-	g.enter(phaseStarting, now)
+	g.enterPhase(phaseStarting, now)
 	actions := g.callAll(CallStart)
 	for i := range actions {
 		call := actions[i].(Call)
@@ -113,30 +113,30 @@
 	return actions
 }
 
-func (c *Coordinator) startEnded(g *gang, m *member, err error, now time.Time) []Action {
-	m.ended = true
+func (c *Coordinator) onStartEnded(g *gang, m *member, err error, now time.Time) []Action {
+	m.callEnded = true
 	m.acked = err == nil
 	if err == nil {
 		m.phase = worker.TaskRunning
-	} else if g.failedOn == "" {
-		g.failedOn = m.Worker
+	} else if g.failedMember == "" {
+		g.failedMember = m.Worker
 	}
 	if !g.allEnded() {
 		return nil
 	}
-	if g.failedOn != "" {
-		return c.halt(g, halt{structs.ReasonMemberLost, g.failedOn, scheduler.RunLost}, now)
+	if g.failedMember != "" {
+		return c.halt(g, haltCause{structs.ReasonMemberLost, g.failedMember, scheduler.RunLost}, now)
 	}
-	g.enter(phaseRunning, now)
-	if g.pending != nil {
-		return c.stopRun(*g.pending, now)
+	g.enterPhase(phaseRunning, now)
+	if g.pendingStop != nil {
+		return c.onStopRun(*g.pendingStop, now)
 	}
 	return nil
 }
 
 func (g *gang) allEnded() bool {
 	for _, m := range g.members {
-		if !m.ended {
+		if !m.callEnded {
 			return false
 		}
 	}
--- a/jobs/life_test.go
+++ b/jobs/incarnation_test.go
@@ -23,7 +23,7 @@
 
 // A run's worker is on record with its life. Instances of a version that knows of no lives
 // read the same record, as during a rolling restart, and this one reads theirs.
-func TestProgressNamesTheLifeOfARunsWorker(t *testing.T) {
+func TestProgressRecordsTheIncarnationOfARunsWorker(t *testing.T) {
 	is := is.New(t)
 	tasks := []TaskProgress{{Flat: 1, Run: 2, Worker: "i-1", BornMS: 1790000000123}, {Flat: 3, Run: 1}, {Flat: 4, Run: 1, Worker: "i-2", BornMS: 1790000000456, Losses: 2, EarlyLosses: 1}}
 	decoded, written := roundTrip(t, &Progress{State: StateRunning, Tasks: tasks})
@@ -43,7 +43,7 @@
 }
 
 // Where no lives are told apart nothing is written of them.
-func TestProgressWithoutLivesIsAsBefore(t *testing.T) {
+func TestProgressWithoutIncarnationsOmitsTheirField(t *testing.T) {
 	is := is.New(t)
 	_, written := roundTrip(t, &Progress{State: StateRunning, Tasks: []TaskProgress{{Flat: 1, Run: 2, Worker: "i-1"}}})
 	is.True(!strings.Contains(written, `"b"`))
--- a/jobs/job.go
+++ b/jobs/job.go
@@ -91,9 +91,9 @@
 // one record.
 const MaxTasks = 3000
 
-// check reports what keeps a record from being the submission of a job, as another
+// validate reports what keeps a record from being the submission of a job, as another
 // writer may have left it.
-func (s *Submission) check(id string) error {
+func (s *Submission) validate(id string) error {
 	if s.ID != id {
 		return eris.Errorf("submission of %q under %q", s.ID, id)
 	}
@@ -102,7 +102,7 @@
 	}
 	tasks := 0
 	for index := range s.Steps {
-		if !s.Steps[index].sound(index) {
+		if !s.Steps[index].valid(index) {
 			return eris.Errorf("submission of %s: step %d is not sound", id, index)
 		}
 		tasks += s.Steps[index].Tasks
@@ -113,7 +113,7 @@
 	return nil
 }
 
-func (s *Step) sound(index int) bool {
+func (s *Step) valid(index int) bool {
 	for _, earlier := range s.After {
 		if earlier < 0 || earlier >= index {
 			return false
--- a/jobs/jobs_test.go
+++ b/jobs/jobs_test.go
@@ -19,7 +19,7 @@
 	return &Submission{ID: id, Queue: Queue{Name: "q"}, Steps: []Step{{Tasks: 2}}}
 }
 
-func applied(t interface{ Fatal(...any) }, table *Table, record Record, part int, offset int64) {
+func mustApply(t interface{ Fatal(...any) }, table *Table, record Record, part int, offset int64) {
 	if _, err := table.Apply(record, part, offset); err != nil {
 		t.Fatal(err)
 	}
@@ -56,10 +56,10 @@
 	is := is.New(t)
 	table := NewTable()
 	submission, err := SubmissionRecord(exampleSubmission("a"))
-	applied(t, table, mustRecord(t, submission, err), 1, 0)
-	applied(t, table, CancelRecord("a"), 2, 0)
+	mustApply(t, table, mustRecord(t, submission, err), 1, 0)
+	mustApply(t, table, CancelRecord("a"), 2, 0)
 	is.Equal(table.Job("a").State(), StateCancelled)
-	applied(t, table, mustProgress(t, "a", &Progress{State: StateDone}), 0, 5)
+	mustApply(t, table, mustProgress(t, "a", &Progress{State: StateDone}), 0, 5)
 	is.Equal(table.Job("a").State(), StateDone)
 }
 
@@ -68,56 +68,56 @@
 	is := is.New(t)
 	table := NewTable()
 	submission, err := SubmissionRecord(exampleSubmission("a"))
-	applied(t, table, mustRecord(t, submission, err), 1, 0)
-	applied(t, table, mustProgress(t, "a", &Progress{State: StateDone}), 0, 9)
-	applied(t, table, mustProgress(t, "a", &Progress{State: StateRunning}), 0, 4)
+	mustApply(t, table, mustRecord(t, submission, err), 1, 0)
+	mustApply(t, table, mustProgress(t, "a", &Progress{State: StateDone}), 0, 9)
+	mustApply(t, table, mustProgress(t, "a", &Progress{State: StateRunning}), 0, 4)
 	is.Equal(table.Job("a").State(), StateDone)
 }
 
-func TestTermNeverGoesBack(t *testing.T) {
+func TestOlderTermIsIgnored(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	for offset, term := range []Term{{Epoch: 3, Holder: "x"}, {Epoch: 2, Holder: "y"}} {
 		record, err := TermRecord(term)
-		applied(t, table, mustRecord(t, record, err), 0, int64(offset))
+		mustApply(t, table, mustRecord(t, record, err), 0, int64(offset))
 	}
 	is.Equal(table.Term().Holder, "x")
 }
 
-func TestForgottenJobsAreGone(t *testing.T) {
+func TestDeletedJobsAreRemovedFromTheFold(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	submission, err := SubmissionRecord(exampleSubmission("a"))
-	applied(t, table, mustRecord(t, submission, err), 1, 0)
-	applied(t, table, mustProgress(t, "a", &Progress{State: StateDone}), 0, 0)
+	mustApply(t, table, mustRecord(t, submission, err), 1, 0)
+	mustApply(t, table, mustProgress(t, "a", &Progress{State: StateDone}), 0, 0)
 	for offset, record := range ForgetCallRecords("a") {
-		applied(t, table, record, 1, int64(offset+1))
+		mustApply(t, table, record, 1, int64(offset+1))
 	}
-	applied(t, table, ForgetProgressRecord("a"), 0, 1)
+	mustApply(t, table, ForgetProgressRecord("a"), 0, 1)
 	is.True(table.Job("a") != nil) // a second copy of the submission meets the state
 	is.Equal(table.Job("a").State(), StateDone)
-	applied(t, table, ForgetStateRecord("a"), 2, 2)
+	mustApply(t, table, ForgetStateRecord("a"), 2, 2)
 	is.True(table.Job("a") == nil)
 }
 
 // Whoever reads no progress knows the state all the same, and a submission that
 // comes again while the state is kept is that of an ended job.
-func TestStateRecordsAloneTellTheState(t *testing.T) {
+func TestStateIsKnownFromStateRecordsAlone(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	submission, err := SubmissionRecord(exampleSubmission("a"))
-	applied(t, table, mustRecord(t, submission, err), 1, 0)
+	mustApply(t, table, mustRecord(t, submission, err), 1, 0)
 	is.Equal(table.Job("a").State(), StateQueued)
-	applied(t, table, StateRecord("a", StateRunning), 0, 4)
+	mustApply(t, table, StateRecord("a", StateRunning), 0, 4)
 	is.Equal(table.Job("a").State(), StateRunning)
-	applied(t, table, StateRecord("a", StateDone), 0, 9)
-	applied(t, table, StateRecord("a", StateRunning), 0, 4) // a page was newer
-	applied(t, table, CancelRecord("a"), 1, 1)
+	mustApply(t, table, StateRecord("a", StateDone), 0, 9)
+	mustApply(t, table, StateRecord("a", StateRunning), 0, 4) // a page was newer
+	mustApply(t, table, CancelRecord("a"), 1, 1)
 	is.Equal(table.Job("a").State(), StateDone)
 	for offset, record := range ForgetCallRecords("a") {
-		applied(t, table, record, 1, int64(offset+2))
+		mustApply(t, table, record, 1, int64(offset+2))
 	}
-	applied(t, table, mustRecord(t, submission, err), 1, 7)
+	mustApply(t, table, mustRecord(t, submission, err), 1, 7)
 	is.Equal(table.Job("a").State(), StateDone)
 }
 
@@ -141,7 +141,7 @@
 			if next[part] == len(stream) {
 				continue
 			}
-			applied(t, table, stream[next[part]], part, int64(next[part]))
+			mustApply(t, table, stream[next[part]], part, int64(next[part]))
 			next[part]++
 		}
 		if state := table.Job("a").State(); state != StateFailed {
--- a/jobs/progress.go
+++ b/jobs/progress.go
@@ -128,25 +128,25 @@
 var statesByLetter = [...]State{StateQueued, StateRunning, StateDone, StateFailed, StateCancelled}
 
 func encodeProgress(p *Progress) ([]byte, error) {
-	rest, err := json.Marshal(newProgressRecord(p))
+	encoded, err := json.Marshal(newProgressRecord(p))
 	if err != nil {
 		return nil, err
 	}
-	return append([]byte{stateLetter(p.State)}, rest...), nil
+	return append([]byte{stateLetter(p.State)}, encoded...), nil
 }
 
 // stateLetter is how a state is written. One that does not exist is a broken
 // invariant.
 func stateLetter(state State) byte {
-	for index, known := range statesByLetter {
-		if known == state {
+	for index, s := range statesByLetter {
+		if s == state {
 			return stateLetters[index]
 		}
 	}
 	panic("jobs: unknown state " + string(state))
 }
 
-func progressState(value []byte) (State, error) {
+func decodeState(value []byte) (State, error) {
 	if len(value) > 0 {
 		if index := strings.IndexByte(stateLetters, value[0]); index >= 0 {
 			return statesByLetter[index], nil
@@ -157,7 +157,7 @@
 
 // DecodeProgress reads the value of a progress record.
 func DecodeProgress(value []byte) (*Progress, error) {
-	state, err := progressState(value)
+	state, err := decodeState(value)
 	if err != nil {
 		return nil, err
 	}
--- a/jobs/record.go
+++ b/jobs/record.go
@@ -119,4 +119,4 @@
 	return name
 }
 
-func subject(key, prefix string) (string, bool) { return strings.CutPrefix(key, prefix) }
+func cutKeyPrefix(key, prefix string) (string, bool) { return strings.CutPrefix(key, prefix) }
--- a/jobs/table.go
+++ b/jobs/table.go
@@ -9,28 +9,28 @@
 
 // Job is the folded state of one job.
 type Job struct {
-	Submission *Submission // nil while only other records of it were read
-	Progress   []byte      // value of the newest progress record; nil before the first task was placed, or where progress is not read
-	Shown      State       // as the newest state record says; empty before the first
-	Cancelled  bool        // a cancellation is on record
-	Told       bool        // a caller of this instance was told of the final state
-	Parts      uint64      // parts of the stream in which records of it were read, a bit each
-	progressAt int64       // offset of Progress plus one
-	shownAt    int64       // offset of Shown plus one
-	state      State       // as Progress says
+	Submission         *Submission // nil while only other records of it were read
+	Progress           []byte      // value of the newest progress record; nil before the first task was placed, or where progress is not read
+	Shown              State       // as the newest state record says; empty before the first
+	Cancelled          bool        // a cancellation is on record
+	Told               bool        // a caller of this instance was told of the final state
+	Parts              uint64      // parts of the stream in which records of it were read, a bit each
+	progressNextOffset int64       // offset of Progress plus one
+	stateNextOffset    int64       // offset of Shown plus one
+	progressState      State       // as Progress says
 }
 
 // State is what callers are told. A final state that the placing instance has
 // written stands, also if a cancellation came too late for it.
 func (j *Job) State() State {
 	switch {
-	case j.state.Final():
-		return j.state
+	case j.progressState.Final():
+		return j.progressState
 	case j.Shown.Final():
 		return j.Shown
 	case j.Cancelled:
 		return StateCancelled
-	case j.state == StateRunning || j.Shown == StateRunning:
+	case j.progressState == StateRunning || j.Shown == StateRunning:
 		return StateRunning
 	}
 	return StateQueued
@@ -46,7 +46,7 @@
 type Table struct {
 	jobs      map[string]*Job
 	term      Term
-	mark      string
+	groupMark string
 	instances map[string]Instance
 }
 
@@ -71,14 +71,14 @@
 // Contains reports whether what a caller's record says was folded, from this
 // record or from another copy of it.
 func (t *Table) Contains(record Record) bool {
-	if id, ok := subject(record.Key, submissionPrefix); ok {
+	if id, ok := cutKeyPrefix(record.Key, submissionPrefix); ok {
 		return t.Job(id) != nil
 	}
-	if id, ok := subject(record.Key, cancelPrefix); ok {
+	if id, ok := cutKeyPrefix(record.Key, cancelPrefix); ok {
 		job := t.Job(id)
 		return job != nil && job.State().Final()
 	}
-	name, ok := subject(record.Key, instancePrefix)
+	name, ok := cutKeyPrefix(record.Key, instancePrefix)
 	if !ok {
 		return false
 	}
@@ -137,22 +137,22 @@
 		return t.applyTerm(record)
 	}
 	if record.Key == markKey {
-		t.mark = string(record.Value)
+		t.groupMark = string(record.Value)
 		return Change{}, nil
 	}
-	if name, ok := subject(record.Key, instancePrefix); ok {
+	if name, ok := cutKeyPrefix(record.Key, instancePrefix); ok {
 		return Change{}, t.applyInstance(name, record)
 	}
-	if id, ok := subject(record.Key, submissionPrefix); ok {
+	if id, ok := cutKeyPrefix(record.Key, submissionPrefix); ok {
 		return t.applySubmission(id, record, part)
 	}
-	if id, ok := subject(record.Key, cancelPrefix); ok {
+	if id, ok := cutKeyPrefix(record.Key, cancelPrefix); ok {
 		return t.applyCancel(id, record, part), nil
 	}
-	if id, ok := subject(record.Key, progressPrefix); ok {
+	if id, ok := cutKeyPrefix(record.Key, progressPrefix); ok {
 		return t.applyProgress(id, record, offset)
 	}
-	if id, ok := subject(record.Key, statePrefix); ok {
+	if id, ok := cutKeyPrefix(record.Key, statePrefix); ok {
 		return t.applyState(id, record, offset)
 	}
 	return Change{}, nil
@@ -188,7 +188,7 @@
 	return Change{Term: true}, nil
 }
 
-func (t *Table) job(id string) *Job {
+func (t *Table) ensureJob(id string) *Job {
 	job := t.jobs[id]
 	if job == nil {
 		job = &Job{}
@@ -204,18 +204,18 @@
 		}
 		return Change{Job: id}, nil
 	}
-	if known := t.jobs[id]; known != nil && known.Submission != nil {
-		known.Parts |= 1 << part
+	if job := t.jobs[id]; job != nil && job.Submission != nil {
+		job.Parts |= 1 << part
 		return Change{}, nil
 	}
 	submission, err := decode[Submission](record)
 	if err != nil {
 		return Change{}, err
 	}
-	if err := submission.check(id); err != nil {
+	if err := submission.validate(id); err != nil {
 		return Change{}, err
 	}
-	job := t.job(id)
+	job := t.ensureJob(id)
 	job.Submission = submission
 	job.Parts |= 1 << part
 	return Change{Job: id}, nil
@@ -225,47 +225,47 @@
 	if len(record.Value) == 0 {
 		return Change{}
 	}
-	job := t.job(id)
+	job := t.ensureJob(id)
 	job.Parts |= 1 << part
 	job.Cancelled = true
 	return Change{Job: id}
 }
 
 func (t *Table) applyProgress(id string, record Record, offset int64) (Change, error) {
-	if known := t.jobs[id]; known != nil && offset < known.progressAt {
+	if job := t.jobs[id]; job != nil && offset < job.progressNextOffset {
 		return Change{}, nil // a page was newer than this tail
 	}
 	if len(record.Value) == 0 {
 		return Change{}, nil // its state follows
 	}
-	state, err := progressState(record.Value)
+	state, err := decodeState(record.Value)
 	if err != nil {
 		return Change{}, err
 	}
-	job := t.job(id)
+	job := t.ensureJob(id)
 	job.Progress = record.Value
-	job.state = state
-	job.progressAt = offset + 1
+	job.progressState = state
+	job.progressNextOffset = offset + 1
 	return Change{Job: id}, nil
 }
 
 func (t *Table) applyState(id string, record Record, offset int64) (Change, error) {
-	if known := t.jobs[id]; known != nil && offset < known.shownAt {
+	if job := t.jobs[id]; job != nil && offset < job.stateNextOffset {
 		return Change{}, nil // a page was newer than this tail
 	}
 	if len(record.Value) == 0 {
 		delete(t.jobs, id)
 		return Change{Job: id}, nil
 	}
-	state, err := progressState(record.Value)
+	state, err := decodeState(record.Value)
 	if err != nil {
 		return Change{}, err
 	}
-	job := t.job(id)
+	job := t.ensureJob(id)
 	job.Shown = state
-	job.shownAt = offset + 1
+	job.stateNextOffset = offset + 1
 	return Change{Job: id}, nil
 }
 
 // Mark is the value of the newest mark of a group of progress.
-func (t *Table) Mark() string { return t.mark }
+func (t *Table) Mark() string { return t.groupMark }
--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -13,8 +13,8 @@
 // Sizes of the state to measure: tasks running, jobs and keys remembered.
 var stateSizes = []struct{ tasks, jobs, keys int }{{400, 400, 1000}, {4000, 4000, 5000}, {54000, 24000, 24000}}
 
-// records makes the stream that leads to a state of the given size.
-func records(tasks, jobs, keys int) []*structs.Record {
+// buildRecords makes the stream that leads to a state of the given size.
+func buildRecords(tasks, jobs, keys int) []*structs.Record {
 	list := []*structs.Record{{Term: &structs.Term{Number: 1, Holder: "entry-0/1"}}}
 	perJob := max(tasks/jobs, 1)
 	for n := range jobs {
@@ -40,7 +40,7 @@
 func BenchmarkFold(b *testing.B) {
 	for _, s := range stateSizes {
 		b.Run(fmt.Sprintf("jobs=%d", s.jobs), func(b *testing.B) {
-			list := records(s.tasks, s.jobs, s.keys)
+			list := buildRecords(s.tasks, s.jobs, s.keys)
 			var before, after runtime.MemStats
 			for range b.N {
 				runtime.GC()
@@ -66,7 +66,7 @@
 	for _, s := range stateSizes {
 		b.Run(fmt.Sprintf("jobs=%d", s.jobs), func(b *testing.B) {
 			state := ledger.New()
-			for _, record := range records(s.tasks, s.jobs, s.keys) {
+			for _, record := range buildRecords(s.tasks, s.jobs, s.keys) {
 				data, err := json.Marshal(record)
 				if err != nil {
 					b.Fatal(err)
@@ -100,7 +100,7 @@
 	for _, s := range stateSizes {
 		b.Run(fmt.Sprintf("jobs=%d", s.jobs), func(b *testing.B) {
 			state := ledger.New()
-			for _, record := range records(s.tasks, s.jobs, s.keys) {
+			for _, record := range buildRecords(s.tasks, s.jobs, s.keys) {
 				state.Apply(record)
 			}
 			b.ResetTimer()
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -116,31 +116,31 @@
 	s.Next++
 	switch {
 	case record.Claim != nil:
-		return s.claim(record.Claim)
+		return s.applyClaim(record.Claim)
 	case record.Release != nil:
-		return s.release(record.Release)
+		return s.applyRelease(record.Release)
 	case record.Complete != nil:
-		return s.complete(record.Complete)
+		return s.applyComplete(record.Complete)
 	case record.Submit != nil:
-		return s.submit(record.Submit)
+		return s.applySubmit(record.Submit)
 	case record.Cancel != nil:
-		return s.cancel(record.Cancel, record.AtMS)
+		return s.applyCancel(record.Cancel, record.AtMS)
 	case record.Start != nil:
-		return s.start(record.Start, record.AtMS)
+		return s.applyStart(record.Start, record.AtMS)
 	case record.Stop != nil:
-		return s.stop(record.Stop, record.AtMS)
+		return s.applyStop(record.Stop, record.AtMS)
 	case record.End != nil:
-		return s.end(record.End, record.AtMS)
+		return s.applyEnd(record.End, record.AtMS)
 	case record.Term != nil:
-		return s.term(record.Term)
+		return s.applyTerm(record.Term)
 	case record.Prune != nil:
-		return s.prune(record.Prune)
+		return s.applyPrune(record.Prune)
 	}
 	return void(VoidMalformed)
 }
 
-// claim is valid for a key that is new or was released, once for each claim identifier.
-func (s *State) claim(claim *structs.Claim) Verdict {
+// applyClaim is valid for a key that is new or was released, once for each claim identifier.
+func (s *State) applyClaim(claim *structs.Claim) Verdict {
 	if claim.IssuedMS < s.PrunedBefore {
 		return void(VoidExpired)
 	}
@@ -158,13 +158,13 @@
 	return valid
 }
 
-// release is valid from the holder, for a claim that the holder has not ended itself.
-func (s *State) release(release *structs.Release) Verdict {
-	entry, verdict := s.claimed(release.Key, release.ClaimID)
+// applyRelease is valid from the holder, for a claim that the holder has not ended itself.
+func (s *State) applyRelease(release *structs.Release) Verdict {
+	entry, verdict := s.entryOfClaim(release.Key, release.ClaimID)
 	if !verdict.Valid {
 		return verdict
 	}
-	if !entry.undecidedByHolder() {
+	if !entry.holderMayDecide() {
 		return void(VoidPhase)
 	}
 	entry.Phase = KeyReleased
@@ -173,14 +173,14 @@
 	return valid
 }
 
-// complete is valid once from the holder; from others it can only turn an open
+// applyComplete is valid once from the holder; from others it can only turn an open
 // claim unknown, and the holder's later word replaces theirs.
-func (s *State) complete(complete *structs.Complete) Verdict {
-	entry, verdict := s.claimed(complete.Key, complete.ClaimID)
+func (s *State) applyComplete(complete *structs.Complete) Verdict {
+	entry, verdict := s.entryOfClaim(complete.Key, complete.ClaimID)
 	if !verdict.Valid {
 		return verdict
 	}
-	if !entry.undecidedByHolder() {
+	if !entry.holderMayDecide() {
 		return void(VoidPhase)
 	}
 	if !complete.Holder && (entry.Phase != KeyOpen || complete.Outcome != structs.OutcomeUnknown) {
@@ -198,7 +198,7 @@
 	return valid
 }
 
-func (s *State) claimed(key structs.KeyID, claimID string) (*KeyEntry, Verdict) {
+func (s *State) entryOfClaim(key structs.KeyID, claimID string) (*KeyEntry, Verdict) {
 	entry, exists := s.Keys[key]
 	if !exists {
 		return nil, void(VoidMissing)
@@ -209,11 +209,11 @@
 	return entry, valid
 }
 
-func (e *KeyEntry) undecidedByHolder() bool {
+func (e *KeyEntry) holderMayDecide() bool {
 	return e.Phase == KeyOpen || (e.Phase == KeyUnknown && !e.ByHolder)
 }
 
-func (s *State) submit(job *structs.Job) Verdict {
+func (s *State) applySubmit(job *structs.Job) Verdict {
 	if job.SubmitMS < s.PrunedBefore {
 		return void(VoidExpired)
 	}
@@ -227,9 +227,9 @@
 	return valid
 }
 
-// cancel ends a queued job at once; a running one is marked, and its run is
+// applyCancel ends a queued job at once; a running one is marked, and its run is
 // stopped by the placing instance.
-func (s *State) cancel(cancel *structs.Cancel, atMS int64) Verdict {
+func (s *State) applyCancel(cancel *structs.Cancel, atMS int64) Verdict {
 	entry, exists := s.Jobs[cancel.Job]
 	if !exists {
 		return void(VoidMissing)
@@ -254,9 +254,9 @@
 	e.EndMS = atMS
 }
 
-// start is valid under the current term, for a queued job that may still run.
-func (s *State) start(start *structs.Start, atMS int64) Verdict {
-	entry, verdict := s.underTerm(start.Job, start.Term)
+// applyStart is valid under the current term, for a queued job that may still run.
+func (s *State) applyStart(start *structs.Start, atMS int64) Verdict {
+	entry, verdict := s.jobUnderTerm(start.Job, start.Term)
 	if !verdict.Valid {
 		return verdict
 	}
@@ -274,11 +274,11 @@
 	return valid
 }
 
-// stop returns a run's job to the queue. A job that may not be repeated returns
+// applyStop returns a run's job to the queue. A job that may not be repeated returns
 // only if nothing of the run started or if the run was checkpointed; otherwise
 // its end is unknown.
-func (s *State) stop(stop *structs.Stop, atMS int64) Verdict {
-	entry, verdict := s.underTerm(stop.Job, stop.Term)
+func (s *State) applyStop(stop *structs.Stop, atMS int64) Verdict {
+	entry, verdict := s.jobUnderTerm(stop.Job, stop.Term)
 	if !verdict.Valid {
 		return verdict
 	}
@@ -290,7 +290,7 @@
 	if stop.NotStarted {
 		entry.Runs--
 	}
-	entry.blame(stop.Worker)
+	entry.addFailedWorker(stop.Worker)
 	entry.Checkpointed = entry.Checkpointed || stop.Checkpointed
 	entry.Phase = JobQueued
 	entry.Reason = stop.Reason
@@ -310,21 +310,21 @@
 	return structs.OutcomeUnknown
 }
 
-func (e *JobEntry) blame(worker string) {
+func (e *JobEntry) addFailedWorker(worker string) {
 	if worker == "" || len(e.Blamed) >= MaxBlamed {
 		return
 	}
-	for _, known := range e.Blamed {
-		if known == worker {
+	for _, name := range e.Blamed {
+		if name == worker {
 			return
 		}
 	}
 	e.Blamed = append(e.Blamed, worker)
 }
 
-// end ends a job under the current term. A running job's run must be named.
-func (s *State) end(end *structs.End, atMS int64) Verdict {
-	entry, verdict := s.underTerm(end.Job, end.Term)
+// applyEnd ends a job under the current term. A running job's run must be named.
+func (s *State) applyEnd(end *structs.End, atMS int64) Verdict {
+	entry, verdict := s.jobUnderTerm(end.Job, end.Term)
 	if !verdict.Valid {
 		return verdict
 	}
@@ -336,7 +336,7 @@
 	return valid
 }
 
-func (s *State) underTerm(job string, term int64) (*JobEntry, Verdict) {
+func (s *State) jobUnderTerm(job string, term int64) (*JobEntry, Verdict) {
 	if term != s.Term.Number {
 		return nil, void(VoidTerm)
 	}
@@ -347,7 +347,7 @@
 	return entry, valid
 }
 
-func (s *State) term(term *structs.Term) Verdict {
+func (s *State) applyTerm(term *structs.Term) Verdict {
 	if term.Number != s.Term.Number+1 {
 		return void(VoidTerm)
 	}
@@ -355,9 +355,9 @@
 	return valid
 }
 
-// prune forgets what ended and was issued before the given time. From then on
+// applyPrune forgets what ended and was issued before the given time. From then on
 // no claim or submission that old is valid, so forgetting cannot double a run.
-func (s *State) prune(prune *structs.Prune) Verdict {
+func (s *State) applyPrune(prune *structs.Prune) Verdict {
 	if prune.BeforeMS <= s.PrunedBefore {
 		return void(VoidPhase)
 	}
--- a/ledger/snapshot.go
+++ b/ledger/snapshot.go
@@ -117,22 +117,22 @@
 	count := (len(data) + PartBytes - 1) / PartBytes
 	parts := make([]Part, 0, count)
 	for index := range count {
-		low := index * PartBytes
-		high := min(low+PartBytes, len(data))
-		parts = append(parts, Part{ID: id, Index: index, Count: count, Checksum: crc32.ChecksumIEEE(data), Data: data[low:high]})
+		start := index * PartBytes
+		end := min(start+PartBytes, len(data))
+		parts = append(parts, Part{ID: id, Index: index, Count: count, Checksum: crc32.ChecksumIEEE(data), Data: data[start:end]})
 	}
 	return parts
 }
 
 // Assembler collects parts in stream order and keeps the newest whole snapshot.
 type Assembler struct {
-	open   map[string]map[int][]byte
-	newest *Snapshot
+	incomplete map[string]map[int][]byte
+	newest     *Snapshot
 }
 
 // NewAssembler returns an assembler that has seen no part.
 func NewAssembler() *Assembler {
-	return &Assembler{open: map[string]map[int][]byte{}}
+	return &Assembler{incomplete: map[string]map[int][]byte{}}
 }
 
 // Add takes one part. Parts of a damaged snapshot are passed over.
@@ -141,20 +141,20 @@
 		return
 	}
 	id := part.ID + "/" + strconv.FormatUint(uint64(part.Checksum), 16)
-	pieces := a.open[id]
+	pieces := a.incomplete[id]
 	if pieces == nil {
 		pieces = map[int][]byte{}
-		a.open[id] = pieces
+		a.incomplete[id] = pieces
 	}
 	pieces[part.Index] = part.Data
 	if len(pieces) < part.Count {
 		return
 	}
-	delete(a.open, id)
-	a.finish(pieces, part)
+	delete(a.incomplete, id)
+	a.assemble(pieces, part)
 }
 
-func (a *Assembler) finish(pieces map[int][]byte, last Part) {
+func (a *Assembler) assemble(pieces map[int][]byte, last Part) {
 	var data []byte
 	for index := range last.Count {
 		data = append(data, pieces[index]...)
--- a/requests/machine.go
+++ b/requests/machine.go
@@ -21,8 +21,8 @@
 	ClaimValid = 10 * time.Second
 	// MaxKeptAnswer is the largest answer that is kept with its key, in bytes.
 	MaxKeptAnswer = 16 << 10
-	// retryLater is told to callers when nothing better is known.
-	retryLater = 2 * time.Second
+	// defaultRetryAfter is told to callers when nothing better is known.
+	defaultRetryAfter = 2 * time.Second
 )
 
 // Spec is what is known of a request at its arrival.
@@ -46,15 +46,15 @@
 
 // Machine is the state of one request.
 type Machine struct {
-	spec      Spec
-	claimID   string
-	phase     phase
-	claimedAt time.Time
-	claimed   bool
-	attempts  int
-	sent      bool // bytes of some attempt may have reached a runner
-	tried     []string
-	last      AttemptEnded
+	spec         Spec
+	claimID      string
+	phase        phase
+	claimedAt    time.Time
+	mayHoldClaim bool
+	attempts     int
+	maybeSent    bool // bytes of some attempt may have reached a runner
+	triedRunners []string
+	lastAttempt  AttemptEnded
 }
 
 // New returns the machine of a request. claimID must be unique.
@@ -75,17 +75,17 @@
 	case Started:
 		return m.start(now)
 	case ClaimRead:
-		return m.claimRead(e, now)
+		return m.onClaimRead(e, now)
 	case RunnerPicked:
-		return m.runnerPicked(e, now)
+		return m.onRunnerPicked(e, now)
 	case RunnerRefused:
-		return m.runnerRefused(e)
+		return m.onRunnerRefused(e)
 	case AttemptEnded:
-		return m.attemptEnded(e, now)
+		return m.onAttemptEnded(e, now)
 	case DeadlinePassed:
-		return m.giveUp(structs.ReasonDeadline)
+		return m.abort(structs.ReasonDeadline)
 	case CallerGone:
-		return m.giveUp(structs.ReasonCallerGone)
+		return m.abort(structs.ReasonCallerGone)
 	}
 	return nil
 }
@@ -100,48 +100,48 @@
 	return []Action{AppendClaim{}}
 }
 
-func (m *Machine) claimRead(e ClaimRead, now time.Time) []Action {
+func (m *Machine) onClaimRead(e ClaimRead, now time.Time) []Action {
 	if m.phase != phaseClaiming {
 		return nil
 	}
 	if e.Entry == nil {
-		return m.claimUnread(e)
+		return m.onClaimUnread(e)
 	}
 	if e.Entry.Claim.ID != m.claimID {
-		return m.answerFromEntry(e)
+		return m.finishFromEntry(e)
 	}
 	if e.Entry.Phase != ledger.KeyOpen {
-		return m.refuseClaim(structs.ReasonHolderLost)
+		return m.rejectClaim(structs.ReasonHolderLost)
 	}
-	m.claimed = true
-	if m.claimTooOld(now) {
-		return m.notRun(structs.ReasonHolderLost, retryLater)
+	m.mayHoldClaim = true
+	if m.claimExpired(now) {
+		return m.finishNotRun(structs.ReasonHolderLost, defaultRetryAfter)
 	}
 	m.phase = phasePicking
 	return []Action{Pick{}}
 }
 
-// claimUnread ends a request whose claim may or may not stand in the log.
+// onClaimUnread ends a request whose claim may or may not stand in the log.
 // Nothing was sent and nothing will be, so it is not run; the release covers a
 // claim that took effect after all.
-func (m *Machine) claimUnread(e ClaimRead) []Action {
-	m.claimed = e.Appended
-	return m.notRun(e.Reason, retryFor(e.Reason))
+func (m *Machine) onClaimUnread(e ClaimRead) []Action {
+	m.mayHoldClaim = e.Appended
+	return m.finishNotRun(e.Reason, retryAfterFor(e.Reason))
 }
 
-func (m *Machine) refuseClaim(reason structs.Reason) []Action {
-	m.claimed = true
-	return m.notRun(reason, retryLater)
+func (m *Machine) rejectClaim(reason structs.Reason) []Action {
+	m.mayHoldClaim = true
+	return m.finishNotRun(reason, defaultRetryAfter)
 }
 
-func retryFor(reason structs.Reason) time.Duration {
+func retryAfterFor(reason structs.Reason) time.Duration {
 	if reason == structs.ReasonKeyExpired {
 		return 0
 	}
-	return retryLater
+	return defaultRetryAfter
 }
 
-func (m *Machine) answerFromEntry(e ClaimRead) []Action {
+func (m *Machine) finishFromEntry(e ClaimRead) []Action {
 	return m.finish(AnswerOf(e.Entry, m.spec.Class, m.spec.Digest, e.HolderLost))
 }
 
@@ -157,81 +157,81 @@
 	case ledger.KeyUnknown:
 		return Finish{Outcome: structs.OutcomeUnknown, Reason: entry.Reason, Replayed: true}
 	case ledger.KeyReleased:
-		return Finish{Outcome: structs.OutcomeNotRun, Reason: entry.Reason, RetryAfter: retryLater}
+		return Finish{Outcome: structs.OutcomeNotRun, Reason: entry.Reason, RetryAfter: defaultRetryAfter}
 	}
 	if holderLost {
 		return Finish{Outcome: structs.OutcomeUnknown, Reason: structs.ReasonHolderLost}
 	}
-	return Finish{Outcome: structs.OutcomeInProgress, RetryAfter: retryLater}
+	return Finish{Outcome: structs.OutcomeInProgress, RetryAfter: defaultRetryAfter}
 }
 
-func (m *Machine) claimTooOld(now time.Time) bool {
-	return m.claimed && now.Sub(m.claimedAt) > ClaimValid && !m.sent
+func (m *Machine) claimExpired(now time.Time) bool {
+	return m.mayHoldClaim && now.Sub(m.claimedAt) > ClaimValid && !m.maybeSent
 }
 
-func (m *Machine) runnerPicked(e RunnerPicked, now time.Time) []Action {
+func (m *Machine) onRunnerPicked(e RunnerPicked, now time.Time) []Action {
 	if m.phase != phasePicking {
 		return nil
 	}
-	if m.claimTooOld(now) {
-		return m.notRun(structs.ReasonHolderLost, retryLater)
+	if m.claimExpired(now) {
+		return m.finishNotRun(structs.ReasonHolderLost, defaultRetryAfter)
 	}
 	if !now.Before(m.spec.Deadline) {
-		return m.giveUp(structs.ReasonDeadline)
+		return m.abort(structs.ReasonDeadline)
 	}
 	m.phase = phaseSending
 	m.attempts++
-	m.tried = append(m.tried, e.Runner)
+	m.triedRunners = append(m.triedRunners, e.Runner)
 	return []Action{Send{Runner: e.Runner, Attempt: m.attempts}}
 }
 
-func (m *Machine) runnerRefused(e RunnerRefused) []Action {
+func (m *Machine) onRunnerRefused(e RunnerRefused) []Action {
 	if m.phase != phasePicking {
 		return nil
 	}
-	return m.giveUpLater(e.Reason, e.RetryAfter)
+	return m.finishUnanswered(e.Reason, e.RetryAfter)
 }
 
-func (m *Machine) attemptEnded(e AttemptEnded, now time.Time) []Action {
+func (m *Machine) onAttemptEnded(e AttemptEnded, now time.Time) []Action {
 	if m.phase != phaseSending {
 		return nil
 	}
-	m.last = e
+	m.lastAttempt = e
 	switch e.Kind {
 	case AttemptAnswered:
-		return m.answered(e, now)
+		return m.onAnswered(e, now)
 	case AttemptNotSent, AttemptRefused:
-		return m.retryOr(e, now, func() []Action { return m.giveUpLater(e.Reason, e.RetryAfter) })
+		return m.retryOrElse(e, now, func() []Action { return m.finishUnanswered(e.Reason, e.RetryAfter) })
 	}
-	m.sent = true
+	m.maybeSent = true
 	if !m.spec.Idempotent {
-		return m.unknown(e.Reason)
+		return m.finishUnknown(e.Reason)
 	}
-	return m.retryOr(e, now, func() []Action { return m.unknown(e.Reason) })
+	return m.retryOrElse(e, now, func() []Action { return m.finishUnknown(e.Reason) })
 }
 
-// answered relays the answer; an idempotent request that the upstream failed is
+// onAnswered relays the answer; an idempotent request that the upstream failed is
 // tried elsewhere first, if it may be.
-func (m *Machine) answered(e AttemptEnded, now time.Time) []Action {
-	relay := func() []Action { return m.ran(e) }
+func (m *Machine) onAnswered(e AttemptEnded, now time.Time) []Action {
+	relay := func() []Action { return m.finishRan(e) }
 	if m.spec.Idempotent && e.Status >= 500 {
-		m.sent = true
-		return m.retryOr(e, now, relay)
+		m.maybeSent = true
+		return m.retryOrElse(e, now, relay)
 	}
 	return relay()
 }
 
-func (m *Machine) retryOr(e AttemptEnded, now time.Time, otherwise func() []Action) []Action {
+func (m *Machine) retryOrElse(e AttemptEnded, now time.Time, fallback func() []Action) []Action {
 	if !e.RetryAllowed || m.attempts >= MaxAttempts || !now.Before(m.spec.Deadline) {
-		return otherwise()
+		return fallback()
 	}
 	m.phase = phasePicking
-	return []Action{Pick{Exclude: m.tried}}
+	return []Action{Pick{Exclude: m.triedRunners}}
 }
 
-func (m *Machine) ran(e AttemptEnded) []Action {
+func (m *Machine) finishRan(e AttemptEnded) []Action {
 	var actions []Action
-	if m.claimed {
+	if m.mayHoldClaim {
 		complete := AppendComplete{Outcome: structs.OutcomeRan, Status: e.Status}
 		if len(e.Answer) <= MaxKeptAnswer {
 			complete.Answer = e.Answer
@@ -242,49 +242,49 @@
 	return append(actions, m.finish(Finish{Outcome: structs.OutcomeRan, Status: e.Status, Answer: e.Answer})...)
 }
 
-func (m *Machine) unknown(reason structs.Reason) []Action {
+func (m *Machine) finishUnknown(reason structs.Reason) []Action {
 	var actions []Action
-	if m.claimed {
+	if m.mayHoldClaim {
 		actions = append(actions, AppendComplete{Outcome: structs.OutcomeUnknown, Reason: reason})
 	}
 	retryAfter := time.Duration(0)
 	if m.spec.Idempotent {
-		retryAfter = retryLater
+		retryAfter = defaultRetryAfter
 	}
 	return append(actions, m.finish(Finish{Outcome: structs.OutcomeUnknown, Reason: reason, RetryAfter: retryAfter})...)
 }
 
-func (m *Machine) notRun(reason structs.Reason, retryAfter time.Duration) []Action {
+func (m *Machine) finishNotRun(reason structs.Reason, retryAfter time.Duration) []Action {
 	var actions []Action
-	if m.claimed {
+	if m.mayHoldClaim {
 		actions = append(actions, AppendRelease{Reason: reason})
 	}
 	return append(actions, m.finish(Finish{Outcome: structs.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter})...)
 }
 
-// giveUp ends the request at once, whatever it waits for. A claim that is still
+// abort ends the request at once, whatever it waits for. A claim that is still
 // being appended is released too, since it may stand in the log.
-func (m *Machine) giveUp(reason structs.Reason) []Action {
+func (m *Machine) abort(reason structs.Reason) []Action {
 	inFlight := m.phase == phaseSending
 	if m.phase == phaseClaiming {
-		m.claimed = true
+		m.mayHoldClaim = true
 	}
 	actions := []Action{Abandon{}}
 	if inFlight {
-		m.sent = true
-		return append(actions, m.unknown(reason)...)
+		m.maybeSent = true
+		return append(actions, m.finishUnknown(reason)...)
 	}
-	return append(actions, m.giveUpLater(reason, retryLater)...)
+	return append(actions, m.finishUnanswered(reason, defaultRetryAfter)...)
 }
 
-func (m *Machine) giveUpLater(reason structs.Reason, retryAfter time.Duration) []Action {
+func (m *Machine) finishUnanswered(reason structs.Reason, retryAfter time.Duration) []Action {
 	if retryAfter == 0 {
-		retryAfter = retryLater
+		retryAfter = defaultRetryAfter
 	}
-	if m.sent {
-		return m.unknown(reason)
+	if m.maybeSent {
+		return m.finishUnknown(reason)
 	}
-	return m.notRun(reason, retryAfter)
+	return m.finishNotRun(reason, retryAfter)
 }
 
 func (m *Machine) finish(finish Finish) []Action {
--- /dev/null
+++ b/requests/simulation_faults_test.go
@@ -0,0 +1,68 @@
+package requests_test
+
+import (
+	"github.com/teaselcleat/teaselcleat/ledger"
+	"github.com/teaselcleat/teaselcleat/structs"
+)
+
+func (s *simulation) killInstance() {
+	inst := s.drawInstance()
+	inst.dead = true // its writer's records and its callers are gone with it
+	s.addInstance()
+}
+
+func (s *simulation) pauseOrResume() {
+	for _, inst := range s.instances {
+		if inst.paused {
+			inst.paused = false
+			return
+		}
+	}
+	s.drawInstance().paused = true
+}
+
+// closeLostClaims lets an instance call the claims of a lost holder unknown.
+func (s *simulation) closeLostClaims() {
+	inst := s.drawInstance()
+	for _, key := range s.keys {
+		entry := inst.fold.Keys[structs.KeyID{Key: key}]
+		if entry == nil || entry.Phase != ledger.KeyOpen || !s.looksDead(entry.Claim.Holder) {
+			continue
+		}
+		if s.mutation == releaseByAnother {
+			s.enqueue(inst, structs.Record{Release: &structs.Release{ClaimID: entry.Claim.ID, Key: entry.Claim.Key}}, nil)
+			continue
+		}
+		s.enqueue(inst, structs.Record{Complete: &structs.Complete{ClaimID: entry.Claim.ID, Key: entry.Claim.Key,
+			Outcome: structs.OutcomeUnknown, Reason: structs.ReasonHolderLost}}, nil)
+	}
+}
+
+// restoreFromSnapshot gives an instance a new fold from a snapshot taken through encoding.
+func (s *simulation) restoreFromSnapshot() {
+	inst := s.drawInstance()
+	snapshot := &ledger.Snapshot{}
+	inst.fold.Fill(snapshot)
+	data, err := ledger.Encode(snapshot)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	decoded, err := ledger.Decode(data)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	inst.fold = ledger.New()
+	inst.fold.Restore(decoded)
+}
+
+// prune forgets what was issued before now; time moves on so that new claims count.
+func (s *simulation) prune() {
+	before := s.now.UnixMilli()
+	if s.mutation == pruneWithoutRefusal {
+		for _, inst := range s.instances {
+			inst.fold.Keys = map[structs.KeyID]*ledger.KeyEntry{}
+		}
+		return
+	}
+	s.enqueue(s.drawInstance(), structs.Record{Prune: &structs.Prune{BeforeMS: before}}, nil)
+}
--- /dev/null
+++ b/requests/simulation_test.go
@@ -0,0 +1,347 @@
+package requests_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"github.com/teaselcleat/teaselcleat/internal/prooftest"
+	"github.com/teaselcleat/teaselcleat/ledger"
+	"github.com/teaselcleat/teaselcleat/requests"
+	"github.com/teaselcleat/teaselcleat/structs"
+)
+
+func TestMain(m *testing.M) { prooftest.Main(m, "150") }
+
+// caller is one submission of a key at one instance.
+type caller struct {
+	id             string
+	key            string
+	instance       *instance
+	machine        *requests.Machine
+	pendingEvents  []requests.Event // produced but not yet given to the machine
+	claiming       bool
+	attemptPending bool // an attempt is on its way
+	executions     int  // attempts of this submission that a runner executed
+	finish         *requests.Finish
+}
+
+// instance is one instance's boot: its writer, its fold and its requests.
+type instance struct {
+	name      string
+	unflushed []structs.Record // not yet appended
+	claimants []*caller        // of writer[i], if it is a claim that may be abandoned
+	fold      *ledger.State
+	callers   []*caller
+	dead      bool
+	paused    bool
+}
+
+// simulation is the log, the instances and the runner of a proof.
+type simulation struct {
+	t          *rapid.T
+	now        time.Time
+	log        []structs.Record
+	instances  []*instance
+	callers    []*caller
+	executions map[string]int
+	issuedAt   map[string]int64 // when the caller made each key
+	keys       []string
+	seq        int
+	// mutation switches off one mechanism, to see that the proof notices.
+	mutation mutation
+}
+
+type mutation int
+
+const (
+	noMutation mutation = iota
+	sendBeforeClaimRead
+	releaseAfterSend
+	pruneWithoutRefusal
+	releaseByAnother
+)
+
+func newSimulation(t *rapid.T, mutated mutation) *simulation {
+	s := &simulation{t: t, now: time.Unix(1_800_000_000, 0), executions: map[string]int{}, issuedAt: map[string]int64{}, mutation: mutated}
+	for range 3 {
+		s.addInstance()
+	}
+	return s
+}
+
+func (s *simulation) addInstance() *instance {
+	s.seq++
+	inst := &instance{name: fmt.Sprintf("h%d", s.seq), fold: ledger.New()}
+	s.instances = append(s.instances, inst)
+	return inst
+}
+
+func (s *simulation) live() []*instance {
+	var live []*instance
+	for _, inst := range s.instances {
+		if !inst.dead && !inst.paused {
+			live = append(live, inst)
+		}
+	}
+	return live
+}
+
+func (s *simulation) drawInstance() *instance {
+	live := s.live()
+	if len(live) == 0 {
+		return s.addInstance()
+	}
+	return rapid.SampledFrom(live).Draw(s.t, "holder")
+}
+
+// newKey makes a key and notes when; callers state that time with each try.
+func (s *simulation) newKey() {
+	key := fmt.Sprintf("k%d", len(s.keys)+1)
+	s.keys = append(s.keys, key)
+	s.issuedAt[key] = s.now.UnixMilli()
+}
+
+func (s *simulation) submit() {
+	inst := s.drawInstance()
+	s.seq++
+	if len(s.keys) == 0 || rapid.IntRange(0, 5).Draw(s.t, "new key") == 0 {
+		s.newKey()
+	}
+	recent := s.keys[max(0, len(s.keys)-2):]
+	c := &caller{id: fmt.Sprintf("c%d", s.seq), key: rapid.SampledFrom(recent).Draw(s.t, "key"), instance: inst}
+	c.machine = requests.New(requests.Spec{Key: structs.KeyID{Key: c.key}, Class: "flow", Deadline: s.now.Add(20 * time.Second)}, c.id)
+	inst.callers = append(inst.callers, c)
+	s.callers = append(s.callers, c)
+	s.stepMachine(c, requests.Started{})
+}
+
+func (s *simulation) stepMachine(c *caller, event requests.Event) {
+	for _, action := range c.machine.Step(event, s.now) {
+		s.execute(c, action)
+	}
+}
+
+func (s *simulation) enqueue(inst *instance, record structs.Record, owner *caller) {
+	inst.unflushed = append(inst.unflushed, record)
+	inst.claimants = append(inst.claimants, owner)
+}
+
+func (s *simulation) execute(c *caller, action requests.Action) {
+	key := structs.KeyID{Key: c.key}
+	switch a := action.(type) {
+	case requests.AppendClaim:
+		c.claiming = true
+		s.enqueue(c.instance, structs.Record{Claim: &structs.Claim{ID: c.id, Key: key, Class: "flow", Holder: c.instance.name, IssuedMS: s.issuedAt[c.key]}}, c)
+		if s.mutation == sendBeforeClaimRead {
+			c.claiming = false
+			c.pendingEvents = append(c.pendingEvents, requests.ClaimRead{Entry: &ledger.KeyEntry{Claim: structs.Claim{ID: c.id}, Phase: ledger.KeyOpen}})
+		}
+	case requests.Pick:
+		c.pendingEvents = append(c.pendingEvents, requests.RunnerPicked{Runner: "r"})
+	case requests.Send:
+		c.attemptPending = true
+	case requests.AppendRelease:
+		s.enqueue(c.instance, structs.Record{Release: &structs.Release{ClaimID: c.id, Key: key, Reason: a.Reason}}, nil)
+	case requests.AppendComplete:
+		s.enqueue(c.instance, structs.Record{Complete: &structs.Complete{ClaimID: c.id, Key: key, Outcome: a.Outcome, Reason: a.Reason, Holder: true, Status: a.Status, Answer: a.Answer, Kept: a.Kept}}, nil)
+		if s.mutation == releaseAfterSend && a.Outcome == structs.OutcomeUnknown {
+			s.enqueue(c.instance, structs.Record{Release: &structs.Release{ClaimID: c.id, Key: key}}, nil)
+			c.instance.unflushed[len(c.instance.unflushed)-2].Complete = nil
+		}
+	case requests.Finish:
+		c.finish = &a
+	}
+}
+
+// deliverEvent gives one waiting event to its machine.
+func (s *simulation) deliverEvent() {
+	for _, inst := range s.live() {
+		for _, c := range inst.callers {
+			if len(c.pendingEvents) > 0 {
+				event := c.pendingEvents[0]
+				c.pendingEvents = c.pendingEvents[1:]
+				s.stepMachine(c, event)
+				return
+			}
+		}
+	}
+}
+
+// flush appends the oldest record of a writer. The answer may be lost, so that
+// the record is appended again later.
+func (s *simulation) flush() {
+	inst := s.drawInstance()
+	if len(inst.unflushed) == 0 {
+		return
+	}
+	record, owner := inst.unflushed[0], inst.claimants[0]
+	if owner != nil && owner.finish != nil && rapid.Bool().Draw(s.t, "abandoned in time") {
+		inst.unflushed, inst.claimants = inst.unflushed[1:], inst.claimants[1:]
+		return
+	}
+	s.log = append(s.log, record)
+	if !rapid.Bool().Draw(s.t, "answer lost") {
+		inst.unflushed, inst.claimants = inst.unflushed[1:], inst.claimants[1:]
+	}
+}
+
+// read folds some of the log at one instance and tells claims their ruling.
+func (s *simulation) read() {
+	inst := s.drawInstance()
+	for range rapid.IntRange(1, 4).Draw(s.t, "records") {
+		if int(inst.fold.Next) >= len(s.log) {
+			return
+		}
+		record := s.log[inst.fold.Next]
+		verdict := inst.fold.Apply(&record)
+		if record.Claim != nil {
+			s.deliverVerdict(inst, record.Claim, verdict)
+		}
+	}
+}
+
+func (s *simulation) deliverVerdict(inst *instance, claim *structs.Claim, verdict ledger.Verdict) {
+	for _, c := range inst.callers {
+		if c.id != claim.ID || !c.claiming {
+			continue
+		}
+		c.claiming = false
+		if verdict.Why == ledger.VoidExpired {
+			c.pendingEvents = append(c.pendingEvents, requests.ClaimRead{Reason: structs.ReasonKeyExpired})
+			return
+		}
+		entry := *inst.fold.Keys[claim.Key]
+		lost := entry.Phase == ledger.KeyOpen && entry.Claim.ID != c.id && s.looksDead(entry.Claim.Holder)
+		c.pendingEvents = append(c.pendingEvents, requests.ClaimRead{Entry: &entry, HolderLost: lost})
+		return
+	}
+	if verdict.Valid && claim.Holder == inst.name { // nobody waits for it any more
+		s.enqueue(inst, structs.Record{Release: &structs.Release{ClaimID: claim.ID, Key: claim.Key}}, nil)
+	}
+}
+
+func (s *simulation) looksDead(name string) bool {
+	for _, inst := range s.instances {
+		if inst.name == name {
+			return inst.dead || inst.paused // a paused holder looks just as dead
+		}
+	}
+	return true
+}
+
+// endAttempt lets the runner end an attempt, whoever still waits for it.
+func (s *simulation) endAttempt() {
+	var waiting []*caller
+	for _, c := range s.callers {
+		if c.attemptPending {
+			waiting = append(waiting, c)
+		}
+	}
+	if len(waiting) == 0 {
+		return
+	}
+	c := rapid.SampledFrom(waiting).Draw(s.t, "attempt")
+	c.attemptPending = false
+	end := requests.AttemptEnded{RetryAllowed: rapid.Bool().Draw(s.t, "retry")}
+	switch rapid.IntRange(0, 4).Draw(s.t, "attempt ends") {
+	case 0:
+		end.Kind = requests.AttemptNotSent
+	case 1:
+		end.Kind = requests.AttemptRefused
+	case 2:
+		end.Kind = requests.AttemptBroken
+	case 3:
+		end.Kind = requests.AttemptBroken
+		s.runAtRunner(c)
+	case 4:
+		end.Kind = requests.AttemptAnswered
+		end.Status = 200
+		end.Answer = []byte("for " + c.key)
+		s.runAtRunner(c)
+	}
+	c.pendingEvents = append(c.pendingEvents, end)
+}
+
+func (s *simulation) runAtRunner(c *caller) {
+	c.executions++
+	s.executions[c.key]++
+}
+
+func (s *simulation) advanceTime() {
+	s.now = s.now.Add(time.Duration(rapid.IntRange(1, 12000).Draw(s.t, "ms")) * time.Millisecond)
+}
+
+func (s *simulation) passDeadlines() {
+	for _, inst := range s.live() {
+		for _, c := range inst.callers {
+			if c.finish == nil && rapid.Bool().Draw(s.t, "deadline") {
+				s.stepMachine(c, requests.DeadlinePassed{})
+			}
+		}
+	}
+}
+
+// check states what must hold at every moment.
+func (s *simulation) check() {
+	for key, times := range s.executions {
+		if times > 1 {
+			s.t.Fatalf("key %s ran %d times", key, times)
+		}
+	}
+	for _, c := range s.callers {
+		if c.finish == nil {
+			continue
+		}
+		if c.finish.Outcome == structs.OutcomeNotRun && c.executions > 0 {
+			s.t.Fatalf("caller %s was told not run and it ran", c.id)
+		}
+		if c.finish.Outcome == structs.OutcomeRan && string(c.finish.Answer) != "for "+c.key {
+			s.t.Fatalf("caller %s of %s got answer %q", c.id, c.key, c.finish.Answer)
+		}
+	}
+}
+
+func (s *simulation) run() {
+	s.t.Repeat(map[string]func(*rapid.T){
+		"submit":     func(*rapid.T) { s.submit() },
+		"deliver":    func(*rapid.T) { s.deliverEvent() },
+		"advance":    func(*rapid.T) { s.flush(); s.read(); s.deliverEvent(); s.deliverEvent() },
+		"advance2":   func(*rapid.T) { s.flush(); s.read(); s.deliverEvent(); s.endAttempt(); s.deliverEvent() },
+		"flush":      func(*rapid.T) { s.flush() },
+		"flush2":     func(*rapid.T) { s.flush() },
+		"read":       func(*rapid.T) { s.read() },
+		"read2":      func(*rapid.T) { s.read() },
+		"attempt":    func(*rapid.T) { s.endAttempt() },
+		"kill":       func(*rapid.T) { s.killInstance() },
+		"pause":      func(*rapid.T) { s.pauseOrResume() },
+		"close lost": func(*rapid.T) { s.closeLostClaims() },
+		"restart":    func(*rapid.T) { s.restoreFromSnapshot() },
+		"pass":       func(*rapid.T) { s.advanceTime() },
+		"expire":     func(*rapid.T) { s.passDeadlines() },
+		"prune":      func(*rapid.T) { s.prune() },
+		"":           func(*rapid.T) { s.check() },
+	})
+}
+
+func TestNonIdempotentRequestsRunAtMostOnce(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { newSimulation(t, noMutation).run() })
+}
+
+// The proof must notice each mechanism that is taken out.
+func TestProofNoticesBrokenMechanisms(t *testing.T) {
+	for name, broken := range map[string]mutation{
+		"send before the claim is read back":  sendBeforeClaimRead,
+		"release after something was sent":    releaseAfterSend,
+		"forget keys without refusing them":   pruneWithoutRefusal,
+		"release of a lost holder by another": releaseByAnother,
+	} {
+		t.Run(name, func(t *testing.T) {
+			if !prooftest.Violates(func(t *rapid.T) { newSimulation(t, broken).run() }) {
+				t.Fatal("no violation was found")
+			}
+		})
+	}
+}
