--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,7 +1,7 @@
-// Package balancer owns the choice of a runner for each request and the queue
-// of requests that wait for a slot. It is pure: the caller passes the time and
-// holds the lock. Instances share no counter; each learns how busy a runner is
-// from the runner's own words.
+// Package balancer selects a runner for each request and queues the requests that
+// wait for a slot. It reads no clock and takes no lock: the caller passes the time
+// and serializes the calls. Instances share no counters; each learns the load of a
+// runner from the runner's own reports.
 package balancer
 
 import (
@@ -13,9 +13,9 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// Limits and rates of the balancer.
+// Limits, rates and intervals of the balancer.
 const (
-	// MaxWaiting is how many requests may wait for a slot.
+	// MaxWaiting is the maximum number of requests that wait for a slot.
 	MaxWaiting        = 4096
 	defaultSlots      = 8
 	decreaseFactor    = 0.7
@@ -29,20 +29,20 @@
 	noUpstreamBackoff = 2 * time.Second
 )
 
-// Result is how an attempt at a runner ended, as far as load goes.
+// Result is the result of an attempt at a runner, as far as it concerns load.
 type Result int
 
 // Results of attempts.
 const (
-	// ResultAnswered means the runner answered.
+	// ResultAnswered means that the runner answered.
 	ResultAnswered Result = iota + 1
-	// ResultBusy means the runner refused for lack of slots.
+	// ResultBusy means that the runner refused because it had no free slot.
 	ResultBusy
-	// ResultLeaving means the runner refused since it is leaving.
+	// ResultLeaving means that the runner refused because it is leaving.
 	ResultLeaving
-	// ResultFailed means the runner could not be reached or broke off.
+	// ResultFailed means that the runner was unreachable or the connection broke.
 	ResultFailed
-	// ResultAbandoned means this side gave up.
+	// ResultAbandoned means that this instance cancelled the attempt.
 	ResultAbandoned
 )
 
@@ -50,7 +50,7 @@
 	entry          membership.Listed
 	limit          float64
 	inFlight       int
-	busy           int // slots in use by anyone, as the runner last said
+	busy           int // slots in use by all instances, as the runner last reported
 	busyReportedAt time.Time
 	failures       int
 	backoffUntil   time.Time
@@ -67,30 +67,30 @@
 	exclude  []string
 }
 
-// Grant gives a waiting request its slot, or refuses it.
+// Grant assigns a slot to a waiting request, or refuses the request.
 type Grant struct {
 	Waiter  Waiter
 	Runner  string // empty if refused
 	Refusal Refusal
 }
 
-// Refusal says why no slot can be had and when to come back.
+// Refusal is the reason why no slot is available, and when to retry.
 type Refusal struct {
 	Reason     structs.Reason
 	RetryAfter time.Duration
 }
 
-// Balancer is the state of one instance. It is not safe for concurrent use.
+// Balancer is the load balancer of one instance. It is not safe for concurrent use.
 type Balancer struct {
 	runners      map[string]*runner
 	order        []string
-	queue        []queuedRequest // by latest start
+	queue        []queuedRequest // sorted by latest start
 	latency      map[string]time.Duration
 	random       *rand.Rand
-	leavingBoots map[string]int64 // boots known to be leaving, by runner
+	leavingBoots map[string]int64 // by runner ID, the newest boot that is leaving
 }
 
-// New returns a balancer without runners. The seed decides ties only.
+// New returns a balancer without runners. The seed only affects how ties are broken.
 func New(seed uint64) *Balancer {
 	return &Balancer{
 		runners:      map[string]*runner{},
@@ -100,8 +100,9 @@
 	}
 }
 
-// Update takes the platform's list. A runner known to be leaving stays so until
-// it is listed with a later boot, however old or wavering the list is.
+// Update applies the platform's list of processes. A runner that was marked as leaving
+// stays so until it is listed with a later boot, even if the list is stale or
+// inconsistent.
 func (b *Balancer) Update(list []membership.Listed) {
 	listed := map[string]bool{}
 	for _, entry := range list {
@@ -154,8 +155,8 @@
 	r.leaving = leaving
 }
 
-// MarkLeaving stops new work for a runner's boot for good. It reports whether
-// this was news.
+// MarkLeaving permanently stops new work for a runner's boot. It reports whether the
+// boot was not marked before.
 func (b *Balancer) MarkLeaving(id string, boot int64) bool {
 	if known, marked := b.leavingBoots[id]; marked && known >= boot {
 		return false
@@ -167,7 +168,7 @@
 	return true
 }
 
-// Runner returns a runner's list entry.
+// Runner returns the list entry of a runner.
 func (b *Balancer) Runner(id string) (membership.Listed, bool) {
 	r := b.runners[id]
 	if r == nil {
@@ -176,8 +177,8 @@
 	return r.entry, true
 }
 
-// Acquire asks for a slot. It returns a grant with a runner, a grant with a
-// refusal, or false if the request now waits under the given identifier.
+// Acquire requests a slot. It returns a grant with a runner, a grant with a refusal,
+// or false if the request was queued under the given identifier.
 func (b *Balancer) Acquire(id Waiter, class string, deadline time.Time, exclude []string, now time.Time) (Grant, bool) {
 	if len(b.queue) == 0 {
 		if r := b.pickRunner(exclude, now); r != nil {
@@ -207,7 +208,7 @@
 	return defaultLatency
 }
 
-// refusalFor decides whether waiting is hopeless.
+// refusalFor returns a refusal if a request cannot get a slot before its deadline.
 func (b *Balancer) refusalFor(class string, deadline, now time.Time) (Refusal, bool) {
 	capacity := b.capacity()
 	if capacity == 0 {
@@ -240,8 +241,9 @@
 	return total
 }
 
-// pickRunner chooses the runner with the lowest share of slots in use. Ties fall to a
-// random one, so that instances do not move in step.
+// pickRunner returns the usable runner with the lowest fraction of slots in use, or nil.
+// Ties are broken at random, so that instances do not all pick the same runner. If
+// only excluded runners are usable, one of them is picked.
 func (b *Balancer) pickRunner(exclude []string, now time.Time) *runner {
 	if len(b.order) == 0 {
 		return nil
@@ -275,7 +277,7 @@
 		return false
 	}
 	if r.failures > 0 {
-		return r.inFlight == 0 // one probe at a time
+		return r.inFlight == 0 // one probe at a time after a failure
 	}
 	return float64(r.inFlight) < r.limit
 }
@@ -297,7 +299,8 @@
 	return false
 }
 
-// Done returns a slot. busy is the runner's own count, or negative if unknown.
+// Done releases a slot. busy is the number of slots in use that the runner reported,
+// or negative if unknown.
 func (b *Balancer) Done(id, class string, result Result, took time.Duration, busy int, now time.Time) {
 	r := b.runners[id]
 	if r == nil {
@@ -340,7 +343,7 @@
 	b.latency[class] = average + time.Duration(latencySmoothing*float64(took-average))
 }
 
-// Cancel removes a waiting request and reports whether it was still waiting.
+// Cancel removes a request from the queue and reports whether it was queued.
 func (b *Balancer) Cancel(id Waiter) bool {
 	for i, request := range b.queue {
 		if request.id == id {
@@ -351,8 +354,8 @@
 	return false
 }
 
-// Dispatch grants free slots to waiting requests, the most urgent first, and
-// refuses at once those that can no longer be in time.
+// Dispatch assigns free slots to waiting requests in order of their latest start, and
+// refuses the requests that can no longer meet their deadline.
 func (b *Balancer) Dispatch(now time.Time) []Grant {
 	var grants []Grant
 	for len(b.queue) > 0 {
@@ -373,5 +376,5 @@
 	return grants
 }
 
-// Waiting is the number of waiting requests.
+// Waiting returns the number of waiting requests.
 func (b *Balancer) Waiting() int { return len(b.queue) }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -22,8 +22,8 @@
 	return membership.Listed{ID: id, Role: membership.RoleRunner, Boot: boot, Leaving: leaving, Slots: 2}
 }
 
-// A runner's boot that was once known to be leaving gets nothing new, whatever
-// the list says afterwards; slots are never oversubscribed and never leak.
+// A runner's boot that was marked as leaving gets no new request, regardless of later
+// lists. Slots are never oversubscribed and never leak.
 func TestLeavingRunnersGetNothingNew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := balancer.New(1)
@@ -31,7 +31,7 @@
 		slotsInUse := map[string]int{}
 		leavingBoots := map[string]int64{}
 		boots := map[string]int64{"r0": 1, "r1": 1, "r2": 1}
-		listedBoots := map[string]int64{} // the boot that the list showed last
+		listedBoots := map[string]int64{} // by runner, the boot in the latest list
 		waiting := 0
 		checkGrant := func(granted balancer.Grant) {
 			if granted.Runner == "" {
@@ -39,10 +39,10 @@
 			}
 			slotsInUse[granted.Runner]++
 			if leavingBoot, ok := leavingBoots[granted.Runner]; ok && listedBoots[granted.Runner] <= leavingBoot {
-				t.Fatalf("%s is leaving and was given work", granted.Runner)
+				t.Fatalf("%s was assigned work although it is leaving", granted.Runner)
 			}
 			if slotsInUse[granted.Runner] > 2 {
-				t.Fatalf("%s holds %d of 2 slots", granted.Runner, slotsInUse[granted.Runner])
+				t.Fatalf("%s uses %d of 2 slots", granted.Runner, slotsInUse[granted.Runner])
 			}
 		}
 		next := balancer.Waiter(0)
@@ -96,7 +96,7 @@
 			"pass": func(t *rapid.T) { now = now.Add(time.Second) },
 			"": func(t *rapid.T) {
 				if b.Waiting() != waiting {
-					t.Fatalf("%d wait, not %d", b.Waiting(), waiting)
+					t.Fatalf("%d requests wait, want %d", b.Waiting(), waiting)
 				}
 			},
 		})
@@ -114,7 +114,7 @@
 	}
 	b.Done("r0", "slow", balancer.ResultAnswered, 10*time.Second, 2, startTime)
 	_, decided := b.Acquire(10, "slow", startTime.Add(time.Hour), nil, startTime)
-	is.True(decided) // the slot just returned
+	is.True(decided) // gets the slot that was just released
 	granted, decided := b.Acquire(11, "slow", startTime.Add(5*time.Second), nil, startTime)
 	is.True(decided)
 	is.Equal(granted.Refusal.Reason, structs.ReasonCannotMeetTarget)
@@ -145,5 +145,5 @@
 			spent++
 		}
 	}
-	is.True(spent <= 50+200) // the reserve and a fifth of the requests
+	is.True(spent <= 50+200) // the initial 50 tokens and a fifth of 1000 requests
 }
--- a/balancer/budget.go
+++ b/balancer/budget.go
@@ -6,8 +6,8 @@
 	budgetCap        = 50.0
 )
 
-// Budget bounds retries to a share of the requests seen, so that retries cannot
-// multiply an overload. It is not safe for concurrent use.
+// Budget limits retries to a fraction of the requests, so that retries do not amplify
+// an overload. It is not safe for concurrent use.
 type Budget struct {
 	tokens float64
 }
@@ -15,10 +15,10 @@
 // NewBudget returns a full budget.
 func NewBudget() *Budget { return &Budget{tokens: budgetCap} }
 
-// Request adds the share that one request earns.
+// Request adds the fraction of a retry that one request earns.
 func (b *Budget) Request() { b.tokens = min(budgetCap, b.tokens+budgetPerRequest) }
 
-// Spend takes one retry and reports false if the budget is used up.
+// Spend consumes one retry. It returns false if the budget is exhausted.
 func (b *Budget) Spend() bool {
 	if b.tokens < 1 {
 		return false
--- a/gangs/coordinator.go
+++ b/gangs/coordinator.go
@@ -1,7 +1,7 @@
-// Package gangs owns the steps by which a gang's run starts on all of its
-// workers or on none, is kept alive by its leases, and ends as a whole. The
-// coordinator is pure: it takes events and the time and returns actions; the
-// executor in package instance carries them out.
+// Package gangs coordinates gang runs: a run starts on all of its workers or on
+// none, stays alive while its leases are renewed, and ends as a whole. The
+// coordinator does no I/O and reads no clock: Step takes an event and the time
+// and returns actions, which the executor in package instance carries out.
 package gangs
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/teaselcleat/teaselcleat/worker"
 )
 
-// Config holds the coordinator's times.
+// Config holds the term and the timeouts of a Coordinator.
 type Config struct {
 	Term          int64
 	LeaseTTL      time.Duration
 	ReclaimWithin time.Duration
-	// RecordWait is how long a run waits for its start to be read back from the log.
+	// RecordWait bounds how long a run waits until its start is read back from the log.
 	RecordWait time.Duration
 }
 
-// Coordinator holds the runs of one term. It is not safe for concurrent use.
+// Coordinator manages the gang runs of one term. It is not safe for concurrent use.
 type Coordinator struct {
 	config   Config
 	gangs    map[string]*gang
@@ -34,7 +34,7 @@
 	return &Coordinator{config: config, gangs: map[string]*gang{}, nextPoll: map[string]time.Time{}}
 }
 
-// Step takes an event and returns what to do.
+// Step processes an event and returns the actions to execute.
 func (c *Coordinator) Step(event Event, now time.Time) []Action {
 	switch e := event.(type) {
 	case Launch:
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// adopt trusts nothing but the record: the first polls will show which members
-// still hold their leases.
+// adopt takes over a run from its record alone. The first polls show which
+// members still hold their leases.
 func (c *Coordinator) adopt(e Adopt, now time.Time) {
 	g := &gang{job: e.Job, run: e.Run, startRecorded: true, startAppended: true, adoptedAt: now}
 	for _, m := range e.Members {
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// withdraw gives up a run of which no task was told to start. A start record
-// that may stand in the log is taken back.
+// withdraw ends a run before any start call was sent. If a start record was
+// appended, a stop record revokes it.
 func (c *Coordinator) withdraw(g *gang, failedWorker string, now time.Time) []Action {
 	return c.withdrawAs(g, scheduler.RunNotStarted, failedWorker, now)
 }
@@ -137,9 +137,9 @@
 	return actions
 }
 
-// releaseLeases gives up all leases. The scheduler is told of the run's end only when
-// the workers have answered, or the leases have lapsed, so that it does not
-// place others on accelerators that are still held.
+// releaseLeases releases the leases of all members. The scheduler is notified of
+// the end of the run only after all workers have answered or the leases have
+// lapsed, so that it places no other run on accelerators that are still leased.
 func (g *gang) releaseLeases(result scheduler.Result, failedWorker string, now time.Time) []Action {
 	g.result = scheduler.RunEnded{Run: g.run, Result: result, Worker: failedWorker}
 	g.enterPhase(phaseReleasing, now)
@@ -159,10 +159,10 @@
 	return []Action{RunEnded{g.result}}
 }
 
-// halt ends a run at once on all members. An adopted run waits until every
-// member has answered under this term, or until the earlier holder's
-// reservations have lapsed: to release one member while a start of that holder
-// is on its way to another would let the gang run in part.
+// halt ends a run on all members without a checkpoint. An adopted run is halted
+// only after every member has answered under this term or the reservations of
+// the previous leader have lapsed: if one member were released while a start
+// call of that leader was in flight to another, the gang would run in part.
 func (c *Coordinator) halt(g *gang, cause haltCause, now time.Time) []Action {
 	if !c.fenced(g, now) {
 		g.pendingHalt = &cause
@@ -175,7 +175,7 @@
 	return append(g.releaseLeases(cause.result, cause.failedWorker, now), AppendStop{stop})
 }
 
-// fenced reports whether no start of an earlier holder can count any more.
+// fenced reports whether no start call of a previous leader can still take effect.
 func (c *Coordinator) fenced(g *gang, now time.Time) bool {
 	return g.adoptedAt.IsZero() || g.allReported() || now.Sub(g.adoptedAt) > c.config.LeaseTTL
 }
@@ -222,7 +222,7 @@
 	return scheduler.RunStopped
 }
 
-// stopBeforeStart ends a run that is asked to stop before it started.
+// stopBeforeStart ends a run that receives a stop request before it has started.
 func (c *Coordinator) stopBeforeStart(g *gang, e StopRun, now time.Time) []Action {
 	if e.Reason == structs.ReasonCancelled {
 		return c.withdrawAs(g, scheduler.RunAborted, "", now)
@@ -230,8 +230,8 @@
 	return c.withdraw(g, "", now)
 }
 
-// onTick polls workers, gives up steps that took too long and notices members
-// that went silent.
+// onTick polls workers, ends runs whose current phase timed out, and detects
+// members whose leases were not renewed in time.
 func (c *Coordinator) onTick(e Tick, now time.Time) []Action {
 	var actions []Action
 	for _, g := range c.sortedGangs() {
@@ -249,7 +249,7 @@
 	case phaseRecording:
 		return c.tickRecording(g, e, now)
 	case phaseStarting:
-		// A start may be on its way as long as a lease of the round can be held.
+		// A start call may still take effect while a lease of the round can be valid.
 		if now.Sub(g.roundStarted) > c.config.LeaseTTL {
 			return c.halt(g, haltCause{structs.ReasonMemberLost, g.firstUnacked(), scheduler.RunLost}, now)
 		}
@@ -266,8 +266,8 @@
 	return nil
 }
 
-// tickRecording keeps the reservations fresh while the record is waited for. A
-// run that may be repeated starts without it while the log is out.
+// tickRecording renews the reservations while the start record has not been read
+// back. An idempotent run starts without the record while the log is unavailable.
 func (c *Coordinator) tickRecording(g *gang, e Tick, now time.Time) []Action {
 	if g.idempotent && !e.LogAvailable {
 		g.startUnrecorded = true
@@ -295,7 +295,8 @@
 	return ""
 }
 
-// silentMember names a member not heard of for most of its lease.
+// silentMember returns a member whose lease was not renewed for three quarters of
+// the lease TTL, or an empty string.
 func (c *Coordinator) silentMember(g *gang, now time.Time) string {
 	for _, m := range g.members {
 		if now.Sub(m.leaseRenewed) > c.config.LeaseTTL*3/4 {
@@ -305,13 +306,13 @@
 	return ""
 }
 
-// pollWorkers renews the leases of each worker in one call.
+// pollWorkers renews all leases on a worker with a single call.
 func (c *Coordinator) pollWorkers(now time.Time) []Action {
 	runsByWorker := map[string][]string{}
 	var workers []string
 	for _, g := range c.sortedGangs() {
 		if g.phase < phaseRunning || g.phase == phaseReleasing {
-			continue // renewed in whole rounds only, see reserveAll
+			continue // leases of the other phases are renewed in rounds, see reserveAll
 		}
 		for _, m := range g.members {
 			if runsByWorker[m.Worker] == nil {
--- a/gangs/events.go
+++ b/gangs/events.go
@@ -8,13 +8,13 @@
 	"github.com/teaselcleat/teaselcleat/worker"
 )
 
-// Action is something the executor must do.
+// Action is an instruction for the executor.
 type Action interface{ isAction() }
 
-// CallKind names a call to a worker.
+// CallKind is the kind of a call to a worker.
 type CallKind int
 
-// Kinds of calls.
+// Kinds of calls to a worker.
 const (
 	CallReserve CallKind = iota + 1
 	CallStart
@@ -22,7 +22,7 @@
 	CallRelease
 )
 
-// Call asks for a call to one worker; its end comes back as CallEnded.
+// Call requests a call to one worker. Its result is reported by CallEnded.
 type Call struct {
 	Kind         CallKind
 	Worker       string
@@ -32,27 +32,27 @@
 	Checkpoint   bool
 	Resume       bool
 	Payload      string
-	MinLease     time.Duration // for a start: the least that must be left of the lease
+	MinLease     time.Duration // remaining lease time that a start call requires
 }
 
-// Poll asks for the leases of runs on one worker to be renewed; the worker's
-// state comes back as WorkerState.
+// Poll requests the renewal of the leases of runs on one worker. The worker's
+// state is reported by WorkerState.
 type Poll struct {
 	Worker string
 	Runs   []string
 }
 
-// AppendStart asks for a run's start to be recorded; what the fold makes of it
-// comes back as StartRead.
+// AppendStart requests that the start of a run is appended to the log. The
+// verdict of the fold is reported by StartRead.
 type AppendStart struct{ Start structs.Start }
 
-// AppendStop asks for a run's stop to be recorded.
+// AppendStop requests that the stop of a run is appended to the log.
 type AppendStop struct{ Stop structs.Stop }
 
-// AppendEnd asks for a job's end to be recorded.
+// AppendEnd requests that the end of a job is appended to the log.
 type AppendEnd struct{ End structs.End }
 
-// RunEnded tells the scheduler that a run's accelerators are free.
+// RunEnded notifies the scheduler that the accelerators of a run are free.
 type RunEnded struct{ Ended scheduler.RunEnded }
 
 func (Call) isAction()        {}
@@ -62,7 +62,7 @@
 func (AppendEnd) isAction()   {}
 func (RunEnded) isAction()    {}
 
-// Event is something that happened to a run.
+// Event is an input of the Coordinator.
 type Event interface{ isEvent() }
 
 // Launch starts a run that the scheduler placed.
@@ -79,36 +79,36 @@
 	Members []structs.Member
 }
 
-// StopRun ends a run for others (Checkpoint) or at once.
+// StopRun ends a run, either after a checkpoint (preemption) or at once.
 type StopRun struct {
 	Run        string
 	Checkpoint bool
 	Reason     structs.Reason
 }
 
-// CallEnded is the end of a call. Err is nil, one of package worker's errors,
-// or another one that leaves open whether the call took effect.
+// CallEnded is the result of a Call. Err is nil, an error of package worker, or
+// another error, after which the call may or may not have taken effect.
 type CallEnded struct {
 	Call Call
 	Err  error
 }
 
-// StartRead says how the fold ruled on a run's start.
+// StartRead reports that a start record was read back, with the verdict of the fold.
 type StartRead struct {
 	Run   string
 	Valid bool
 }
 
-// WorkerState is a worker's answer to a poll, or the lack of one.
+// WorkerState is the result of a Poll. Err is set if the worker did not answer.
 type WorkerState struct {
 	Worker string
-	Asked  time.Time // before the poll was sent
+	Asked  time.Time // when the poll was sent, or earlier
 	State  worker.State
 	Err    error
 }
 
-// Tick lets time-dependent steps happen. LogAvailable says whether appends are
-// being answered.
+// Tick triggers the time-dependent steps. LogAvailable reports whether the log
+// acknowledges appends.
 type Tick struct{ LogAvailable bool }
 
 func (Launch) isEvent()      {}
--- a/gangs/gang.go
+++ b/gangs/gang.go
@@ -16,20 +16,20 @@
 	phaseStarting
 	phaseRunning
 	phaseStopping
-	phaseReleasing // ended; its leases are being given up
+	phaseReleasing // the run ended; its leases are being released
 )
 
-// member is one worker's part of a run.
+// member is the part of a run on one worker.
 type member struct {
 	structs.Member
-	acked        bool             // the current phase's call was answered well
-	callEnded    bool             // the current phase's call has ended
-	phase        worker.TaskPhase // as last reported
+	acked        bool             // the call of the current phase succeeded
+	callEnded    bool             // the call of the current phase has returned
+	phase        worker.TaskPhase // phase of the task as last reported
 	reported     bool             // the worker has reported under this term
-	leaseRenewed time.Time        // the lease is held until TTL after this, at least
+	leaseRenewed time.Time        // the lease lasts at least LeaseTTL from here
 }
 
-// gang is one run under way.
+// gang is the state of one active run.
 type gang struct {
 	job             string
 	run             string
@@ -37,27 +37,27 @@
 	resume          bool
 	idempotent      bool
 	phase           phase
-	phaseStarted    time.Time // when the phase began
-	startRecorded   bool      // the start was read back as valid
-	startAppended   bool      // the start was handed to the log
-	startUnrecorded bool      // to be started before its record is read back, as the log is out
+	phaseStarted    time.Time // start of the current phase
+	startRecorded   bool      // the start record was read back as valid
+	startAppended   bool      // the start record was submitted to the log
+	startUnrecorded bool      // start without waiting for the record, as the log is unavailable
 	members         []*member
-	roundStarted    time.Time      // when the present round of reservations was asked for
-	stopReason      structs.Reason // why it is being stopped
-	// failedMember is the first member that did not start, and pending a stop that
-	// was asked for while starting. Both wait until every start call has ended:
-	// to release one lease while a start is on its way to another worker would
-	// let the gang run in part.
+	roundStarted    time.Time      // start of the current round of reservations
+	stopReason      structs.Reason // reason of the stop in progress
+	// failedMember is the first member whose start call failed; pendingStop is a stop
+	// requested during the start. Both are handled after every start call has ended:
+	// if one lease were released while a start call was in flight to another worker,
+	// the gang would run in part.
 	failedMember string
 	pendingStop  *StopRun
-	// adoptedAt is when the run was taken over, or zero; halting is an end that
-	// waits until no start of the earlier holder can count any more.
+	// adoptedAt is when the run was taken over, or zero. pendingHalt is a halt that is
+	// deferred until no start call of the previous leader can take effect.
 	adoptedAt   time.Time
 	pendingHalt *haltCause
-	result      scheduler.RunEnded // told to the scheduler once the leases are given up
+	result      scheduler.RunEnded // reported to the scheduler after the leases are released
 }
 
-// haltCause is the end of a run on all members.
+// haltCause describes why a run is halted and what is reported of it.
 type haltCause struct {
 	reason       structs.Reason
 	failedWorker string
--- a/gangs/regression_test.go
+++ b/gangs/regression_test.go
@@ -13,7 +13,7 @@
 	"github.com/teaselcleat/teaselcleat/worker"
 )
 
-// Each test below is a failure that the property found, made small.
+// Each test below is a minimal reproduction of a failure that the property test found.
 
 var (
 	startTime        = time.Unix(1_800_000_000, 0)
@@ -25,7 +25,7 @@
 	return gangs.New(gangs.Config{Term: 1, LeaseTTL: leaseTTL, ReclaimWithin: time.Second, RecordWait: 3 * time.Second})
 }
 
-// calls picks the calls of one kind out of actions.
+// calls returns the calls of one kind among actions.
 func calls(actions []gangs.Action, kind gangs.CallKind) []gangs.Call {
 	var found []gangs.Call
 	for _, action := range actions {
@@ -36,7 +36,8 @@
 	return found
 }
 
-// startCalls brings a run of two members to the point where its starts are on their way.
+// startCalls launches a run of two members and returns its start calls, which are
+// not yet answered.
 func startCalls(c *gangs.Coordinator) []gangs.Call {
 	launched := c.Step(gangs.Launch{Place: scheduler.Place{Job: "j", Run: "j#1", Members: twoMembers}}, startTime)
 	for _, reserve := range calls(launched, gangs.CallReserve) {
@@ -51,7 +52,7 @@
 	starts := startCalls(c)
 	is.Equal(len(starts), 2)
 	after := c.Step(gangs.CallEnded{Call: starts[0], Err: errConnectionCut}, startTime)
-	is.Equal(len(calls(after, gangs.CallRelease)), 0) // the other start may still arrive
+	is.Equal(len(calls(after, gangs.CallRelease)), 0) // the other start call may still take effect
 	after = c.Step(gangs.CallEnded{Call: starts[1]}, startTime)
 	is.Equal(len(calls(after, gangs.CallRelease)), 2)
 }
@@ -71,7 +72,7 @@
 	is := is.New(t)
 	c := newCoordinator()
 	for _, start := range startCalls(c) {
-		is.True(start.MinLease > 0) // a worker with less left must refuse
+		is.True(start.MinLease > 0) // a worker whose lease has less time left must refuse
 	}
 	for _, action := range c.Step(gangs.Tick{LogAvailable: true}, startTime.Add(leaseTTL/2)) {
 		_, poll := action.(gangs.Poll)
@@ -96,12 +97,12 @@
 	c := newCoordinator()
 	c.Step(gangs.Adopt{Job: "j", Run: "j#0", Members: twoMembers}, startTime)
 	after := c.Step(gangs.StopRun{Run: "j#0", Reason: structs.ReasonCancelled}, startTime)
-	is.Equal(len(after), 0) // the earlier holder's start may be on its way to either
+	is.Equal(len(after), 0) // a start call of the previous leader may be in flight to either worker
 	state := worker.State{Tasks: []worker.Task{{Run: "j#0", Phase: worker.TaskRunning}}}
 	after = c.Step(gangs.WorkerState{Worker: "w0", Asked: startTime, State: state}, startTime)
 	is.Equal(len(calls(after, gangs.CallRelease)), 0)
 	after = c.Step(gangs.WorkerState{Worker: "w1", Asked: startTime, State: state}, startTime)
-	is.True(len(calls(after, gangs.CallRelease)) >= 2) // both; a release may go out twice
+	is.True(len(calls(after, gangs.CallRelease)) >= 2) // both members; a release may be sent twice
 }
 
 func TestAdoptedRunThatNeverStartedIsRequeued(t *testing.T) {
@@ -113,9 +114,9 @@
 	after := c.Step(gangs.WorkerState{Worker: "w1", Asked: startTime, State: state}, startTime)
 	for _, action := range after {
 		if stop, ok := action.(gangs.AppendStop); ok {
-			is.True(stop.Stop.NotStarted) // so a job that may not be repeated may still run
+			is.True(stop.Stop.NotStarted) // so that a job that is not idempotent may run again
 			return
 		}
 	}
-	t.Fatal("the run was not stopped")
+	t.Fatal("no stop record was appended for the run")
 }
--- a/gangs/running.go
+++ b/gangs/running.go
@@ -23,7 +23,7 @@
 			m.leaseRenewed = e.Asked
 		}
 		if e.Asked.Before(g.phaseStarted) {
-			continue // asked before the run came to its present step
+			continue // the poll predates the current phase
 		}
 		m.phase = reported
 		m.reported = true
@@ -44,7 +44,8 @@
 	return ""
 }
 
-// releaseUnknown frees what earlier holders left on a worker.
+// releaseUnknown releases tasks on a worker that belong to no run of this coordinator,
+// such as those left by previous leaders.
 func (c *Coordinator) releaseUnknown(e WorkerState) []Action {
 	var actions []Action
 	for _, task := range e.State.Tasks {
@@ -55,7 +56,7 @@
 	return actions
 }
 
-// evaluate judges a run by what its members last reported.
+// evaluate derives the outcome of a run from the last reports of its members.
 func (c *Coordinator) evaluate(g *gang, now time.Time) []Action {
 	if g.phase != phaseRunning && g.phase != phaseStopping {
 		return nil
@@ -98,8 +99,8 @@
 	return nil
 }
 
-// allReported reports whether every member has answered under this term. From
-// then on no start of an earlier holder can count any more, so a member of an
+// allReported reports whether every member has answered under this term. After
+// that no start call of a previous leader can take effect, so a member of an
 // adopted run that is only reserved will never start.
 func (g *gang) allReported() bool {
 	for _, m := range g.members {
--- a/gangs/simulation_calls_test.go
+++ b/gangs/simulation_calls_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// deliverCall lets one call reach its worker; its answer may be lost.
+// deliverCall executes one pending call at its worker; the answer may be lost.
 func (s *simulation) deliverCall() {
 	inst := s.drawInstance()
 	if len(inst.inFlight) == 0 {
@@ -45,10 +45,10 @@
 	sent := inst.inFlight[index]
 	inst.inFlight = append(inst.inFlight[:index], inst.inFlight[index+1:]...)
 	lost := rapid.IntRange(0, 9).Draw(s.t, "answer lost") == 0
-	s.execute(inst, sent, lost)
+	s.executeCall(inst, sent, lost)
 }
 
-func (s *simulation) execute(inst *instance, sent pendingCall, lost bool) {
+func (s *simulation) executeCall(inst *instance, sent pendingCall, lost bool) {
 	switch a := sent.action.(type) {
 	case gangs.Call:
 		err := s.callWorker(sent.term, a)
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// executing lists the workers on which a run's task executes now.
+// executing returns the workers on which a task of the run executes.
 func (s *simulation) executing(run string) []string {
 	var names []string
 	for _, name := range s.workerNames {
--- a/gangs/simulation_test.go
+++ b/gangs/simulation_test.go
@@ -22,7 +22,7 @@
 	memberCount = 3
 )
 
-// instance is an instance that places while it believes to hold the term.
+// instance is a scheduler instance. It places while its fold names it as leader.
 type instance struct {
 	name        string
 	term        int64
@@ -35,26 +35,26 @@
 	paused      bool
 }
 
-// pendingCall is a call or poll on its way, under the term it was sent with.
+// pendingCall is a call or poll in flight, with the term under which it was sent.
 type pendingCall struct {
 	action gangs.Action
 	term   int64
 }
 
-// simulation is a log, workers with real leases, and instances that come and go.
+// simulation models a log, workers with leases, and instances that start, pause and die.
 type simulation struct {
 	t           *rapid.T
 	now         time.Time
 	log         []structs.Record
 	logDown     bool
 	workers     map[string]*standin.Worker
-	unreachable map[string]bool // no call reaches the worker
+	unreachable map[string]bool // workers that no call reaches
 	workerNames []string
 	instances   []*instance
 	seq         int
 	jobs        map[string]structs.Job
-	startedRuns map[string]map[string]bool // runs of each job of which a task started
-	leaseLostAt map[string]time.Time       // when a member of an executing run was first without its lease
+	startedRuns map[string]map[string]bool // by job, runs of which at least one task started
+	leaseLostAt map[string]time.Time       // by run, when a member was first seen without its lease while others executed
 	mutation    mutation
 }
 
@@ -62,9 +62,9 @@
 
 const (
 	noMutation        mutation = iota
-	startWithoutAll            // a refused reservation counts as held
+	startWithoutAll            // a refused reservation counts as granted
 	startBeforeRecord          // tasks start before their record is read back
-	ignoreLostMembers          // a lost lease is reported as held
+	ignoreLostMembers          // a lost lease is reported as valid
 )
 
 func newSimulation(t *rapid.T, mutated mutation) *simulation {
@@ -125,7 +125,7 @@
 	}
 }
 
-// read folds the log at one instance and follows what changed.
+// read folds the log at one instance and processes the changes.
 func (s *simulation) read() {
 	inst := s.drawInstance()
 	if s.logDown {
@@ -170,7 +170,7 @@
 	}
 }
 
-// runningJobs lists the running jobs of a holder's fold, in order.
+// runningJobs returns the running jobs in an instance's fold, in order of submission.
 func (s *simulation) runningJobs(inst *instance) []*ledger.JobEntry {
 	var running []*ledger.JobEntry
 	for n := 1; n <= s.seq; n++ {
@@ -181,7 +181,7 @@
 	return running
 }
 
-// launch places a queued job on all workers.
+// launch places the first queued job on all workers.
 func (s *simulation) launch() {
 	inst := s.drawInstance()
 	if inst.term == 0 || len(inst.busy) > 0 {
@@ -248,7 +248,8 @@
 	s.now = s.now.Add(time.Duration(rapid.IntRange(1, 900).Draw(s.t, "ms")) * time.Millisecond)
 }
 
-// runSecondWithoutFaults lets a second pass in which every call arrives and is answered.
+// runSecondWithoutFaults advances the time by a second, during which every call
+// arrives and is answered.
 func (s *simulation) runSecondWithoutFaults() {
 	for range 4 {
 		s.now = s.now.Add(250 * time.Millisecond)
@@ -260,7 +261,7 @@
 			for len(inst.inFlight) > 0 {
 				sent := inst.inFlight[0]
 				inst.inFlight = inst.inFlight[1:]
-				s.execute(inst, sent, false)
+				s.executeCall(inst, sent, false)
 			}
 		}
 		s.check()
@@ -283,9 +284,9 @@
 	}
 }
 
-// maxPartialDuration is how long a run may go on anywhere after a member lost its
-// lease: the holder notices within most of a lease, and a lease not renewed
-// after that lapses.
+// maxPartialDuration bounds how long any task of a run may execute after a member
+// lost its lease: the leader detects the loss within one lease TTL, and the leases
+// that it no longer renews lapse within another.
 const maxPartialDuration = 2*leaseTTL + time.Second
 
 func (s *simulation) check() {
@@ -356,7 +357,7 @@
 	rapid.Check(t, func(t *rapid.T) { newSimulation(t, noMutation).run() })
 }
 
-// The proof must notice each mechanism that is taken out.
+// The property test must detect each mechanism that a mutation disables.
 func TestProofNoticesBrokenMechanisms(t *testing.T) {
 	for name, broken := range map[string]mutation{
 		"start without all reservations":  startWithoutAll,
@@ -365,7 +366,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if !prooftest.Violates(func(t *rapid.T) { newSimulation(t, broken).run() }) {
-				t.Fatal("no violation was found")
+				t.Fatal("the mutation was not detected")
 			}
 		})
 	}
--- a/gangs/start.go
+++ b/gangs/start.go
@@ -18,11 +18,11 @@
 	return g.reserveAll(now)
 }
 
-// reserveAll asks every member for its lease, or for a renewed one. Until a run
-// has started its leases are renewed in such whole rounds only: if all answers
-// of a round come within a quarter of the leases' time, and a worker starts a
-// task only with a quarter of its lease left, then at that moment no other
-// member's lease of the same round has lapsed.
+// reserveAll reserves or renews the leases of all members in one round. Before a
+// run has started, its leases are renewed only in such rounds: all answers of a
+// round must arrive within a quarter of the lease TTL, and a worker starts a task
+// only while a quarter of its lease is left, so when a task starts no lease of
+// the same round has lapsed.
 func (g *gang) reserveAll(now time.Time) []Action {
 	g.roundStarted = now
 	for _, m := range g.members {
@@ -49,11 +49,11 @@
 	return nil
 }
 
-// roundLimit is the time within which all answers of a round of reservations
-// must come; see reserveAll.
+// roundLimit is the time within which all answers of a reservation round must
+// arrive, see reserveAll.
 func (c *Coordinator) roundLimit() time.Duration { return c.config.LeaseTTL / 4 }
 
-// recordStart hands the start to the log once all members are reserved.
+// recordStart appends the start record after all members are reserved.
 func (c *Coordinator) recordStart(g *gang, now time.Time) []Action {
 	g.phase = phaseRecording
 	g.phaseStarted = now
@@ -80,8 +80,8 @@
 	return c.startOrRenew(g, now)
 }
 
-// onStartVoid ends a run whose start does not count: the job was cancelled or
-// another instance places now.
+// onStartVoid ends a run whose start record is void, because the job was cancelled
+// or another instance is the leader.
 func (c *Coordinator) onStartVoid(g *gang, now time.Time) []Action {
 	result := scheduler.RunAborted
 	if g.phase == phaseRecording {
@@ -90,11 +90,11 @@
 	return g.releaseLeases(result, "", now)
 }
 
-// startOrRenew starts a run whose round of reservations is fresh, and renews
-// the round first if it is not.
+// startOrRenew starts a run, or renews its reservations first if half of their
+// lease TTL has passed.
 func (c *Coordinator) startOrRenew(g *gang, now time.Time) []Action {
 	if !g.allAcked() {
-		return nil // the round's last answer will start it
+		return nil // the last answer of the round triggers the start
 	}
 	if now.Sub(g.roundStarted) > c.config.LeaseTTL/2 {
 		return g.reserveAll(now)
--- a/jobs/doc.go
+++ b/jobs/doc.go
@@ -1,8 +1,8 @@
-// Package jobs owns the model of jobs made of steps of tasks: what was
-// submitted, what became of it, the records in which both are kept, and the
-// fold of those records. It knows no clock and does no input or output.
+// Package jobs defines jobs that consist of steps of tasks, the stream records
+// that hold their submissions and their progress, and the fold of these records.
+// It reads no clock and does no I/O.
 //
-// A job's facts are split by writer, so that keeping only the newest record of
-// each key loses none: the submission and the cancellation come from whichever
-// instance the caller reached, the progress from the placing instance alone.
+// The records of a job are split by writer, so that a stream compacted to the
+// newest record of each key loses nothing: any instance that a caller reaches
+// writes submissions and cancellations, and only the leader writes progress.
 package jobs
--- a/jobs/incarnation_test.go
+++ b/jobs/incarnation_test.go
@@ -21,8 +21,9 @@
 	return decoded, string(value)
 }
 
-// A run's worker is on record with its life. Instances of a version that knows of no lives
-// read the same record, as during a rolling restart, and this one reads theirs.
+// Progress records the incarnation of a run's worker. During a rolling restart,
+// instances of a version without incarnations read the same record, and this version
+// reads theirs.
 func TestProgressRecordsTheIncarnationOfARunsWorker(t *testing.T) {
 	is := is.New(t)
 	tasks := []TaskProgress{{Flat: 1, Run: 2, Worker: "i-1", BornMS: 1790000000123}, {Flat: 3, Run: 1}, {Flat: 4, Run: 1, Worker: "i-2", BornMS: 1790000000456, Losses: 2, EarlyLosses: 1}}
@@ -30,19 +31,19 @@
 	is.Equal(decoded.Tasks, tasks)
 
 	former := &Progress{}
-	is.NoErr(json.Unmarshal([]byte(written[1:]), former)) // as the former version reads it
+	is.NoErr(json.Unmarshal([]byte(written[1:]), former)) // as the earlier version reads it
 	is.Equal(former.Tasks[0].Worker, "i-1")
 
-	decoded, err := DecodeProgress([]byte(`r{"t":[[1,2,0,0,"i-1",""]]}`)) // as it wrote
+	decoded, err := DecodeProgress([]byte(`r{"t":[[1,2,0,0,"i-1",""]]}`)) // as the earlier version writes it
 	is.NoErr(err)
 	is.Equal(decoded.Tasks, []TaskProgress{{Flat: 1, Run: 2, Worker: "i-1"}})
 
 	decoded, err = DecodeProgress([]byte(`r{"t":[[1,2,0,0,"i-1",""]],"b":[5,6]}`))
 	is.NoErr(err)
-	is.Equal(decoded.Tasks[0].BornMS, int64(0)) // lives that do not fit the tasks are none
+	is.Equal(decoded.Tasks[0].BornMS, int64(0)) // incarnations that do not match the tasks are ignored
 }
 
-// Where no lives are told apart nothing is written of them.
+// If no incarnation is known, the record has no field for them.
 func TestProgressWithoutIncarnationsOmitsTheirField(t *testing.T) {
 	is := is.New(t)
 	_, written := roundTrip(t, &Progress{State: StateRunning, Tasks: []TaskProgress{{Flat: 1, Run: 2, Worker: "i-1"}}})
--- a/jobs/invalid_records_test.go
+++ b/jobs/invalid_records_test.go
@@ -6,7 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// A record that is not one of ours changes nothing, whatever its key says.
+// A record with an invalid value, as another writer may append it, changes nothing
+// under any key.
 func TestRecordOfAnotherWriterChangesNothing(t *testing.T) {
 	for _, c := range []struct{ name, key, value string }{
 		{"bytes", "s/a1", "\x00\xff"},
@@ -41,7 +42,7 @@
 	}
 }
 
-// No bytes under any key stop the fold.
+// No value under any key makes the fold panic or accept too many tasks.
 func FuzzApply(f *testing.F) {
 	f.Add("s/a1", []byte(`{"id":"a1","t":[{"n":2,"d":[]}]}`))
 	f.Add("p/a1", []byte(`r{"d":"01","t":[[0,1,0,0,"w",""]]}`))
@@ -55,7 +56,7 @@
 		}
 		for _, job := range table.All() {
 			if job.Submission.Runs()*job.Submission.TasksOfRun() > MaxTasks {
-				t.Error("too many tasks were taken")
+				t.Error("a submission with too many tasks was accepted")
 			}
 		}
 	})
--- a/jobs/jobs_test.go
+++ b/jobs/jobs_test.go
@@ -10,7 +10,7 @@
 	"github.com/teaselcleat/teaselcleat/internal/prooftest"
 )
 
-// propertySteps is rapid's usual number of steps; these properties draw few.
+// propertySteps is rapid's default number of steps; these properties draw few.
 const propertySteps = "30"
 
 func TestMain(m *testing.M) { prooftest.Main(m, propertySteps) }
@@ -51,7 +51,7 @@
 	return mustRecord(t, record, err)
 }
 
-// A cancellation that came too late for a final state changes nothing.
+// A cancellation that is read before a final state does not override it.
 func TestFinalStateStandsAgainstLateCancel(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
@@ -63,7 +63,7 @@
 	is.Equal(table.Job("a").State(), StateDone)
 }
 
-// A tail that is behind the page of newest records does not set a job back.
+// Records of the tail that are older than the page of newest records are ignored.
 func TestOlderProgressIsIgnored(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
@@ -94,14 +94,14 @@
 		mustApply(t, table, record, 1, int64(offset+1))
 	}
 	mustApply(t, table, ForgetProgressRecord("a"), 0, 1)
-	is.True(table.Job("a") != nil) // a second copy of the submission meets the state
+	is.True(table.Job("a") != nil) // a duplicate of the submission still finds the state
 	is.Equal(table.Job("a").State(), StateDone)
 	mustApply(t, table, ForgetStateRecord("a"), 2, 2)
 	is.True(table.Job("a") == nil)
 }
 
-// Whoever reads no progress knows the state all the same, and a submission that
-// comes again while the state is kept is that of an ended job.
+// An instance that reads no progress learns the state from state records, and a
+// duplicate submission of an ended job does not requeue it while the state is kept.
 func TestStateIsKnownFromStateRecordsAlone(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
@@ -111,7 +111,7 @@
 	mustApply(t, table, StateRecord("a", StateRunning), 0, 4)
 	is.Equal(table.Job("a").State(), StateRunning)
 	mustApply(t, table, StateRecord("a", StateDone), 0, 9)
-	mustApply(t, table, StateRecord("a", StateRunning), 0, 4) // a page was newer
+	mustApply(t, table, StateRecord("a", StateRunning), 0, 4) // older than the page of newest records
 	mustApply(t, table, CancelRecord("a"), 1, 1)
 	is.Equal(table.Job("a").State(), StateDone)
 	for offset, record := range ForgetCallRecords("a") {
@@ -121,8 +121,8 @@
 	is.Equal(table.Job("a").State(), StateDone)
 }
 
-// Parts are read apart from each other: whatever their interleaving, the fold
-// ends the same.
+// Parts are read independently of each other: the result of the fold does not depend
+// on their interleaving.
 func TestFoldDoesNotDependOnInterleaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		submission, err := SubmissionRecord(exampleSubmission("a"))
@@ -165,8 +165,8 @@
 	})
 }
 
-// Losses stand behind the other fields and only where there are some, so that records
-// of before are read, and those of most tasks stay as short as they were.
+// Losses are appended to the other fields and omitted if there are none, so that
+// records of earlier versions are readable and those of most tasks stay short.
 func TestTaskProgressCarriesLosses(t *testing.T) {
 	is := is.New(t)
 	for text, task := range map[string]TaskProgress{
--- a/jobs/progress.go
+++ b/jobs/progress.go
@@ -8,25 +8,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// TaskProgress is what lasts of a task that is not done, beyond the placing
-// instance's memory.
+// TaskProgress is the stored progress of a task that is not done. It outlives the
+// leader that wrote it.
 type TaskProgress struct {
-	Flat       int    // number of the task: by occurrence, then step, then index
+	Flat       int    // number of the task, ordered by occurrence, step and index
 	Run        int    // highest run that was placed
-	Failed     int    // runs ended as failed
-	Judged     int    // highest run whose end was taken in
-	Worker     string // where Run may be; empty once it is over
-	BornMS     int64  // of the life of Worker, in Unix milliseconds; 0 if not said
-	Checkpoint string // newest saved state
-	Losses     int    // runs that were over as their worker was lost
-	// EarlyLosses are those of Losses that point at the task, as the worker was lost
-	// soon after the start.
+	Failed     int    // number of failed runs
+	Judged     int    // highest run whose end was processed
+	Worker     string // worker that may execute Run; empty after the run has ended
+	BornMS     int64  // start of the worker's incarnation in Unix milliseconds; 0 if unknown
+	Checkpoint string // newest checkpoint
+	Losses     int    // number of runs that ended because their worker was lost
+	// EarlyLosses is the part of Losses in which the worker was lost soon after the
+	// start, so that the task itself may be the cause.
 	EarlyLosses int
 }
 
-// MarshalJSON writes a list, as records are written at every change of a job
-// and read by every instance. Losses are left out where there are none, as of nearly
-// all tasks.
+// MarshalJSON encodes the progress as a list to keep records short: they are written
+// at every change of a job and read by every instance. Losses are omitted if there
+// are none, which is the case for nearly all tasks.
 func (t TaskProgress) MarshalJSON() ([]byte, error) {
 	if t.Losses == 0 {
 		return json.Marshal([...]any{t.Flat, t.Run, t.Failed, t.Judged, t.Worker, t.Checkpoint})
@@ -34,7 +34,7 @@
 	return json.Marshal([...]any{t.Flat, t.Run, t.Failed, t.Judged, t.Worker, t.Checkpoint, t.Losses, t.EarlyLosses})
 }
 
-// UnmarshalJSON reads that list.
+// UnmarshalJSON decodes the list that MarshalJSON writes.
 func (t *TaskProgress) UnmarshalJSON(encoded []byte) error {
 	fields := [...]any{&t.Flat, &t.Run, &t.Failed, &t.Judged, &t.Worker, &t.Checkpoint, &t.Losses, &t.EarlyLosses}
 	list := fields[:]
@@ -47,28 +47,28 @@
 	return nil
 }
 
-// fieldsWithoutLosses is the length of the list of a task that lost no worker.
+// fieldsWithoutLosses is the length of the list if losses are omitted.
 const fieldsWithoutLosses = 6
 
-// Progress is what became of a job. Of a job with a final state neither Done
-// nor Tasks is kept.
+// Progress is the progress of a job. Done and Tasks are omitted for a job in a
+// final state.
 type Progress struct {
 	State   State  `json:"-"`
-	Reason  string `json:"y,omitempty"` // why it failed
-	EndedMS int64  `json:"e,omitempty"` // since 1970, of the final state
-	// TurnedMS is when the turn of a step came that waits for others, since 1970; of
-	// several steps the latest. 0 if no such step's turn has come.
+	Reason  string `json:"y,omitempty"` // reason of the failure
+	EndedMS int64  `json:"e,omitempty"` // Unix milliseconds of the final state
+	// TurnedMS is when a step with dependencies became ready, in Unix milliseconds; the
+	// latest such time if there are several steps. 0 if no such step is ready yet.
 	TurnedMS int64          `json:"u,omitempty"`
-	Done     Bits           `json:"d,omitempty"` // tasks that ended as done
-	Tasks    []TaskProgress `json:"t,omitempty"` // the others, of which a run was placed
+	Done     Bits           `json:"d,omitempty"` // tasks that are done
+	Tasks    []TaskProgress `json:"t,omitempty"` // tasks that are not done and had a run placed
 }
 
-// progressRecord is progress as it is written. When the lives of the tasks' workers began
-// stands apart from the tasks: instances of a version that knows of no lives read the rest
-// and refuse lists of tasks of another length.
+// progressRecord is the stored form of Progress. The incarnations of the tasks' workers
+// are stored outside of the tasks' lists: instances of a version without incarnations
+// read the other fields and reject lists of another length.
 type progressRecord struct {
 	*Progress
-	Born []int64 `json:"b,omitempty"` // by position in Tasks; left out if none is said
+	Born []int64 `json:"b,omitempty"` // incarnations by position in Tasks; omitted if none is known
 }
 
 func newProgressRecord(p *Progress) progressRecord {
@@ -84,8 +84,8 @@
 	return record
 }
 
-// restoreBorn gives the tasks what stands apart of them. A list that does not fit is none
-// of ours: the lives are taken as unknown.
+// restoreBorn copies the incarnations into the tasks. If the list does not match the
+// tasks, another writer wrote it and the incarnations stay unknown.
 func (r progressRecord) restoreBorn() {
 	if len(r.Born) != len(r.Tasks) {
 		return
@@ -98,7 +98,7 @@
 // Bits is a set of task numbers.
 type Bits []byte
 
-// Set adds a number.
+// Set adds a number to the set.
 func (b *Bits) Set(number int) {
 	for len(*b) <= number/8 {
 		*b = append(*b, 0)
@@ -111,18 +111,18 @@
 	return number/8 < len(b) && b[number/8]&(1<<(number%8)) != 0
 }
 
-// MarshalText writes the set in hexadecimal.
+// MarshalText encodes the set in hexadecimal.
 func (b Bits) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(b)), nil }
 
-// UnmarshalText reads it.
+// UnmarshalText decodes the text that MarshalText writes.
 func (b *Bits) UnmarshalText(text []byte) error {
 	decoded, err := hex.DecodeString(string(text))
 	*b = decoded
 	return err
 }
 
-// stateLetters stand before the rest of a progress record, so that instances
-// which do not place need not read the rest.
+// stateLetters are the first bytes of progress records, one for each state. They let
+// instances that are not the leader skip decoding the remainder.
 const stateLetters = "qrdfc"
 
 var statesByLetter = [...]State{StateQueued, StateRunning, StateDone, StateFailed, StateCancelled}
@@ -135,8 +135,8 @@
 	return append([]byte{stateLetter(p.State)}, encoded...), nil
 }
 
-// stateLetter is how a state is written. One that does not exist is a broken
-// invariant.
+// stateLetter returns the letter of a state. It panics if the state does not exist,
+// since that is a violated invariant.
 func stateLetter(state State) byte {
 	for index, s := range statesByLetter {
 		if s == state {
@@ -152,10 +152,10 @@
 			return statesByLetter[index], nil
 		}
 	}
-	return "", eris.New("progress record without a state")
+	return "", eris.New("progress record does not begin with a state letter")
 }
 
-// DecodeProgress reads the value of a progress record.
+// DecodeProgress decodes the value of a progress record.
 func DecodeProgress(value []byte) (*Progress, error) {
 	state, err := decodeState(value)
 	if err != nil {
--- a/jobs/record.go
+++ b/jobs/record.go
@@ -8,14 +8,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// Record is one keyed record of the work stream. An empty value drops the key.
+// Record is one keyed record of the work stream. An empty value deletes the key.
 type Record struct {
 	Key   string
 	Value []byte
 }
 
-// Prefixes of keys. What follows is the job's ID, or the instance's name; the
-// term and the mark of the newest group of progress have one key each.
+// Prefixes of keys, which precede a job ID or an instance name. The term, the mark of
+// the newest progress group and the check record have a single key each.
 const (
 	submissionPrefix = "s/"
 	cancelPrefix     = "c/"
@@ -27,15 +27,15 @@
 	instancePrefix   = "i/"
 )
 
-// Term names the placing instance. Epoch fences its orders and its appends.
+// Term names the leader. Its epoch fences the leader's orders and appends.
 type Term struct {
 	Epoch    int64  `json:"e"`
-	Holder   string `json:"h"`           // instance name and boot; empty once handed over
-	Renewals int64  `json:"n,omitempty"` // grows with each renewal
-	Stalled  bool   `json:"s,omitempty"` // the holder cannot write progress
+	Holder   string `json:"h"`           // instance name and boot; empty after the term was handed over
+	Renewals int64  `json:"n,omitempty"` // incremented by each renewal
+	Stalled  bool   `json:"s,omitempty"` // the leader cannot write progress
 }
 
-// SubmissionRecord returns the record that accepts a job.
+// SubmissionRecord returns the record by which a job is accepted.
 func SubmissionRecord(s *Submission) (Record, error) { return encode(submissionPrefix+s.ID, s) }
 
 // ProgressRecord returns the record of a job's progress.
@@ -50,50 +50,50 @@
 // TermRecord returns the record that claims, renews or hands over the term.
 func TermRecord(t Term) (Record, error) { return encode(termKey, t) }
 
-// Instance is what an instance says of itself to the others.
+// Instance is what an instance announces to the other instances.
 type Instance struct {
-	Address  string  `json:"a"`           // IP:PORT at which it answers their calls
-	Zone     string  `json:"z,omitempty"` // its availability zone
-	CPUShare float64 `json:"c,omitempty"` // of a core
+	Address  string  `json:"a"`           // IP:PORT for calls of other instances
+	Zone     string  `json:"z,omitempty"` // availability zone
+	CPUShare float64 `json:"c,omitempty"` // CPU usage as a share of a core
 }
 
-// InstanceRecord returns the record by which an instance makes itself known.
+// InstanceRecord returns the record by which an instance announces itself.
 func InstanceRecord(name string, instance Instance) (Record, error) {
 	return encode(instancePrefix+name, instance)
 }
 
-// StateRecord returns the record of a job's state alone, which every instance
-// reads; progress is for those that may place.
+// StateRecord returns the record of a job's state alone. Every instance reads it,
+// while progress is read only by instances that may become leader.
 func StateRecord(id string, state State) Record {
 	return Record{Key: statePrefix + id, Value: []byte{stateLetter(state)}}
 }
 
-// MarkRecord returns the record that names a group of progress, by the epoch of
-// the term and the group's number in it. Alone, it is what a new placing
-// instance writes so that the store refuses the progress of former ones.
+// MarkRecord returns the record that identifies a progress group by the epoch of the
+// term and the group's number in it. A new leader writes it alone, so that the store
+// rejects the progress of previous leaders.
 func MarkRecord(epoch, number int64) Record {
 	return Record{Key: markKey, Value: fmt.Appendf(nil, "%d.%d", epoch, number)}
 }
 
-// CheckRecord returns a record that says nothing: an instance appends it to learn whether
-// a part takes any.
+// CheckRecord returns a record without content, which an instance appends to check
+// whether a part accepts appends.
 func CheckRecord() Record { return Record{Key: checkKey} }
 
 // CancelRecord returns the record that cancels a job.
 func CancelRecord(id string) Record { return Record{Key: cancelPrefix + id, Value: []byte{'1'}} }
 
-// ForgetCallRecords returns the records that drop what callers wrote of a job.
-// They go to every part in which such records lie, before ForgetProgressRecord
-// and ForgetStateRecord.
+// ForgetCallRecords returns the records that delete the submission and the
+// cancellation of a job. They are appended to every part that holds such records,
+// before ForgetProgressRecord and ForgetStateRecord.
 func ForgetCallRecords(id string) []Record {
 	return []Record{{Key: submissionPrefix + id}, {Key: cancelPrefix + id}}
 }
 
-// ForgetProgressRecord returns the record that drops a job's progress.
+// ForgetProgressRecord returns the record that deletes a job's progress.
 func ForgetProgressRecord(id string) Record { return Record{Key: progressPrefix + id} }
 
-// ForgetStateRecord returns the record that drops a job's state. It comes last,
-// so that a second copy of the submission meets the state until then.
+// ForgetStateRecord returns the record that deletes a job's state. It is appended
+// last, so that a duplicate of the submission finds the final state until then.
 func ForgetStateRecord(id string) Record { return Record{Key: statePrefix + id} }
 
 func encode(key string, value any) (Record, error) {
@@ -112,8 +112,8 @@
 	return value, nil
 }
 
-// Subject is what a record is about: a job's ID or an instance's name. The term
-// has none.
+// Subject returns the job ID or instance name in the record's key. It is empty for
+// the term and other keys without a prefix.
 func (r Record) Subject() string {
 	_, name, _ := strings.Cut(r.Key, "/")
 	return name
--- a/jobs/table.go
+++ b/jobs/table.go
@@ -9,19 +9,19 @@
 
 // Job is the folded state of one job.
 type Job struct {
-	Submission         *Submission // nil while only other records of it were read
-	Progress           []byte      // value of the newest progress record; nil before the first task was placed, or where progress is not read
-	Shown              State       // as the newest state record says; empty before the first
-	Cancelled          bool        // a cancellation is on record
-	Told               bool        // a caller of this instance was told of the final state
-	Parts              uint64      // parts of the stream in which records of it were read, a bit each
-	progressNextOffset int64       // offset of Progress plus one
-	stateNextOffset    int64       // offset of Shown plus one
-	progressState      State       // as Progress says
+	Submission         *Submission // nil until the submission is read; other records may come first
+	Progress           []byte      // value of the newest progress record; nil before the first task is placed and on instances that do not read progress
+	Shown              State       // state in the newest state record; empty before the first
+	Cancelled          bool        // a cancellation was read
+	Told               bool        // this instance reported the final state to a caller
+	Parts              uint64      // bit set of the stream's parts in which caller records of the job were read
+	progressNextOffset int64       // offset of Progress plus 1
+	stateNextOffset    int64       // offset of Shown plus 1
+	progressState      State       // state in Progress
 }
 
-// State is what callers are told. A final state that the placing instance has
-// written stands, also if a cancellation came too late for it.
+// State returns the state as reported to callers. A final state written by the leader
+// takes precedence over a later cancellation.
 func (j *Job) State() State {
 	switch {
 	case j.progressState.Final():
@@ -36,9 +36,9 @@
 	return StateQueued
 }
 
-// Change says what a record changed.
+// Change describes the effect of a record on the fold.
 type Change struct {
-	Job  string // ID of the job that changed; empty if none did
+	Job  string // ID of the changed job, or empty
 	Term bool   // the term changed or was renewed
 }
 
@@ -50,16 +50,16 @@
 	instances map[string]Instance
 }
 
-// NewTable returns an empty fold.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{jobs: map[string]*Job{}, instances: map[string]Instance{}} }
 
-// Instances returns what instances said of themselves, by name. Some may be gone.
+// Instances returns the announced instances by name. Some may no longer run.
 func (t *Table) Instances() map[string]Instance { return maps.Clone(t.instances) }
 
 // Term returns the newest term.
 func (t *Table) Term() Term { return t.term }
 
-// Job returns a job that was submitted, or nil.
+// Job returns the job, or nil if no submission of it was read.
 func (t *Table) Job(id string) *Job {
 	job := t.jobs[id]
 	if job == nil || job.Submission == nil {
@@ -68,8 +68,8 @@
 	return job
 }
 
-// Contains reports whether what a caller's record says was folded, from this
-// record or from another copy of it.
+// Contains reports whether the content of a submission, cancellation or instance
+// record was folded, from this record or from a duplicate.
 func (t *Table) Contains(record Record) bool {
 	if id, ok := cutKeyPrefix(record.Key, submissionPrefix); ok {
 		return t.Job(id) != nil
@@ -86,10 +86,10 @@
 	return err == nil && t.instances[name] == *instance
 }
 
-// Len is the number of submitted jobs that are remembered.
+// Len returns the number of jobs in the table.
 func (t *Table) Len() int { return len(t.jobs) }
 
-// All returns the submitted jobs in the order of their acceptance.
+// All returns the submitted jobs in order of acceptance.
 func (t *Table) All() []*Job {
 	list := make([]*Job, 0, len(t.jobs))
 	for _, job := range t.jobs {
@@ -107,7 +107,7 @@
 	return list
 }
 
-// Counts returns how many jobs are in each state.
+// Counts returns the number of jobs by state.
 func (t *Table) Counts() map[State]int {
 	counts := map[State]int{}
 	for _, job := range t.jobs {
@@ -118,7 +118,7 @@
 	return counts
 }
 
-// Waiting counts a queue's jobs of which no task was placed.
+// Waiting returns the number of a queue's jobs of which no task was placed.
 func (t *Table) Waiting(queue string) int {
 	count := 0
 	for _, job := range t.jobs {
@@ -129,9 +129,9 @@
 	return count
 }
 
-// Apply folds one record of a part. Offsets count within a part; all progress
-// lies in one, and so do all states. An error says that the record's value is not
-// one of ours; the fold is then as before.
+// Apply folds one record of a part. Offsets count within a part; all progress records
+// are in one part, and so are all state records. If the value is not valid, as that of
+// another writer, Apply returns an error and leaves the table unchanged.
 func (t *Table) Apply(record Record, part int, offset int64) (Change, error) {
 	if record.Key == termKey {
 		return t.applyTerm(record)
@@ -164,7 +164,7 @@
 		return err
 	}
 	if instance.Address == "" {
-		return eris.New("instance " + name + " names no address")
+		return eris.New("instance " + name + " has no address")
 	}
 	t.instances[name] = *instance
 	return nil
@@ -179,7 +179,7 @@
 		return Change{}, err
 	}
 	if term.Epoch < 1 {
-		return Change{}, eris.Errorf("a term of epoch %d", term.Epoch)
+		return Change{}, eris.Errorf("invalid term epoch %d", term.Epoch)
 	}
 	if term.Epoch < t.term.Epoch {
 		return Change{}, nil
@@ -233,10 +233,10 @@
 
 func (t *Table) applyProgress(id string, record Record, offset int64) (Change, error) {
 	if job := t.jobs[id]; job != nil && offset < job.progressNextOffset {
-		return Change{}, nil // a page was newer than this tail
+		return Change{}, nil // older than the page of newest records that was read before
 	}
 	if len(record.Value) == 0 {
-		return Change{}, nil // its state follows
+		return Change{}, nil // the deletion of the state record follows
 	}
 	state, err := decodeState(record.Value)
 	if err != nil {
@@ -251,7 +251,7 @@
 
 func (t *Table) applyState(id string, record Record, offset int64) (Change, error) {
 	if job := t.jobs[id]; job != nil && offset < job.stateNextOffset {
-		return Change{}, nil // a page was newer than this tail
+		return Change{}, nil // older than the page of newest records that was read before
 	}
 	if len(record.Value) == 0 {
 		delete(t.jobs, id)
@@ -267,5 +267,5 @@
 	return Change{Job: id}, nil
 }
 
-// Mark is the value of the newest mark of a group of progress.
+// Mark returns the value of the newest mark of a progress group.
 func (t *Table) Mark() string { return t.groupMark }
--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -10,10 +10,10 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// Sizes of the state to measure: tasks running, jobs and keys remembered.
+// stateSizes are the benchmarked sizes: running tasks, jobs and keys in the state.
 var stateSizes = []struct{ tasks, jobs, keys int }{{400, 400, 1000}, {4000, 4000, 5000}, {54000, 24000, 24000}}
 
-// buildRecords makes the stream that leads to a state of the given size.
+// buildRecords returns a stream whose fold has the given size.
 func buildRecords(tasks, jobs, keys int) []*structs.Record {
 	list := []*structs.Record{{Term: &structs.Term{Number: 1, Holder: "entry-0/1"}}}
 	perJob := max(tasks/jobs, 1)
@@ -61,7 +61,7 @@
 	}
 }
 
-// BenchmarkReady measures what a new instance does with a snapshot.
+// BenchmarkReady measures how long a new instance takes to restore a snapshot.
 func BenchmarkReady(b *testing.B) {
 	for _, s := range stateSizes {
 		b.Run(fmt.Sprintf("jobs=%d", s.jobs), func(b *testing.B) {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,48 +1,47 @@
-// Package ledger owns the fold of the ledger stream: which claim of a
-// non-idempotent request counts, what became of it, which jobs exist, which run
-// of a job is the current one and which instance places. The fold is a pure
-// function of the records in offset order, so every instance comes to the same
-// state; a record that is not valid when its turn comes is void and changes
-// nothing, which makes lost answers, double appends and races harmless.
+// Package ledger folds the ledger stream into the claims of non-idempotent requests
+// and their outcomes, the jobs and their current runs, and the term of the leader.
+// The fold is a pure function of the records in offset order, so every instance
+// computes the same state. A record that is not valid at its offset is void and
+// changes nothing, which makes lost answers, duplicate appends and races harmless.
 package ledger
 
 import (
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// Limits of the fold. They are constants, as every instance must agree on them.
+// Limits of the fold. They are constants because all instances must use the same values.
 const (
-	// MaxKeys is how many keys are remembered; claims beyond it are void.
+	// MaxKeys is the maximum number of keys in the state; further claims are void.
 	MaxKeys = 400_000
-	// MaxJobs is how many jobs are remembered; submissions beyond it are void.
+	// MaxJobs is the maximum number of jobs in the state; further submissions are void.
 	MaxJobs = 200_000
-	// MaxBlamed is how many workers are remembered as having failed one job.
+	// MaxBlamed is the maximum number of workers recorded as having failed a job.
 	MaxBlamed = 8
 )
 
-// KeyPhase is the state of a key.
+// KeyPhase is the phase of a request key.
 type KeyPhase string
 
-// Phases of a key.
+// Phases of a request key.
 const (
-	KeyOpen     KeyPhase = "open"     // claimed, its end not yet known
-	KeyReleased KeyPhase = "released" // claimed, certainly not run, free again
+	KeyOpen     KeyPhase = "open"     // claimed, outcome not recorded yet
+	KeyReleased KeyPhase = "released" // was claimed, did not run, and can be claimed again
 	KeyRan      KeyPhase = "ran"
 	KeyUnknown  KeyPhase = "unknown"
 )
 
-// KeyEntry is what is known of one key.
+// KeyEntry is the state of one request key.
 type KeyEntry struct {
 	Claim    structs.Claim  `json:"claim"`
 	Phase    KeyPhase       `json:"phase"`
 	Reason   structs.Reason `json:"reason,omitempty"`
-	ByHolder bool           `json:"by_holder,omitempty"` // the phase is the holder's own word
+	ByHolder bool           `json:"by_holder,omitempty"` // the claim holder itself recorded the phase
 	Status   int            `json:"status,omitempty"`
 	Answer   []byte         `json:"answer,omitempty"`
 	Kept     bool           `json:"kept,omitempty"`
 }
 
-// JobPhase is the state of a job.
+// JobPhase is the phase of a job.
 type JobPhase string
 
 // Phases of a job.
@@ -52,7 +51,7 @@
 	JobEnded   JobPhase = "ended"
 )
 
-// JobEntry is what is known of one job.
+// JobEntry is the state of one job.
 type JobEntry struct {
 	Job          structs.Job      `json:"job"`
 	Phase        JobPhase         `json:"phase"`
@@ -69,13 +68,13 @@
 	EndMS        int64            `json:"end_ms,omitempty"`
 }
 
-// Verdict says whether a record counted.
+// Verdict is the result of folding a record.
 type Verdict struct {
 	Valid bool
 	Why   VoidReason
 }
 
-// VoidReason says why a record is void.
+// VoidReason is the reason for which a record is void.
 type VoidReason string
 
 // Reasons for which a record is void.
@@ -103,7 +102,7 @@
 	Keys         map[structs.KeyID]*KeyEntry
 	Jobs         map[string]*JobEntry
 	Term         structs.Term
-	PrunedBefore int64 // keys and jobs issued before this are refused
+	PrunedBefore int64 // Unix milliseconds; claims and jobs issued earlier are rejected
 }
 
 // New returns the state before the first record.
@@ -111,7 +110,7 @@
 	return &State{Keys: map[structs.KeyID]*KeyEntry{}, Jobs: map[string]*JobEntry{}}
 }
 
-// Apply folds the record at the next offset.
+// Apply folds the record at offset Next.
 func (s *State) Apply(record *structs.Record) Verdict {
 	s.Next++
 	switch {
@@ -139,7 +138,8 @@
 	return void(VoidMalformed)
 }
 
-// applyClaim is valid for a key that is new or was released, once for each claim identifier.
+// applyClaim accepts a claim of a key that is new or released, unless the key's entry
+// has the same claim identifier.
 func (s *State) applyClaim(claim *structs.Claim) Verdict {
 	if claim.IssuedMS < s.PrunedBefore {
 		return void(VoidExpired)
@@ -158,7 +158,8 @@
 	return valid
 }
 
-// applyRelease is valid from the holder, for a claim that the holder has not ended itself.
+// applyRelease accepts a release by the claim holder if the holder has not recorded an
+// outcome yet.
 func (s *State) applyRelease(release *structs.Release) Verdict {
 	entry, verdict := s.entryOfClaim(release.Key, release.ClaimID)
 	if !verdict.Valid {
@@ -173,8 +174,8 @@
 	return valid
 }
 
-// applyComplete is valid once from the holder; from others it can only turn an open
-// claim unknown, and the holder's later word replaces theirs.
+// applyComplete accepts one outcome from the claim holder. Other instances can only
+// set an open claim to unknown, which a later record of the holder replaces.
 func (s *State) applyComplete(complete *structs.Complete) Verdict {
 	entry, verdict := s.entryOfClaim(complete.Key, complete.ClaimID)
 	if !verdict.Valid {
@@ -227,8 +228,8 @@
 	return valid
 }
 
-// applyCancel ends a queued job at once; a running one is marked, and its run is
-// stopped by the placing instance.
+// applyCancel ends a queued job at once. A running job is only marked as cancelled; the
+// leader stops its run.
 func (s *State) applyCancel(cancel *structs.Cancel, atMS int64) Verdict {
 	entry, exists := s.Jobs[cancel.Job]
 	if !exists {
@@ -254,7 +255,8 @@
 	e.EndMS = atMS
 }
 
-// applyStart is valid under the current term, for a queued job that may still run.
+// applyStart accepts the start of a queued job under the current term, unless the job
+// was cancelled.
 func (s *State) applyStart(start *structs.Start, atMS int64) Verdict {
 	entry, verdict := s.jobUnderTerm(start.Job, start.Term)
 	if !verdict.Valid {
@@ -274,9 +276,9 @@
 	return valid
 }
 
-// applyStop returns a run's job to the queue. A job that may not be repeated returns
-// only if nothing of the run started or if the run was checkpointed; otherwise
-// its end is unknown.
+// applyStop returns a run's job to the queue. A job that is not idempotent returns only
+// if no task of the run started or the run was checkpointed; otherwise it ends with
+// an unknown outcome.
 func (s *State) applyStop(stop *structs.Stop, atMS int64) Verdict {
 	entry, verdict := s.jobUnderTerm(stop.Job, stop.Term)
 	if !verdict.Valid {
@@ -322,7 +324,8 @@
 	e.Blamed = append(e.Blamed, worker)
 }
 
-// applyEnd ends a job under the current term. A running job's run must be named.
+// applyEnd ends a job under the current term. The record must name the current run of
+// a running job.
 func (s *State) applyEnd(end *structs.End, atMS int64) Verdict {
 	entry, verdict := s.jobUnderTerm(end.Job, end.Term)
 	if !verdict.Valid {
@@ -355,8 +358,9 @@
 	return valid
 }
 
-// applyPrune forgets what ended and was issued before the given time. From then on
-// no claim or submission that old is valid, so forgetting cannot double a run.
+// applyPrune deletes decided keys and ended jobs that were issued before the given
+// time. Claims and submissions of that age are void from then on, so a deletion
+// cannot lead to a second run.
 func (s *State) applyPrune(prune *structs.Prune) Verdict {
 	if prune.BeforeMS <= s.PrunedBefore {
 		return void(VoidPhase)
--- a/ledger/snapshot.go
+++ b/ledger/snapshot.go
@@ -14,12 +14,13 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// PartBytes is the largest piece of a snapshot that is appended as one record.
+// PartBytes is the maximum size of the snapshot data in one record.
 const PartBytes = 192 << 10
 
-// Snapshot is the folded state of both streams with the offsets it covers.
+// Snapshot is the folded state of the ledger and targets streams with the offsets
+// that it covers.
 type Snapshot struct {
-	AtMS            int64 // wall clock of the writing instance
+	AtMS            int64 // time of writing in Unix milliseconds, on the writer's clock
 	LedgerNext      int64
 	TargetsNext     int64
 	TargetsVersion  int64
@@ -31,8 +32,8 @@
 	Jobs            []*JobEntry
 }
 
-// Part is one record of the snapshot stream. A snapshot counts only if all of
-// its parts are read and their checksum agrees.
+// Part is one record of the snapshot stream. A snapshot is valid only if all of its
+// parts are read and their checksum matches.
 type Part struct {
 	ID       string `json:"id"`
 	Index    int    `json:"index"`
@@ -41,8 +42,8 @@
 	Data     []byte `json:"data"`
 }
 
-// Fill copies the ledger's state into a snapshot, in a fixed order. The entries
-// are copies, so that the state may change while the snapshot is encoded.
+// Fill copies the state into a snapshot, with entries sorted by key. The entries are
+// copies, so that the state may change while the snapshot is encoded.
 func (s *State) Fill(snapshot *Snapshot) {
 	snapshot.LedgerNext = s.Next
 	snapshot.Term = s.Term
@@ -69,7 +70,7 @@
 	return a.Key < b.Key
 }
 
-// Restore replaces the state by the snapshot's.
+// Restore replaces the state with that of the snapshot.
 func (s *State) Restore(snapshot *Snapshot) {
 	*s = *New()
 	s.Next = snapshot.LedgerNext
@@ -83,36 +84,36 @@
 	}
 }
 
-// Encode turns a snapshot into compressed bytes.
+// Encode encodes a snapshot as compressed JSON.
 func Encode(snapshot *Snapshot) ([]byte, error) {
 	var buffer bytes.Buffer
 	writer, err := flate.NewWriter(&buffer, flate.BestSpeed)
 	if err != nil {
-		return nil, eris.Wrap(err, "snapshot compressor")
+		return nil, eris.Wrap(err, "create snapshot compressor")
 	}
 	if err := json.NewEncoder(writer).Encode(snapshot); err != nil {
-		return nil, eris.Wrap(err, "snapshot encoding")
+		return nil, eris.Wrap(err, "encode snapshot")
 	}
 	if err := writer.Close(); err != nil {
-		return nil, eris.Wrap(err, "snapshot compression")
+		return nil, eris.Wrap(err, "compress snapshot")
 	}
 	return buffer.Bytes(), nil
 }
 
-// Decode reads what Encode wrote.
+// Decode decodes the output of Encode.
 func Decode(data []byte) (*Snapshot, error) {
 	plain, err := io.ReadAll(flate.NewReader(bytes.NewReader(data)))
 	if err != nil {
-		return nil, eris.Wrap(err, "snapshot decompression")
+		return nil, eris.Wrap(err, "decompress snapshot")
 	}
 	snapshot := &Snapshot{}
 	if err := json.Unmarshal(plain, snapshot); err != nil {
-		return nil, eris.Wrap(err, "snapshot decoding")
+		return nil, eris.Wrap(err, "decode snapshot")
 	}
 	return snapshot, nil
 }
 
-// Split cuts an encoded snapshot into parts for the snapshot stream.
+// Split splits an encoded snapshot into parts for the snapshot stream.
 func Split(id string, data []byte) []Part {
 	count := (len(data) + PartBytes - 1) / PartBytes
 	parts := make([]Part, 0, count)
@@ -124,18 +125,18 @@
 	return parts
 }
 
-// Assembler collects parts in stream order and keeps the newest whole snapshot.
+// Assembler collects parts in stream order and retains the newest complete snapshot.
 type Assembler struct {
 	incomplete map[string]map[int][]byte
 	newest     *Snapshot
 }
 
-// NewAssembler returns an assembler that has seen no part.
+// NewAssembler returns an assembler without parts.
 func NewAssembler() *Assembler {
 	return &Assembler{incomplete: map[string]map[int][]byte{}}
 }
 
-// Add takes one part. Parts of a damaged snapshot are passed over.
+// Add adds one part. Invalid parts and corrupt snapshots are ignored.
 func (a *Assembler) Add(part Part) {
 	if part.Count < 1 || part.Index < 0 || part.Index >= part.Count {
 		return
@@ -171,5 +172,5 @@
 	}
 }
 
-// Newest is the newest whole snapshot seen, or nil.
+// Newest returns the newest complete snapshot, or nil.
 func (a *Assembler) Newest() *Snapshot { return a.newest }
--- a/requests/events.go
+++ b/requests/events.go
@@ -7,63 +7,65 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// Event is something that happened to the request.
+// Event is an input of the Machine.
 type Event interface{ isEvent() }
 
-// Started is the first event.
+// Started is the first event of every request.
 type Started struct{}
 
-// ClaimRead says how the claim stands in the fold. Entry is the key's entry, or
+// ClaimRead reports the key's entry in the fold after the claim was appended. Entry is
 // nil if the claim could not be read back.
 type ClaimRead struct {
 	Entry  *ledger.KeyEntry
 	Reason structs.Reason // why Entry is nil
-	// Appended says that the claim was handed to the log, so it may stand there
+	// Appended reports whether the claim was submitted to the log, where it may exist
 	// although it was not read back.
 	Appended bool
-	// HolderLost says that the entry's holder is gone and its end is recorded as unknown.
+	// HolderLost reports that the instance that holds the entry's claim is gone, so that
+	// the outcome is recorded as unknown.
 	HolderLost bool
 }
 
-// RunnerPicked gives the request a slot of a runner.
+// RunnerPicked reports that the request was assigned a slot of a runner.
 type RunnerPicked struct{ Runner string }
 
-// RunnerRefused says that no slot can be had in time.
+// RunnerRefused reports that no slot will be available in time.
 type RunnerRefused struct {
 	Reason     structs.Reason
 	RetryAfter time.Duration
 }
 
-// AttemptKind says how far an attempt came.
+// AttemptKind is the kind of an attempt's result.
 type AttemptKind int
 
 // Kinds of attempt results.
 const (
-	// AttemptNotSent means no byte of the request left this process.
+	// AttemptNotSent means that no byte of the request was sent.
 	AttemptNotSent AttemptKind = iota + 1
-	// AttemptRefused means the runner itself said it did not start.
+	// AttemptRefused means that the runner reported that it did not start the request.
 	AttemptRefused
-	// AttemptAnswered means the whole answer of this very attempt arrived.
+	// AttemptAnswered means that the complete answer of this attempt arrived.
 	AttemptAnswered
-	// AttemptBroken means bytes were sent and no whole answer arrived.
+	// AttemptBroken means that bytes were sent and no complete answer arrived.
 	AttemptBroken
 )
 
-// AttemptEnded is the result of the attempt that was sent last.
+// AttemptEnded is the result of the latest attempt.
 type AttemptEnded struct {
 	Kind       AttemptKind
 	Reason     structs.Reason
 	Status     int
 	Answer     []byte
 	RetryAfter time.Duration
-	// RetryAllowed is the retry budget's word, asked once for each failed attempt.
+	// RetryAllowed reports whether the retry budget permits a retry. The budget is
+	// consulted once for each failed attempt.
 	RetryAllowed bool
 }
 
-// DeadlinePassed says that the caller's time is over.
+// DeadlinePassed reports that the deadline of the request has passed.
 type DeadlinePassed struct{}
 
-// CallerGone says that the caller closed its connection.
+// CallerGone reports that the caller closed its connection.
 type CallerGone struct{}
 
 func (Started) isEvent()        {}
@@ -74,28 +76,29 @@
 func (DeadlinePassed) isEvent() {}
 func (CallerGone) isEvent()     {}
 
-// Action is something the executor must do, in the order given.
+// Action is an instruction for the executor, which executes actions in order.
 type Action interface{ isAction() }
 
-// AppendClaim asks for the claim to be appended and read back (ClaimRead).
+// AppendClaim requests that the claim is appended and read back (ClaimRead).
 type AppendClaim struct{}
 
-// Pick asks for a runner's slot (RunnerPicked or RunnerRefused).
+// Pick requests a slot of a runner (RunnerPicked or RunnerRefused).
 type Pick struct{ Exclude []string }
 
-// Send asks for an attempt (AttemptEnded).
+// Send requests an attempt at a runner (AttemptEnded).
 type Send struct {
 	Runner  string
 	Attempt int
 }
 
-// Abandon ends what is being waited for. An attempt's connection must be closed.
+// Abandon cancels the pending operation. The connection of a pending attempt must be
+// closed.
 type Abandon struct{}
 
-// AppendRelease asks for the claim to be given back.
+// AppendRelease requests that the release of the claim is appended.
 type AppendRelease struct{ Reason structs.Reason }
 
-// AppendComplete asks for the claim's end to be recorded.
+// AppendComplete requests that the outcome of the claim is appended.
 type AppendComplete struct {
 	Outcome structs.Outcome
 	Reason  structs.Reason
@@ -104,13 +107,14 @@
 	Kept    bool
 }
 
-// Finish gives the caller its final answer. Ran answers are relayed as they are.
+// Finish returns the final answer to the caller. Answers of requests that ran are
+// relayed unchanged.
 type Finish struct {
 	Outcome    structs.Outcome
 	Reason     structs.Reason
 	Status     int
 	Answer     []byte
-	Replayed   bool // the answer is a kept one of an earlier request
+	Replayed   bool // the answer is the stored one of an earlier request
 	RetryAfter time.Duration
 }
 
--- a/requests/machine.go
+++ b/requests/machine.go
@@ -1,7 +1,7 @@
-// Package requests owns the decisions about one request: when it may be sent,
-// when it may be tried again and what its caller may truthfully be told. The
-// machine is pure: Step takes an event and the time and returns actions; the
-// executor in package instance carries them out.
+// Package requests is the state machine of one short request: when it may be sent,
+// when it may be retried and which outcome may be reported to its caller. The machine
+// does no I/O and reads no clock: Step takes an event and the time and returns
+// actions, which the executor in package instance carries out.
 package requests
 
 import (
@@ -13,21 +13,21 @@
 
 // Limits of one request.
 const (
-	// MaxAttempts bounds the tries of one request, whatever the retry budget says.
+	// MaxAttempts is the maximum number of attempts, regardless of the retry budget.
 	MaxAttempts = 4
-	// ClaimValid is the longest time from a claim's creation to its first byte
-	// sent. A holder that was paused longer gives the claim back, since others
-	// may already have called its end unknown.
+	// ClaimValid is the maximum time from the creation of a claim to the first byte
+	// sent. An instance that was paused for longer releases its claim, since other
+	// instances may already have recorded the outcome as unknown.
 	ClaimValid = 10 * time.Second
-	// MaxKeptAnswer is the largest answer that is kept with its key, in bytes.
+	// MaxKeptAnswer is the maximum size in bytes of an answer that is stored with its key.
 	MaxKeptAnswer = 16 << 10
-	// defaultRetryAfter is told to callers when nothing better is known.
+	// defaultRetryAfter is reported to callers if there is no better estimate.
 	defaultRetryAfter = 2 * time.Second
 )
 
-// Spec is what is known of a request at its arrival.
+// Spec describes a request at its arrival.
 type Spec struct {
-	Key        structs.KeyID // empty Key.Key means that the caller gave none
+	Key        structs.KeyID // Key.Key is empty if the caller gave no key
 	Class      string
 	Idempotent bool
 	Digest     uint64
@@ -52,7 +52,7 @@
 	claimedAt    time.Time
 	mayHoldClaim bool
 	attempts     int
-	maybeSent    bool // bytes of some attempt may have reached a runner
+	maybeSent    bool // bytes of an attempt may have reached a runner
 	triedRunners []string
 	lastAttempt  AttemptEnded
 }
@@ -62,11 +62,11 @@
 	return &Machine{spec: spec, claimID: claimID}
 }
 
-// Done reports whether the final answer was given.
+// Done reports whether the final answer was returned.
 func (m *Machine) Done() bool { return m.phase == phaseDone }
 
-// Step takes an event. Events that come after the end, or that belong to
-// something already given up, change nothing.
+// Step processes an event and returns the actions to execute. Events after the end
+// and results of abandoned operations are ignored.
 func (m *Machine) Step(event Event, now time.Time) []Action {
 	if m.phase == phaseDone {
 		return nil
@@ -121,9 +121,9 @@
 	return []Action{Pick{}}
 }
 
-// onClaimUnread ends a request whose claim may or may not stand in the log.
-// Nothing was sent and nothing will be, so it is not run; the release covers a
-// claim that took effect after all.
+// onClaimUnread ends a request whose claim may or may not be in the log. Nothing was
+// sent, so the outcome is not run. The release covers the case that the claim took
+// effect.
 func (m *Machine) onClaimUnread(e ClaimRead) []Action {
 	m.mayHoldClaim = e.Appended
 	return m.finishNotRun(e.Reason, retryAfterFor(e.Reason))
@@ -145,8 +145,8 @@
 	return m.finish(AnswerOf(e.Entry, m.spec.Class, m.spec.Digest, e.HolderLost))
 }
 
-// AnswerOf is the truthful answer to a request whose key another request has
-// claimed. holderLost says that the holder of an open claim is gone.
+// AnswerOf returns the answer to a request whose key was claimed by another request.
+// holderLost reports that the instance that holds an open claim is gone.
 func AnswerOf(entry *ledger.KeyEntry, class string, digest uint64, holderLost bool) Finish {
 	if entry.Claim.Digest != digest || entry.Claim.Class != class {
 		return Finish{Outcome: structs.OutcomeNotRun, Reason: structs.ReasonKeyConflict}
@@ -210,8 +210,8 @@
 	return m.retryOrElse(e, now, func() []Action { return m.finishUnknown(e.Reason) })
 }
 
-// onAnswered relays the answer; an idempotent request that the upstream failed is
-// tried elsewhere first, if it may be.
+// onAnswered relays the answer. An idempotent request with a server error is first
+// retried at another runner if a retry is allowed.
 func (m *Machine) onAnswered(e AttemptEnded, now time.Time) []Action {
 	relay := func() []Action { return m.finishRan(e) }
 	if m.spec.Idempotent && e.Status >= 500 {
@@ -262,8 +262,8 @@
 	return append(actions, m.finish(Finish{Outcome: structs.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter})...)
 }
 
-// abort ends the request at once, whatever it waits for. A claim that is still
-// being appended is released too, since it may stand in the log.
+// abort ends the request at once in any phase. A claim whose append is pending is
+// released too, since it may be in the log.
 func (m *Machine) abort(reason structs.Reason) []Action {
 	inFlight := m.phase == phaseSending
 	if m.phase == phaseClaiming {
--- a/requests/simulation_faults_test.go
+++ b/requests/simulation_faults_test.go
@@ -7,7 +7,7 @@
 
 func (s *simulation) killInstance() {
 	inst := s.drawInstance()
-	inst.dead = true // its writer's records and its callers are gone with it
+	inst.dead = true // its unflushed records and its callers are lost
 	s.addInstance()
 }
 
@@ -21,7 +21,7 @@
 	s.drawInstance().paused = true
 }
 
-// closeLostClaims lets an instance call the claims of a lost holder unknown.
+// closeLostClaims lets an instance record the open claims of dead instances as unknown.
 func (s *simulation) closeLostClaims() {
 	inst := s.drawInstance()
 	for _, key := range s.keys {
@@ -38,7 +38,8 @@
 	}
 }
 
-// restoreFromSnapshot gives an instance a new fold from a snapshot taken through encoding.
+// restoreFromSnapshot replaces an instance's fold by one restored from its encoded
+// snapshot.
 func (s *simulation) restoreFromSnapshot() {
 	inst := s.drawInstance()
 	snapshot := &ledger.Snapshot{}
@@ -55,7 +56,7 @@
 	inst.fold.Restore(decoded)
 }
 
-// prune forgets what was issued before now; time moves on so that new claims count.
+// prune deletes decided keys that were issued before now.
 func (s *simulation) prune() {
 	before := s.now.UnixMilli()
 	if s.mutation == pruneWithoutRefusal {
--- a/requests/simulation_test.go
+++ b/requests/simulation_test.go
@@ -15,31 +15,31 @@
 
 func TestMain(m *testing.M) { prooftest.Main(m, "150") }
 
-// caller is one submission of a key at one instance.
+// caller is one submission of a request key at one instance.
 type caller struct {
 	id             string
 	key            string
 	instance       *instance
 	machine        *requests.Machine
-	pendingEvents  []requests.Event // produced but not yet given to the machine
+	pendingEvents  []requests.Event // produced but not yet processed by the machine
 	claiming       bool
-	attemptPending bool // an attempt is on its way
-	executions     int  // attempts of this submission that a runner executed
+	attemptPending bool // an attempt is in flight
+	executions     int  // number of attempts that a runner executed
 	finish         *requests.Finish
 }
 
-// instance is one instance's boot: its writer, its fold and its requests.
+// instance is one boot of a scheduler instance: its log writer, fold and requests.
 type instance struct {
 	name      string
-	unflushed []structs.Record // not yet appended
-	claimants []*caller        // of writer[i], if it is a claim that may be abandoned
+	unflushed []structs.Record // records to append to the log
+	claimants []*caller        // claimants[i] is the caller of unflushed[i] if that is a claim, else nil
 	fold      *ledger.State
 	callers   []*caller
 	dead      bool
 	paused    bool
 }
 
-// simulation is the log, the instances and the runner of a proof.
+// simulation models the log, the instances and one runner.
 type simulation struct {
 	t          *rapid.T
 	now        time.Time
@@ -47,10 +47,10 @@
 	instances  []*instance
 	callers    []*caller
 	executions map[string]int
-	issuedAt   map[string]int64 // when the caller made each key
+	issuedAt   map[string]int64 // Unix milliseconds at which each key was created
 	keys       []string
 	seq        int
-	// mutation switches off one mechanism, to see that the proof notices.
+	// mutation disables one mechanism, to verify that the property test detects it.
 	mutation mutation
 }
 
@@ -97,7 +97,7 @@
 	return rapid.SampledFrom(live).Draw(s.t, "holder")
 }
 
-// newKey makes a key and notes when; callers state that time with each try.
+// newKey creates a key and records the time, which callers send with each submission.
 func (s *simulation) newKey() {
 	key := fmt.Sprintf("k%d", len(s.keys)+1)
 	s.keys = append(s.keys, key)
@@ -120,7 +120,7 @@
 
 func (s *simulation) stepMachine(c *caller, event requests.Event) {
 	for _, action := range c.machine.Step(event, s.now) {
-		s.execute(c, action)
+		s.executeAction(c, action)
 	}
 }
 
@@ -129,7 +129,7 @@
 	inst.claimants = append(inst.claimants, owner)
 }
 
-func (s *simulation) execute(c *caller, action requests.Action) {
+func (s *simulation) executeAction(c *caller, action requests.Action) {
 	key := structs.KeyID{Key: c.key}
 	switch a := action.(type) {
 	case requests.AppendClaim:
@@ -156,7 +156,7 @@
 	}
 }
 
-// deliverEvent gives one waiting event to its machine.
+// deliverEvent passes one pending event to its machine.
 func (s *simulation) deliverEvent() {
 	for _, inst := range s.live() {
 		for _, c := range inst.callers {
@@ -170,8 +170,8 @@
 	}
 }
 
-// flush appends the oldest record of a writer. The answer may be lost, so that
-// the record is appended again later.
+// flush appends the oldest record of an instance. The answer may be lost, in which
+// case the record is appended again later.
 func (s *simulation) flush() {
 	inst := s.drawInstance()
 	if len(inst.unflushed) == 0 {
@@ -188,7 +188,7 @@
 	}
 }
 
-// read folds some of the log at one instance and tells claims their ruling.
+// read folds some records at one instance and reports verdicts on claims to callers.
 func (s *simulation) read() {
 	inst := s.drawInstance()
 	for range rapid.IntRange(1, 4).Draw(s.t, "records") {
@@ -218,7 +218,7 @@
 		c.pendingEvents = append(c.pendingEvents, requests.ClaimRead{Entry: &entry, HolderLost: lost})
 		return
 	}
-	if verdict.Valid && claim.Holder == inst.name { // nobody waits for it any more
+	if verdict.Valid && claim.Holder == inst.name { // no caller waits for the claim any more
 		s.enqueue(inst, structs.Record{Release: &structs.Release{ClaimID: claim.ID, Key: claim.Key}}, nil)
 	}
 }
@@ -226,13 +226,13 @@
 func (s *simulation) looksDead(name string) bool {
 	for _, inst := range s.instances {
 		if inst.name == name {
-			return inst.dead || inst.paused // a paused holder looks just as dead
+			return inst.dead || inst.paused // a paused instance cannot be told apart from a dead one
 		}
 	}
 	return true
 }
 
-// endAttempt lets the runner end an attempt, whoever still waits for it.
+// endAttempt lets the runner end an attempt, even if no caller waits for it any more.
 func (s *simulation) endAttempt() {
 	var waiting []*caller
 	for _, c := range s.callers {
@@ -284,7 +284,7 @@
 	}
 }
 
-// check states what must hold at every moment.
+// check verifies the invariants after every step.
 func (s *simulation) check() {
 	for key, times := range s.executions {
 		if times > 1 {
@@ -296,7 +296,7 @@
 			continue
 		}
 		if c.finish.Outcome == structs.OutcomeNotRun && c.executions > 0 {
-			s.t.Fatalf("caller %s was told not run and it ran", c.id)
+			s.t.Fatalf("caller %s got outcome not run, but the request ran", c.id)
 		}
 		if c.finish.Outcome == structs.OutcomeRan && string(c.finish.Answer) != "for "+c.key {
 			s.t.Fatalf("caller %s of %s got answer %q", c.id, c.key, c.finish.Answer)
@@ -330,7 +330,7 @@
 	rapid.Check(t, func(t *rapid.T) { newSimulation(t, noMutation).run() })
 }
 
-// The proof must notice each mechanism that is taken out.
+// The property test must detect each mechanism that a mutation disables.
 func TestProofNoticesBrokenMechanisms(t *testing.T) {
 	for name, broken := range map[string]mutation{
 		"send before the claim is read back":  sendBeforeClaimRead,
@@ -340,7 +340,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if !prooftest.Violates(func(t *rapid.T) { newSimulation(t, broken).run() }) {
-				t.Fatal("no violation was found")
+				t.Fatal("the mutation was not detected")
 			}
 		})
 	}
