--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -158,12 +158,12 @@
 // MarkLeaving permanently stops new work for a runner's boot. It reports whether the
 // boot was not marked before.
 func (b *Balancer) MarkLeaving(id string, boot int64) bool {
-	if known, marked := b.leavingBoots[id]; marked && known >= boot {
+	if leavingBoot, marked := b.leavingBoots[id]; marked && leavingBoot >= boot {
 		return false
 	}
 	b.leavingBoots[id] = boot
-	if known := b.runners[id]; known != nil && known.entry.Boot <= boot {
-		known.leaving = true
+	if r := b.runners[id]; r != nil && r.entry.Boot <= boot {
+		r.leaving = true
 	}
 	return true
 }
@@ -301,7 +301,7 @@
 
 // Done releases a slot. busy is the number of slots in use that the runner reported,
 // or negative if unknown.
-func (b *Balancer) Done(id, class string, result Result, took time.Duration, busy int, now time.Time) {
+func (b *Balancer) Done(id, class string, result Result, latency time.Duration, busy int, now time.Time) {
 	r := b.runners[id]
 	if r == nil {
 		return
@@ -315,7 +315,7 @@
 	case ResultAnswered:
 		r.failures = 0
 		r.limit = min(float64(r.entry.Slots), r.limit+1/r.limit)
-		b.recordLatency(class, took)
+		b.recordLatency(class, latency)
 	case ResultBusy:
 		r.limit = max(minLimit, r.limit*decreaseFactor)
 	case ResultLeaving:
@@ -334,13 +334,13 @@
 	return backoff
 }
 
-func (b *Balancer) recordLatency(class string, took time.Duration) {
+func (b *Balancer) recordLatency(class string, latency time.Duration) {
 	average, ok := b.latency[class]
 	if !ok {
-		b.latency[class] = took
+		b.latency[class] = latency
 		return
 	}
-	b.latency[class] = average + time.Duration(latencySmoothing*float64(took-average))
+	b.latency[class] = average + time.Duration(latencySmoothing*float64(latency-average))
 }
 
 // Cancel removes a request from the queue and reports whether it was queued.
