--- a/jobs/jobs_test.go
+++ b/jobs/jobs_test.go
@@ -10,7 +10,7 @@
 	"github.com/teaselcleat/teaselcleat/internal/prooftest"
 )
 
-// propertySteps is rapid's usual number of steps; these properties draw few.
+// propertySteps is rapid's default number of steps; these properties draw few.
 const propertySteps = "30"
 
 func TestMain(m *testing.M) { prooftest.Main(m, propertySteps) }
@@ -19,7 +19,7 @@
 	return &Submission{ID: id, Queue: Queue{Name: "q"}, Steps: []Step{{Tasks: 2}}}
 }
 
-func applied(t interface{ Fatal(...any) }, table *Table, record Record, part int, offset int64) {
+func mustApply(t interface{ Fatal(...any) }, table *Table, record Record, part int, offset int64) {
 	if _, err := table.Apply(record, part, offset); err != nil {
 		t.Fatal(err)
 	}
@@ -51,78 +51,78 @@
 	return mustRecord(t, record, err)
 }
 
-// A cancellation that came too late for a final state changes nothing.
+// A cancellation that is read before a final state does not override it.
 func TestFinalStateStandsAgainstLateCancel(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	submission, err := SubmissionRecord(exampleSubmission("a"))
-	applied(t, table, mustRecord(t, submission, err), 1, 0)
-	applied(t, table, CancelRecord("a"), 2, 0)
+	mustApply(t, table, mustRecord(t, submission, err), 1, 0)
+	mustApply(t, table, CancelRecord("a"), 2, 0)
 	is.Equal(table.Job("a").State(), StateCancelled)
-	applied(t, table, mustProgress(t, "a", &Progress{State: StateDone}), 0, 5)
+	mustApply(t, table, mustProgress(t, "a", &Progress{State: StateDone}), 0, 5)
 	is.Equal(table.Job("a").State(), StateDone)
 }
 
-// A tail that is behind the page of newest records does not set a job back.
+// Records of the tail that are older than the page of newest records are ignored.
 func TestOlderProgressIsIgnored(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	submission, err := SubmissionRecord(exampleSubmission("a"))
-	applied(t, table, mustRecord(t, submission, err), 1, 0)
-	applied(t, table, mustProgress(t, "a", &Progress{State: StateDone}), 0, 9)
-	applied(t, table, mustProgress(t, "a", &Progress{State: StateRunning}), 0, 4)
+	mustApply(t, table, mustRecord(t, submission, err), 1, 0)
+	mustApply(t, table, mustProgress(t, "a", &Progress{State: StateDone}), 0, 9)
+	mustApply(t, table, mustProgress(t, "a", &Progress{State: StateRunning}), 0, 4)
 	is.Equal(table.Job("a").State(), StateDone)
 }
 
-func TestTermNeverGoesBack(t *testing.T) {
+func TestOlderTermIsIgnored(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	for offset, term := range []Term{{Epoch: 3, Holder: "x"}, {Epoch: 2, Holder: "y"}} {
 		record, err := TermRecord(term)
-		applied(t, table, mustRecord(t, record, err), 0, int64(offset))
+		mustApply(t, table, mustRecord(t, record, err), 0, int64(offset))
 	}
 	is.Equal(table.Term().Holder, "x")
 }
 
-func TestForgottenJobsAreGone(t *testing.T) {
+func TestDeletedJobsAreRemovedFromTheFold(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	submission, err := SubmissionRecord(exampleSubmission("a"))
-	applied(t, table, mustRecord(t, submission, err), 1, 0)
-	applied(t, table, mustProgress(t, "a", &Progress{State: StateDone}), 0, 0)
+	mustApply(t, table, mustRecord(t, submission, err), 1, 0)
+	mustApply(t, table, mustProgress(t, "a", &Progress{State: StateDone}), 0, 0)
 	for offset, record := range ForgetCallRecords("a") {
-		applied(t, table, record, 1, int64(offset+1))
+		mustApply(t, table, record, 1, int64(offset+1))
 	}
-	applied(t, table, ForgetProgressRecord("a"), 0, 1)
-	is.True(table.Job("a") != nil) // a second copy of the submission meets the state
+	mustApply(t, table, ForgetProgressRecord("a"), 0, 1)
+	is.True(table.Job("a") != nil) // a duplicate of the submission still finds the state
 	is.Equal(table.Job("a").State(), StateDone)
-	applied(t, table, ForgetStateRecord("a"), 2, 2)
+	mustApply(t, table, ForgetStateRecord("a"), 2, 2)
 	is.True(table.Job("a") == nil)
 }
 
-// Whoever reads no progress knows the state all the same, and a submission that
-// comes again while the state is kept is that of an ended job.
-func TestStateRecordsAloneTellTheState(t *testing.T) {
+// An instance that reads no progress learns the state from state records, and a
+// duplicate submission of an ended job does not requeue it while the state is kept.
+func TestStateIsKnownFromStateRecordsAlone(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	submission, err := SubmissionRecord(exampleSubmission("a"))
-	applied(t, table, mustRecord(t, submission, err), 1, 0)
+	mustApply(t, table, mustRecord(t, submission, err), 1, 0)
 	is.Equal(table.Job("a").State(), StateQueued)
-	applied(t, table, StateRecord("a", StateRunning), 0, 4)
+	mustApply(t, table, StateRecord("a", StateRunning), 0, 4)
 	is.Equal(table.Job("a").State(), StateRunning)
-	applied(t, table, StateRecord("a", StateDone), 0, 9)
-	applied(t, table, StateRecord("a", StateRunning), 0, 4) // a page was newer
-	applied(t, table, CancelRecord("a"), 1, 1)
+	mustApply(t, table, StateRecord("a", StateDone), 0, 9)
+	mustApply(t, table, StateRecord("a", StateRunning), 0, 4) // older than the page of newest records
+	mustApply(t, table, CancelRecord("a"), 1, 1)
 	is.Equal(table.Job("a").State(), StateDone)
 	for offset, record := range ForgetCallRecords("a") {
-		applied(t, table, record, 1, int64(offset+2))
+		mustApply(t, table, record, 1, int64(offset+2))
 	}
-	applied(t, table, mustRecord(t, submission, err), 1, 7)
+	mustApply(t, table, mustRecord(t, submission, err), 1, 7)
 	is.Equal(table.Job("a").State(), StateDone)
 }
 
-// Parts are read apart from each other: whatever their interleaving, the fold
-// ends the same.
+// Parts are read independently of each other: the result of the fold does not depend
+// on their interleaving.
 func TestFoldDoesNotDependOnInterleaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		submission, err := SubmissionRecord(exampleSubmission("a"))
@@ -141,7 +141,7 @@
 			if next[part] == len(stream) {
 				continue
 			}
-			applied(t, table, stream[next[part]], part, int64(next[part]))
+			mustApply(t, table, stream[next[part]], part, int64(next[part]))
 			next[part]++
 		}
 		if state := table.Job("a").State(); state != StateFailed {
@@ -165,8 +165,8 @@
 	})
 }
 
-// Losses stand behind the other fields and only where there are some, so that records
-// of before are read, and those of most tasks stay as short as they were.
+// Losses are appended to the other fields and omitted if there are none, so that
+// records of earlier versions are readable and those of most tasks stay short.
 func TestTaskProgressCarriesLosses(t *testing.T) {
 	is := is.New(t)
 	for text, task := range map[string]TaskProgress{
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,48 +1,47 @@
-// Package ledger owns the fold of the ledger stream: which claim of a
-// non-idempotent request counts, what became of it, which jobs exist, which run
-// of a job is the current one and which instance places. The fold is a pure
-// function of the records in offset order, so every instance comes to the same
-// state; a record that is not valid when its turn comes is void and changes
-// nothing, which makes lost answers, double appends and races harmless.
+// Package ledger folds the ledger stream into the claims of non-idempotent requests
+// and their outcomes, the jobs and their current runs, and the term of the leader.
+// The fold is a pure function of the records in offset order, so every instance
+// computes the same state. A record that is not valid at its offset is void and
+// changes nothing, which makes lost answers, duplicate appends and races harmless.
 package ledger
 
 import (
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// Limits of the fold. They are constants, as every instance must agree on them.
+// Limits of the fold. They are constants because all instances must use the same values.
 const (
-	// MaxKeys is how many keys are remembered; claims beyond it are void.
+	// MaxKeys is the maximum number of keys in the state; further claims are void.
 	MaxKeys = 400_000
-	// MaxJobs is how many jobs are remembered; submissions beyond it are void.
+	// MaxJobs is the maximum number of jobs in the state; further submissions are void.
 	MaxJobs = 200_000
-	// MaxBlamed is how many workers are remembered as having failed one job.
+	// MaxBlamed is the maximum number of workers recorded as having failed a job.
 	MaxBlamed = 8
 )
 
-// KeyPhase is the state of a key.
+// KeyPhase is the phase of a request key.
 type KeyPhase string
 
-// Phases of a key.
+// Phases of a request key.
 const (
-	KeyOpen     KeyPhase = "open"     // claimed, its end not yet known
-	KeyReleased KeyPhase = "released" // claimed, certainly not run, free again
+	KeyOpen     KeyPhase = "open"     // claimed, outcome not recorded yet
+	KeyReleased KeyPhase = "released" // was claimed, did not run, and can be claimed again
 	KeyRan      KeyPhase = "ran"
 	KeyUnknown  KeyPhase = "unknown"
 )
 
-// KeyEntry is what is known of one key.
+// KeyEntry is the state of one request key.
 type KeyEntry struct {
 	Claim    structs.Claim  `json:"claim"`
 	Phase    KeyPhase       `json:"phase"`
 	Reason   structs.Reason `json:"reason,omitempty"`
-	ByHolder bool           `json:"by_holder,omitempty"` // the phase is the holder's own word
+	ByHolder bool           `json:"by_holder,omitempty"` // the claim holder itself recorded the phase
 	Status   int            `json:"status,omitempty"`
 	Answer   []byte         `json:"answer,omitempty"`
 	Kept     bool           `json:"kept,omitempty"`
 }
 
-// JobPhase is the state of a job.
+// JobPhase is the phase of a job.
 type JobPhase string
 
 // Phases of a job.
@@ -52,7 +51,7 @@
 	JobEnded   JobPhase = "ended"
 )
 
-// JobEntry is what is known of one job.
+// JobEntry is the state of one job.
 type JobEntry struct {
 	Job          structs.Job      `json:"job"`
 	Phase        JobPhase         `json:"phase"`
@@ -69,13 +68,13 @@
 	EndMS        int64            `json:"end_ms,omitempty"`
 }
 
-// Verdict says whether a record counted.
+// Verdict is the result of folding a record.
 type Verdict struct {
 	Valid bool
 	Why   VoidReason
 }
 
-// VoidReason says why a record is void.
+// VoidReason is the reason for which a record is void.
 type VoidReason string
 
 // Reasons for which a record is void.
@@ -103,7 +102,7 @@
 	Keys         map[structs.KeyID]*KeyEntry
 	Jobs         map[string]*JobEntry
 	Term         structs.Term
-	PrunedBefore int64 // keys and jobs issued before this are refused
+	PrunedBefore int64 // Unix milliseconds; claims and jobs issued earlier are rejected
 }
 
 // New returns the state before the first record.
@@ -111,36 +110,37 @@
 	return &State{Keys: map[structs.KeyID]*KeyEntry{}, Jobs: map[string]*JobEntry{}}
 }
 
-// Apply folds the record at the next offset.
+// Apply folds the record at offset Next.
 func (s *State) Apply(record *structs.Record) Verdict {
 	s.Next++
 	switch {
 	case record.Claim != nil:
-		return s.claim(record.Claim)
+		return s.applyClaim(record.Claim)
 	case record.Release != nil:
-		return s.release(record.Release)
+		return s.applyRelease(record.Release)
 	case record.Complete != nil:
-		return s.complete(record.Complete)
+		return s.applyComplete(record.Complete)
 	case record.Submit != nil:
-		return s.submit(record.Submit)
+		return s.applySubmit(record.Submit)
 	case record.Cancel != nil:
-		return s.cancel(record.Cancel, record.AtMS)
+		return s.applyCancel(record.Cancel, record.AtMS)
 	case record.Start != nil:
-		return s.start(record.Start, record.AtMS)
+		return s.applyStart(record.Start, record.AtMS)
 	case record.Stop != nil:
-		return s.stop(record.Stop, record.AtMS)
+		return s.applyStop(record.Stop, record.AtMS)
 	case record.End != nil:
-		return s.end(record.End, record.AtMS)
+		return s.applyEnd(record.End, record.AtMS)
 	case record.Term != nil:
-		return s.term(record.Term)
+		return s.applyTerm(record.Term)
 	case record.Prune != nil:
-		return s.prune(record.Prune)
+		return s.applyPrune(record.Prune)
 	}
 	return void(VoidMalformed)
 }
 
-// claim is valid for a key that is new or was released, once for each claim identifier.
-func (s *State) claim(claim *structs.Claim) Verdict {
+// applyClaim accepts a claim of a key that is new or released, unless the key's entry
+// has the same claim identifier.
+func (s *State) applyClaim(claim *structs.Claim) Verdict {
 	if claim.IssuedMS < s.PrunedBefore {
 		return void(VoidExpired)
 	}
@@ -158,13 +158,14 @@
 	return valid
 }
 
-// release is valid from the holder, for a claim that the holder has not ended itself.
-func (s *State) release(release *structs.Release) Verdict {
-	entry, verdict := s.claimed(release.Key, release.ClaimID)
+// applyRelease accepts a release by the claim holder if the holder has not recorded an
+// outcome yet.
+func (s *State) applyRelease(release *structs.Release) Verdict {
+	entry, verdict := s.entryOfClaim(release.Key, release.ClaimID)
 	if !verdict.Valid {
 		return verdict
 	}
-	if !entry.undecidedByHolder() {
+	if !entry.holderMayDecide() {
 		return void(VoidPhase)
 	}
 	entry.Phase = KeyReleased
@@ -173,14 +174,14 @@
 	return valid
 }
 
-// complete is valid once from the holder; from others it can only turn an open
-// claim unknown, and the holder's later word replaces theirs.
-func (s *State) complete(complete *structs.Complete) Verdict {
-	entry, verdict := s.claimed(complete.Key, complete.ClaimID)
+// applyComplete accepts one outcome from the claim holder. Other instances can only
+// set an open claim to unknown, which a later record of the holder replaces.
+func (s *State) applyComplete(complete *structs.Complete) Verdict {
+	entry, verdict := s.entryOfClaim(complete.Key, complete.ClaimID)
 	if !verdict.Valid {
 		return verdict
 	}
-	if !entry.undecidedByHolder() {
+	if !entry.holderMayDecide() {
 		return void(VoidPhase)
 	}
 	if !complete.Holder && (entry.Phase != KeyOpen || complete.Outcome != structs.OutcomeUnknown) {
@@ -198,7 +199,7 @@
 	return valid
 }
 
-func (s *State) claimed(key structs.KeyID, claimID string) (*KeyEntry, Verdict) {
+func (s *State) entryOfClaim(key structs.KeyID, claimID string) (*KeyEntry, Verdict) {
 	entry, exists := s.Keys[key]
 	if !exists {
 		return nil, void(VoidMissing)
@@ -209,11 +210,11 @@
 	return entry, valid
 }
 
-func (e *KeyEntry) undecidedByHolder() bool {
+func (e *KeyEntry) holderMayDecide() bool {
 	return e.Phase == KeyOpen || (e.Phase == KeyUnknown && !e.ByHolder)
 }
 
-func (s *State) submit(job *structs.Job) Verdict {
+func (s *State) applySubmit(job *structs.Job) Verdict {
 	if job.SubmitMS < s.PrunedBefore {
 		return void(VoidExpired)
 	}
@@ -227,9 +228,9 @@
 	return valid
 }
 
-// cancel ends a queued job at once; a running one is marked, and its run is
-// stopped by the placing instance.
-func (s *State) cancel(cancel *structs.Cancel, atMS int64) Verdict {
+// applyCancel ends a queued job at once. A running job is only marked as cancelled; the
+// leader stops its run.
+func (s *State) applyCancel(cancel *structs.Cancel, atMS int64) Verdict {
 	entry, exists := s.Jobs[cancel.Job]
 	if !exists {
 		return void(VoidMissing)
@@ -254,9 +255,10 @@
 	e.EndMS = atMS
 }
 
-// start is valid under the current term, for a queued job that may still run.
-func (s *State) start(start *structs.Start, atMS int64) Verdict {
-	entry, verdict := s.underTerm(start.Job, start.Term)
+// applyStart accepts the start of a queued job under the current term, unless the job
+// was cancelled.
+func (s *State) applyStart(start *structs.Start, atMS int64) Verdict {
+	entry, verdict := s.jobUnderTerm(start.Job, start.Term)
 	if !verdict.Valid {
 		return verdict
 	}
@@ -274,11 +276,11 @@
 	return valid
 }
 
-// stop returns a run's job to the queue. A job that may not be repeated returns
-// only if nothing of the run started or if the run was checkpointed; otherwise
-// its end is unknown.
-func (s *State) stop(stop *structs.Stop, atMS int64) Verdict {
-	entry, verdict := s.underTerm(stop.Job, stop.Term)
+// applyStop returns a run's job to the queue. A job that is not idempotent returns only
+// if no task of the run started or the run was checkpointed; otherwise it ends with
+// an unknown outcome.
+func (s *State) applyStop(stop *structs.Stop, atMS int64) Verdict {
+	entry, verdict := s.jobUnderTerm(stop.Job, stop.Term)
 	if !verdict.Valid {
 		return verdict
 	}
@@ -290,7 +292,7 @@
 	if stop.NotStarted {
 		entry.Runs--
 	}
-	entry.blame(stop.Worker)
+	entry.addFailedWorker(stop.Worker)
 	entry.Checkpointed = entry.Checkpointed || stop.Checkpointed
 	entry.Phase = JobQueued
 	entry.Reason = stop.Reason
@@ -310,21 +312,22 @@
 	return structs.OutcomeUnknown
 }
 
-func (e *JobEntry) blame(worker string) {
+func (e *JobEntry) addFailedWorker(worker string) {
 	if worker == "" || len(e.Blamed) >= MaxBlamed {
 		return
 	}
-	for _, known := range e.Blamed {
-		if known == worker {
+	for _, name := range e.Blamed {
+		if name == worker {
 			return
 		}
 	}
 	e.Blamed = append(e.Blamed, worker)
 }
 
-// end ends a job under the current term. A running job's run must be named.
-func (s *State) end(end *structs.End, atMS int64) Verdict {
-	entry, verdict := s.underTerm(end.Job, end.Term)
+// applyEnd ends a job under the current term. The record must name the current run of
+// a running job.
+func (s *State) applyEnd(end *structs.End, atMS int64) Verdict {
+	entry, verdict := s.jobUnderTerm(end.Job, end.Term)
 	if !verdict.Valid {
 		return verdict
 	}
@@ -336,7 +339,7 @@
 	return valid
 }
 
-func (s *State) underTerm(job string, term int64) (*JobEntry, Verdict) {
+func (s *State) jobUnderTerm(job string, term int64) (*JobEntry, Verdict) {
 	if term != s.Term.Number {
 		return nil, void(VoidTerm)
 	}
@@ -347,7 +350,7 @@
 	return entry, valid
 }
 
-func (s *State) term(term *structs.Term) Verdict {
+func (s *State) applyTerm(term *structs.Term) Verdict {
 	if term.Number != s.Term.Number+1 {
 		return void(VoidTerm)
 	}
@@ -355,9 +358,10 @@
 	return valid
 }
 
-// prune forgets what ended and was issued before the given time. From then on
-// no claim or submission that old is valid, so forgetting cannot double a run.
-func (s *State) prune(prune *structs.Prune) Verdict {
+// applyPrune deletes decided keys and ended jobs that were issued before the given
+// time. Claims and submissions of that age are void from then on, so a deletion
+// cannot lead to a second run.
+func (s *State) applyPrune(prune *structs.Prune) Verdict {
 	if prune.BeforeMS <= s.PrunedBefore {
 		return void(VoidPhase)
 	}
