--- a/adapters/all/all.go
+++ b/adapters/all/all.go
@@ -1,8 +1,8 @@
-// Package all registers every adapter that the shipped binary knows.
+// Package all links the adapters of the shipped binary.
 package all
 
 import (
-	// The adapters register themselves.
+	// Adapters register themselves on import.
 	_ "github.com/teaselcleat/teaselcleat/adapters/platformhttp"
 	_ "github.com/teaselcleat/teaselcleat/adapters/runnerhttp"
 	_ "github.com/teaselcleat/teaselcleat/adapters/workerhttp"
--- a/adapters/fronthttp/fronthttp.go
+++ b/adapters/fronthttp/fronthttp.go
@@ -1,4 +1,4 @@
-// Package fronthttp is the plug-in that speaks HTTP with callers and operators.
+// Package fronthttp is the plug-in that serves the HTTP API of callers and operators.
 package fronthttp
 
 import (
@@ -20,17 +20,17 @@
 	"github.com/teaselcleat/teaselcleat/timeline"
 )
 
-// Headers of the front.
+// Headers of requests and answers.
 const (
 	HeaderWorkspace = "X-Workspace"
 	HeaderKey       = "Idempotency-Key"
-	HeaderIssued    = "X-Key-Issued-Ms" // Unix milliseconds at which the caller made the key
+	HeaderIssued    = "X-Key-Issued-Ms" // Unix milliseconds at which the caller created the key
 	HeaderOutcome   = "X-Outcome"
 	HeaderReason    = "X-Reason"
 	HeaderReplayed  = "X-Replayed"
 )
 
-// ReplyBody is the JSON body of every answer that is not a relayed one.
+// ReplyBody is the JSON body of every answer but those relayed from a runner.
 type ReplyBody struct {
 	Outcome       structs.Outcome `json:"outcome"`
 	Reason        structs.Reason  `json:"reason,omitempty"`
@@ -40,7 +40,7 @@
 	RetryAfterSec int64           `json:"retry_after_s,omitempty"`
 }
 
-// KeyBody is the JSON body of a request key's state.
+// KeyBody is the JSON body of the state of a request key.
 type KeyBody struct {
 	Phase  ledger.KeyPhase `json:"phase"`
 	Reason structs.Reason  `json:"reason,omitempty"`
@@ -48,18 +48,20 @@
 	Holder string          `json:"holder"`
 }
 
-// EventsBody is the JSON body of the time line of one process.
+// EventsBody is the JSON body of the timeline of one process. Forgotten counts older
+// events that the process dropped.
 type EventsBody struct {
 	Events    []timeline.Event `json:"events"`
 	Forgotten int64            `json:"forgotten"`
 }
 
+// front serves one instance.
 type front struct {
 	service  service.Service
 	registry metrics.Registry
 }
 
-// Handler returns the HTTP side of an instance.
+// Handler returns the HTTP handler of an instance.
 func Handler(s service.Service, registry metrics.Registry) http.Handler {
 	f := &front{service: s, registry: registry}
 	router := mux.NewRouter()
@@ -84,8 +86,8 @@
 	writeReply(w, http.StatusNotFound, ReplyBody{Outcome: structs.OutcomeNotRun, Reason: structs.ReasonNotFound})
 }
 
-// statusOf maps a refusal to an HTTP status.
-func statusOf(outcome structs.Outcome, reason structs.Reason) int {
+// httpStatus maps an outcome and its reason to an HTTP status.
+func httpStatus(outcome structs.Outcome, reason structs.Reason) int {
 	switch outcome {
 	case structs.OutcomeRan, structs.OutcomeAccepted:
 		return http.StatusOK
@@ -116,7 +118,8 @@
 	return http.StatusServiceUnavailable
 }
 
-func retrySeconds(after time.Duration) int64 {
+// ceilSeconds rounds up to whole seconds.
+func ceilSeconds(after time.Duration) int64 {
 	return int64((after + time.Second - 1) / time.Second)
 }
 
@@ -134,14 +137,16 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller is gone if this fails
+	_ = json.NewEncoder(w).Encode(body) // an error means that the caller has gone
 }
 
+// refuse answers that a request was not run.
 func refuse(w http.ResponseWriter, reason structs.Reason, detail string) {
-	writeReply(w, statusOf(structs.OutcomeNotRun, reason), ReplyBody{Outcome: structs.OutcomeNotRun, Reason: reason, Detail: detail})
+	writeReply(w, httpStatus(structs.OutcomeNotRun, reason), ReplyBody{Outcome: structs.OutcomeNotRun, Reason: reason, Detail: detail})
 }
 
-// readBody reads a body within the limit; on failure it has answered.
+// readBody reads a body up to the limit and requires UTF-8. If it returns false, it has
+// answered the request.
 func (f *front) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, f.service.MaxBody()))
 	var tooLarge *http.MaxBytesError
@@ -159,13 +164,13 @@
 	return body, true
 }
 
-// readJSON decodes a body strictly; on failure it has answered.
-func (f *front) readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
+// readJSON decodes a body strictly. If it returns false, it has answered the request.
+func (f *front) readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
 	body, ok := f.readBody(w, r)
 	if !ok {
 		return false
 	}
-	if err := strictJSON(body, into); err != nil {
+	if err := decodeStrict(body, target); err != nil {
 		refuse(w, structs.ReasonBadRequest, err.Error())
 		return false
 	}
@@ -177,27 +182,29 @@
 	if !ok {
 		return
 	}
-	issued, ok := issuedAt(r)
+	issued, ok := parseIssued(r)
 	if !ok {
 		refuse(w, structs.ReasonBadRequest, HeaderIssued+" is not a whole number of milliseconds")
 		return
 	}
-	finish := f.service.Request(r.Context(), service.Request{
+	result := f.service.Request(r.Context(), service.Request{
 		Workspace: r.Header.Get(HeaderWorkspace),
 		Class:     mux.Vars(r)["class"],
 		Key:       r.Header.Get(HeaderKey),
 		Issued:    issued,
 		Body:      body,
 	})
-	if finish.Outcome == structs.OutcomeRan && (finish.Answer != nil || !finish.Replayed) {
-		relay(w, finish)
+	if result.Outcome == structs.OutcomeRan && (result.Answer != nil || !result.Replayed) {
+		writeAnswer(w, result)
 		return
 	}
-	writeReply(w, statusOf(finish.Outcome, finish.Reason), ReplyBody{Outcome: finish.Outcome, Reason: finish.Reason,
-		RetryAfterSec: retrySeconds(finish.RetryAfter)})
+	writeReply(w, httpStatus(result.Outcome, result.Reason), ReplyBody{Outcome: result.Outcome, Reason: result.Reason,
+		RetryAfterSec: ceilSeconds(result.RetryAfter)})
 }
 
-func issuedAt(r *http.Request) (time.Time, bool) {
+// parseIssued parses the time at which the caller created the key; no header means the
+// zero time.
+func parseIssued(r *http.Request) (time.Time, bool) {
 	text := r.Header.Get(HeaderIssued)
 	if text == "" {
 		return time.Time{}, true
@@ -206,15 +213,16 @@
 	return time.UnixMilli(ms), err == nil
 }
 
-func relay(w http.ResponseWriter, finish requests.Finish) {
+// writeAnswer relays a runner's answer.
+func writeAnswer(w http.ResponseWriter, result requests.Finish) {
 	w.Header().Set(HeaderOutcome, string(structs.OutcomeRan))
-	if finish.Replayed {
+	if result.Replayed {
 		w.Header().Set(HeaderReplayed, "true")
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Header().Set("Content-Length", strconv.Itoa(len(finish.Answer)))
-	w.WriteHeader(finish.Status)
-	_, _ = w.Write(finish.Answer) // the caller is gone if this fails
+	w.Header().Set("Content-Length", strconv.Itoa(len(result.Answer)))
+	w.WriteHeader(result.Status)
+	_, _ = w.Write(result.Answer) // an error means that the caller has gone
 }
 
 func (f *front) key(w http.ResponseWriter, r *http.Request) {
@@ -232,15 +240,16 @@
 		return
 	}
 	reply := f.service.SubmitJob(r.Context(), job)
-	status := statusOf(reply.Outcome, reply.Reason)
+	status := httpStatus(reply.Outcome, reply.Reason)
 	if reply.Outcome == structs.OutcomeAccepted {
 		status = http.StatusAccepted
 	}
-	writeReply(w, status, bodyOf(reply))
+	writeReply(w, status, replyBody(reply))
 }
 
-func bodyOf(reply structs.Reply) ReplyBody {
-	return ReplyBody{Outcome: reply.Outcome, Reason: reply.Reason, Detail: reply.Detail, ID: reply.ID, RetryAfterSec: retrySeconds(reply.RetryAfter)}
+// replyBody converts a reply to its JSON body.
+func replyBody(reply structs.Reply) ReplyBody {
+	return ReplyBody{Outcome: reply.Outcome, Reason: reply.Reason, Detail: reply.Detail, ID: reply.ID, RetryAfterSec: ceilSeconds(reply.RetryAfter)}
 }
 
 func (f *front) job(w http.ResponseWriter, r *http.Request) {
@@ -254,7 +263,7 @@
 
 func (f *front) cancelJob(w http.ResponseWriter, r *http.Request) {
 	reply := f.service.CancelJob(r.Context(), mux.Vars(r)["id"])
-	writeReply(w, statusOf(reply.Outcome, reply.Reason), bodyOf(reply))
+	writeReply(w, httpStatus(reply.Outcome, reply.Reason), replyBody(reply))
 }
 
 func (f *front) targets(w http.ResponseWriter, _ *http.Request) {
@@ -267,9 +276,9 @@
 		return
 	}
 	reply, version := f.service.Propose(r.Context(), proposal)
-	body := bodyOf(reply)
+	body := replyBody(reply)
 	body.Version = version
-	writeReply(w, statusOf(reply.Outcome, reply.Reason), body)
+	writeReply(w, httpStatus(reply.Outcome, reply.Reason), body)
 }
 
 func (f *front) refusals(w http.ResponseWriter, r *http.Request) {
--- a/adapters/fronthttp/strict.go
+++ b/adapters/fronthttp/strict.go
@@ -8,11 +8,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// strictJSON decodes one value and refuses unknown fields and trailing data.
-func strictJSON(data []byte, into any) error {
+// decodeStrict decodes one JSON value and rejects unknown fields and trailing data.
+func decodeStrict(data []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(target); err != nil {
 		return eris.Errorf("body is not the expected JSON: %s", err.Error())
 	}
 	if _, err := decoder.Token(); err != io.EOF {
--- a/adapters/platformhttp/platformhttp.go
+++ b/adapters/platformhttp/platformhttp.go
@@ -1,5 +1,5 @@
-// Package platformhttp is the plug-in that talks to the platform's log service
-// and instance list over HTTP with JSON.
+// Package platformhttp is the plug-in for the platform's log service and instance list,
+// with JSON over HTTP.
 package platformhttp
 
 import (
@@ -30,13 +30,13 @@
 	Records [][]byte `json:"records"`
 }
 
-// AppendReply answers an append.
+// AppendReply is the answer to an append. First is the position of the first record.
 type AppendReply struct {
 	First int64 `json:"first"`
 }
 
-// ReadReply answers GET /streams/NAME?from=N&wait_ms=N. With status 410 only
-// First is set: the oldest record that is kept.
+// ReadReply is the answer to GET /streams/NAME?from=N&wait_ms=N. With status 410 only
+// First is set: the oldest retained record.
 type ReadReply struct {
 	First   int64    `json:"first"`
 	Records [][]byte `json:"records"`
@@ -52,14 +52,14 @@
 	})
 }
 
-// Client is both the log and the instance list of one platform.
+// Client is a client of both the log and the instance list of a platform.
 type Client struct {
 	base string
 	http *http.Client
 
-	mu      sync.Mutex
-	listTag string // entity tag of the last list
-	list    []membership.Listed
+	mu       sync.Mutex
+	listETag string // entity tag of list
+	list     []membership.Listed
 }
 
 // New returns a client of the platform at a base URL.
@@ -99,17 +99,18 @@
 	return logstream.Batch{First: reply.First, Records: reply.Records, End: reply.End}, nil
 }
 
-// List implements membership.InstanceList. An unchanged list is not sent again.
+// List implements membership.InstanceList. The platform sends the list only if it has
+// changed.
 func (c *Client) List(ctx context.Context) ([]membership.Listed, error) {
 	c.mu.Lock()
-	tag := c.listTag
+	etag := c.listETag
 	c.mu.Unlock()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/instances", nil)
 	if err != nil {
 		return nil, eris.Wrap(err, "platform request")
 	}
-	if tag != "" {
-		request.Header.Set("If-None-Match", tag)
+	if etag != "" {
+		request.Header.Set("If-None-Match", etag)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -120,10 +121,12 @@
 	if err != nil {
 		return nil, logstream.ErrUnavailable
 	}
-	return c.takeList(response, data)
+	return c.updateList(response, data)
 }
 
-func (c *Client) takeList(response *http.Response, data []byte) ([]membership.Listed, error) {
+// updateList stores and returns the list of an answer; status 304 means that the stored
+// one is current.
+func (c *Client) updateList(response *http.Response, data []byte) ([]membership.Listed, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if response.StatusCode == http.StatusNotModified {
@@ -134,7 +137,7 @@
 		return nil, logstream.ErrUnavailable
 	}
 	c.list = list
-	c.listTag = response.Header.Get("ETag")
+	c.listETag = response.Header.Get("ETag")
 	return list, nil
 }
 
@@ -150,11 +153,13 @@
 	return nil
 }
 
-// call returns the status of an answer that could be read and decoded.
-func (c *Client) call(ctx context.Context, method, path string, message, answer any) (int, error) {
+// call sends a request and returns the status. It decodes the bodies of answers with
+// status 200 and 410 into reply. An answer that cannot be read or decoded is
+// ErrUnavailable.
+func (c *Client) call(ctx context.Context, method, path string, requestBody, reply any) (int, error) {
 	var body io.Reader
-	if message != nil {
-		data, err := json.Marshal(message)
+	if requestBody != nil {
+		data, err := json.Marshal(requestBody)
 		if err != nil {
 			return 0, eris.Wrap(err, "platform message encoding")
 		}
@@ -173,11 +178,11 @@
 	if err != nil {
 		return 0, logstream.ErrUnavailable
 	}
-	decodes := response.StatusCode == http.StatusOK || response.StatusCode == http.StatusGone
-	if answer == nil || !decodes {
+	hasBody := response.StatusCode == http.StatusOK || response.StatusCode == http.StatusGone
+	if reply == nil || !hasBody {
 		return response.StatusCode, nil
 	}
-	if err := json.Unmarshal(data, answer); err != nil {
+	if err := json.Unmarshal(data, reply); err != nil {
 		return 0, logstream.ErrUnavailable
 	}
 	return response.StatusCode, nil
--- a/adapters/runnerhttp/runnerhttp.go
+++ b/adapters/runnerhttp/runnerhttp.go
@@ -1,8 +1,8 @@
-// Package runnerhttp is the plug-in that talks to runners over HTTP/1.1.
+// Package runnerhttp is the plug-in that sends requests to runners over HTTP/1.1.
 //
-// A request is POST /run/CLASS with the headers below. The runner echoes the
-// attempt's identifier. A refusal is status 503 with X-Not-Started set to busy
-// or leaving; any other whole answer is relayed to the caller.
+// A request is POST /run/CLASS with the headers below. The runner echoes the ID of the
+// attempt. A refusal is status 503 with X-Not-Started set to busy or leaving; any other
+// complete answer is relayed to the caller.
 package runnerhttp
 
 import (
@@ -23,8 +23,8 @@
 	"github.com/teaselcleat/teaselcleat/upstream"
 )
 
-// Headers between instances and runners. The request key's header has its own
-// name, as net/http repeats requests that carry a standard idempotency header.
+// Headers between instances and runners. The header of the request key is not the
+// standard one, because net/http retries requests with a standard idempotency header.
 const (
 	HeaderAttempt    = "X-Attempt-Id"
 	HeaderKey        = "X-Request-Key"
@@ -41,10 +41,10 @@
 
 // Connection limits.
 const (
-	maxConnections = 8 // per runner and instance, so that seven instances stay within its 64
-	dialTimeout    = time.Second
-	idleTimeout    = 10 * time.Second
-	refusedRetry   = time.Second
+	maxConnections    = 8 // per runner and instance; seven instances stay within the runner's limit of 64
+	dialTimeout       = time.Second
+	idleTimeout       = 10 * time.Second
+	refusedRetryAfter = time.Second
 )
 
 func init() {
@@ -56,7 +56,7 @@
 	transport *http.Transport
 }
 
-// New returns a client without connections.
+// New returns a client without open connections.
 func New() *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{transport: &http.Transport{
@@ -68,54 +68,57 @@
 	}}
 }
 
-// Send implements upstream.Runner. The transport closes the connection of an
-// attempt whose context ends or whose body is not read to its end.
+// Send implements upstream.Runner. The transport closes the connection of an attempt whose
+// context ends or whose body is not read completely.
 func (c *Client) Send(ctx context.Context, attempt upstream.Attempt) upstream.Result {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost,
 		"http://"+attempt.Address+"/run/"+attempt.Class, bytes.NewReader(attempt.Body))
 	if err != nil {
-		return failed(requests.AttemptNotSent, structs.ReasonNoUpstream, balancer.ResultFailed)
+		return failedResult(requests.AttemptNotSent, structs.ReasonNoUpstream, balancer.ResultFailed)
 	}
 	request.Header.Set(HeaderAttempt, attempt.ID)
 	request.Header.Set(HeaderKey, attempt.Key)
 	request.Header.Set(HeaderWorkspace, attempt.Workspace)
 	response, err := c.transport.RoundTrip(request)
 	if err != nil {
-		return sendError(ctx, connected.Load())
+		return sendErrorResult(ctx, connected.Load())
 	}
 	defer response.Body.Close()
-	return read(ctx, attempt, response)
+	return readResult(ctx, attempt, response)
 }
 
-func sendError(ctx context.Context, connected bool) upstream.Result {
+// sendErrorResult classifies an attempt without an answer. Only without a connection is it
+// certain that nothing was sent.
+func sendErrorResult(ctx context.Context, connected bool) upstream.Result {
 	load := balancer.ResultFailed
 	if ctx.Err() != nil {
 		load = balancer.ResultAbandoned
 	}
 	if !connected {
-		return failed(requests.AttemptNotSent, structs.ReasonNoUpstream, load)
+		return failedResult(requests.AttemptNotSent, structs.ReasonNoUpstream, load)
 	}
-	return failed(requests.AttemptBroken, structs.ReasonUpstreamFailed, load)
+	return failedResult(requests.AttemptBroken, structs.ReasonUpstreamFailed, load)
 }
 
-func failed(kind requests.AttemptKind, reason structs.Reason, load balancer.Result) upstream.Result {
+func failedResult(kind requests.AttemptKind, reason structs.Reason, load balancer.Result) upstream.Result {
 	return upstream.Result{Ended: requests.AttemptEnded{Kind: kind, Reason: reason}, Load: load, Busy: -1}
 }
 
-// read takes the answer in whole or calls the attempt broken.
-func read(ctx context.Context, attempt upstream.Attempt, response *http.Response) upstream.Result {
+// readResult reads the complete answer; an attempt with an incomplete one counts as
+// broken.
+func readResult(ctx context.Context, attempt upstream.Attempt, response *http.Response) upstream.Result {
 	if response.Header.Get(HeaderAttempt) != attempt.ID {
-		return failed(requests.AttemptBroken, structs.ReasonAnswerMismatched, balancer.ResultFailed)
+		return failedResult(requests.AttemptBroken, structs.ReasonAnswerMismatched, balancer.ResultFailed)
 	}
-	body, reason := readWhole(response, attempt.MaxAnswer)
+	body, reason := readBody(response, attempt.MaxAnswer)
 	if reason != structs.ReasonNone {
 		load := balancer.ResultFailed
 		if ctx.Err() != nil {
 			load = balancer.ResultAbandoned
 		}
-		return failed(requests.AttemptBroken, reason, load)
+		return failedResult(requests.AttemptBroken, reason, load)
 	}
 	busy := busySlots(response)
 	if refusal := response.Header.Get(HeaderNotStarted); response.StatusCode == http.StatusServiceUnavailable && refusal != "" {
@@ -124,15 +127,16 @@
 			load = balancer.ResultLeaving
 		}
 		return upstream.Result{Load: load, Busy: busy, Ended: requests.AttemptEnded{
-			Kind: requests.AttemptRefused, Reason: structs.ReasonUpstreamRefused, RetryAfter: refusedRetry}}
+			Kind: requests.AttemptRefused, Reason: structs.ReasonUpstreamRefused, RetryAfter: refusedRetryAfter}}
 	}
 	return upstream.Result{Load: balancer.ResultAnswered, Busy: busy, Ended: requests.AttemptEnded{
 		Kind: requests.AttemptAnswered, Status: response.StatusCode, Answer: body}}
 }
 
-// readWhole returns the body if its end is certain: a stated length that was
-// met, or a final chunk. A body that only ends with the connection is not whole.
-func readWhole(response *http.Response, limit int64) ([]byte, structs.Reason) {
+// readBody returns the body if its end is certain: the stated length was reached, or the
+// final chunk was read. A body that is delimited by the end of the connection is treated
+// as truncated.
+func readBody(response *http.Response, limit int64) ([]byte, structs.Reason) {
 	chunked := len(response.TransferEncoding) > 0 && response.TransferEncoding[0] == "chunked"
 	if response.ContentLength < 0 && !chunked {
 		return nil, structs.ReasonAnswerTruncated
@@ -150,6 +154,7 @@
 	return body, structs.ReasonNone
 }
 
+// busySlots returns the number of busy slots of the runner, or -1 if it is not stated.
 func busySlots(response *http.Response) int {
 	busy, err := strconv.Atoi(response.Header.Get(HeaderBusy))
 	if err != nil || busy < 0 {
--- a/adapters/runnerhttp/runnerhttp_test.go
+++ b/adapters/runnerhttp/runnerhttp_test.go
@@ -18,12 +18,12 @@
 	"github.com/teaselcleat/teaselcleat/upstream"
 )
 
-func attemptAt(address string) upstream.Attempt {
+func newAttempt(address string) upstream.Attempt {
 	return upstream.Attempt{ID: "a1", Address: strings.TrimPrefix(address, "http://"), Class: "surge", Workspace: "w", Key: "k",
 		Body: []byte("station 12"), MaxAnswer: 1024}
 }
 
-// Each way in which a runner misbehaves leads to the one truthful result.
+// Checks the result of an attempt for each fault of a runner.
 func TestResultsAreTruthful(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -48,7 +48,7 @@
 			runner.SetFaults(c.faults)
 			server := httptest.NewServer(runner)
 			defer server.Close()
-			result := runnerhttp.New().Send(context.Background(), attemptAt(server.URL))
+			result := runnerhttp.New().Send(context.Background(), newAttempt(server.URL))
 			is.Equal(result.Ended.Kind, c.kind)
 			is.Equal(result.Ended.Reason, c.reason)
 			is.Equal(runner.Executions()["k"], c.executed)
@@ -56,16 +56,16 @@
 	}
 }
 
-func TestNothingSentIsSaidOnlyWithoutAConnection(t *testing.T) {
+func TestNotSentWithoutAConnection(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.NotFoundHandler())
 	server.Close()
-	result := runnerhttp.New().Send(context.Background(), attemptAt(server.URL))
+	result := runnerhttp.New().Send(context.Background(), newAttempt(server.URL))
 	is.Equal(result.Ended.Kind, requests.AttemptNotSent)
 }
 
-// An abandoned attempt's connection is closed, so that its late answer cannot
-// be taken for a later attempt's.
+// Checks that the connection of an abandoned attempt is closed; otherwise its late answer
+// could be taken for that of a later attempt.
 func TestTheConnectionOfAnAbandonedAttemptIsNotReused(t *testing.T) {
 	is := is.New(t)
 	runner := standin.NewRunner("r")
@@ -82,14 +82,14 @@
 	client := runnerhttp.New()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan upstream.Result)
-	go func() { done <- client.Send(ctx, attemptAt(server.URL)) }()
+	go func() { done <- client.Send(ctx, newAttempt(server.URL)) }()
 	for len(runner.Executions()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
 	is.Equal((<-done).Ended.Kind, requests.AttemptBroken)
 	runner.SetFaults(standin.RunnerFaults{})
-	next := attemptAt(server.URL)
+	next := newAttempt(server.URL)
 	next.ID = "a2"
 	is.Equal(client.Send(context.Background(), next).Ended.Kind, requests.AttemptAnswered)
 	is.Equal(connections, 2)
--- a/adapters/workerhttp/bench_test.go
+++ b/adapters/workerhttp/bench_test.go
@@ -15,49 +15,50 @@
 	"github.com/teaselcleat/teaselcleat/worker"
 )
 
-// counted counts the bytes of a connection, both ways.
-type counted struct {
+// countingConn counts the bytes read from and written to a connection.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-type countedListener struct {
+// countingListener wraps accepted connections in countingConn.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-func (l countedListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
-	return counted{conn, l.bytes}, err
+	return countingConn{conn, l.bytes}, err
 }
 
-// BenchmarkRenew measures one poll of a worker that holds leases: the time of
-// both sides together, and the bytes above TCP both ways.
+// BenchmarkRenew measures one poll of a worker with leases: the time of client and server
+// together, and the bytes above TCP in both directions.
 func BenchmarkRenew(b *testing.B) {
 	for _, leases := range []int{1, 8} {
 		b.Run(fmt.Sprintf("leases=%d", leases), func(b *testing.B) {
 			var bytes atomic.Int64
-			held := standin.NewWorker(leases)
-			server := httptest.NewUnstartedServer(http.Handler(held))
-			server.Listener = countedListener{server.Listener, &bytes}
+			node := standin.NewWorker(leases)
+			server := httptest.NewUnstartedServer(http.Handler(node))
+			server.Listener = countingListener{server.Listener, &bytes}
 			server.Start()
 			defer server.Close()
 			renew := worker.Renew{Term: 1, TTL: time.Minute}
 			for n := range leases {
 				run := fmt.Sprintf("j9uye37u6dhmx#1.%d", n)
-				if err := held.Reserve(worker.Reserve{Term: 1, Run: run, Job: "j9uye37u6dhmx", Accelerators: 1, TTL: time.Minute}); err != nil {
+				if err := node.Reserve(worker.Reserve{Term: 1, Run: run, Job: "j9uye37u6dhmx", Accelerators: 1, TTL: time.Minute}); err != nil {
 					b.Fatal(err)
 				}
 				renew.Runs = append(renew.Runs, run)
--- a/adapters/workerhttp/workerhttp.go
+++ b/adapters/workerhttp/workerhttp.go
@@ -1,4 +1,4 @@
-// Package workerhttp is the plug-in that talks to workers over HTTP with JSON.
+// Package workerhttp is the plug-in that sends orders to workers, with JSON over HTTP.
 package workerhttp
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/teaselcleat/teaselcleat/worker"
 )
 
-// Paths of a worker's calls, all POST.
+// Paths of a worker's API. All calls are POST.
 const (
 	PathReserve = "/lease/reserve"
 	PathRenew   = "/lease/renew"
@@ -51,7 +51,7 @@
 	http *http.Client
 }
 
-// New returns a client without connections.
+// New returns a client without open connections.
 func New() *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{http: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 4}}}
@@ -84,8 +84,10 @@
 	return state, err
 }
 
-func (c *Client) call(ctx context.Context, address, path string, message, answer any) error {
-	body, err := json.Marshal(message)
+// call sends a request and decodes the answer into reply unless that is nil. A refusal by
+// the worker becomes one of the errors of package worker.
+func (c *Client) call(ctx context.Context, address, path string, requestBody, reply any) error {
+	body, err := json.Marshal(requestBody)
 	if err != nil {
 		return eris.Wrap(err, "worker message encoding")
 	}
@@ -103,23 +105,24 @@
 		return eris.Wrap(err, "worker answer")
 	}
 	if response.StatusCode == http.StatusConflict {
-		return refusal(data)
+		return decodeRefusal(data)
 	}
 	if response.StatusCode != http.StatusOK {
 		return eris.Errorf("worker answered status %d", response.StatusCode)
 	}
-	if answer == nil {
+	if reply == nil {
 		return nil
 	}
-	return eris.Wrap(json.Unmarshal(data, answer), "worker answer decoding")
+	return eris.Wrap(json.Unmarshal(data, reply), "worker answer decoding")
 }
 
-func refusal(data []byte) error {
-	var stated Refusal
-	if err := json.Unmarshal(data, &stated); err != nil {
+// decodeRefusal converts the body of a 409 answer to an error.
+func decodeRefusal(data []byte) error {
+	var refusal Refusal
+	if err := json.Unmarshal(data, &refusal); err != nil {
 		return eris.Wrap(err, "worker refusal decoding")
 	}
-	switch stated.Reason {
+	switch refusal.Reason {
 	case RefusalStaleTerm:
 		return worker.ErrStaleTerm
 	case RefusalNoRoom:
@@ -127,5 +130,5 @@
 	case RefusalNoLease:
 		return worker.ErrNoLease
 	}
-	return eris.Errorf("worker refused: %s", stated.Reason)
+	return eris.Errorf("worker refused: %s", refusal.Reason)
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs one stand-in as a process of its own, for tests: the
-// platform, a runner or a worker. It is not part of the product.
+// Command standin runs one stand-in (the platform, a runner or a worker) as a separate
+// process for tests. It is not part of the product.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	kind := flag.String("kind", "", "platform, runner or worker")
 	accelerators := flag.Int("accelerators", 8, "accelerators of a worker")
 	flag.Parse()
-	handler := handlerOf(*kind, *accelerators)
+	handler := newHandler(*kind, *accelerators)
 	if handler == nil {
 		fmt.Fprintln(os.Stderr, "standin: -kind must be platform, runner or worker")
 		os.Exit(2)
@@ -33,7 +33,7 @@
 	os.Exit(1)
 }
 
-func handlerOf(kind string, accelerators int) http.Handler {
+func newHandler(kind string, accelerators int) http.Handler {
 	switch kind {
 	case "platform":
 		return standin.NewPlatform()
--- a/cmd/teaselcleat/main.go
+++ b/cmd/teaselcleat/main.go
@@ -1,5 +1,5 @@
-// Command teaselcleat is the scheduler's one binary; see package command for
-// its subcommands.
+// Command teaselcleat is the only binary of the scheduler; package command implements its
+// subcommands.
 package main
 
 import (
--- a/command/client.go
+++ b/command/client.go
@@ -20,12 +20,12 @@
 	"github.com/teaselcleat/teaselcleat/timeline"
 )
 
-// clientTimeout bounds one call of the command line; requests may be long.
+// clientTimeout bounds a call; requests may run for minutes.
 const clientTimeout = 10 * time.Minute
 
 const addressHelp = "address of an instance, IP:PORT"
 
-// call sends one HTTP request and returns the status and body.
+// call sends an HTTP request and returns the status and the body.
 func call(method, address, path string, headers map[string]string, body []byte) (int, []byte, error) {
 	request, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -46,8 +46,8 @@
 	return response.StatusCode, answer, eris.Wrap(err, "answer")
 }
 
-// show prints an answer and returns the exit code for its status.
-func show(to output, name string, status int, answer []byte, err error) int {
+// printAnswer prints an answer and returns the exit code for its status.
+func printAnswer(to output, name string, status int, answer []byte, err error) int {
 	if err != nil {
 		return fail(to, name, err)
 	}
@@ -58,8 +58,8 @@
 	return ExitDone
 }
 
-// submission holds the flags of submit.
-type submission struct {
+// submitOptions holds the flags of the submit command.
+type submitOptions struct {
 	address   string
 	workspace string
 	class     string
@@ -71,7 +71,7 @@
 	payload   string
 }
 
-func (s *submission) register(flags *flag.FlagSet) {
+func (s *submitOptions) register(flags *flag.FlagSet) {
 	flags.StringVar(&s.address, "addr", "", addressHelp)
 	flags.StringVar(&s.workspace, "workspace", "", "workspace of the work")
 	flags.StringVar(&s.class, "class", "", "class of the work")
@@ -85,7 +85,7 @@
 
 func runSubmit(args []string, to output) int {
 	flags := newFlags("submit", to)
-	var s submission
+	var s submitOptions
 	s.register(flags)
 	if code, ok := parse(flags, args, 0, 0, to); !ok {
 		return code
@@ -97,12 +97,12 @@
 	if s.shape == "" {
 		status, answer, err := call(http.MethodPost, s.address, "/v1/requests/"+url.PathEscape(s.class),
 			map[string]string{fronthttp.HeaderWorkspace: s.workspace, fronthttp.HeaderKey: s.key}, []byte(s.body))
-		return show(to, "submit", status, answer, err)
+		return printAnswer(to, "submit", status, answer, err)
 	}
 	return s.submitGang(to)
 }
 
-func (s *submission) submitGang(to output) int {
+func (s *submitOptions) submitGang(to output) int {
 	shape, err := structs.ParseShape(s.shape)
 	if err != nil {
 		fmt.Fprintln(to.err, "submit: "+err.Error())
@@ -115,21 +115,21 @@
 		return fail(to, "submit", err)
 	}
 	status, answer, err := call(http.MethodPost, s.address, "/v1/jobs", nil, body)
-	return show(to, "submit", status, answer, err)
+	return printAnswer(to, "submit", status, answer, err)
 }
 
-func runStatus(args []string, to output) int { return jobCall("status", http.MethodGet, args, to) }
+func runStatus(args []string, to output) int { return callJob("status", http.MethodGet, args, to) }
 
-func runCancel(args []string, to output) int { return jobCall("cancel", http.MethodDelete, args, to) }
+func runCancel(args []string, to output) int { return callJob("cancel", http.MethodDelete, args, to) }
 
-func jobCall(name, method string, args []string, to output) int {
+func callJob(name, method string, args []string, to output) int {
 	flags := newFlags(name, to)
 	address := flags.String("addr", "", addressHelp)
 	if code, ok := parse(flags, args, 1, 1, to); !ok {
 		return code
 	}
 	status, answer, err := call(method, *address, "/v1/jobs/"+url.PathEscape(flags.Arg(0)), nil, nil)
-	return show(to, name, status, answer, err)
+	return printAnswer(to, name, status, answer, err)
 }
 
 func runTargets(args []string, to output) int {
@@ -156,7 +156,7 @@
 	status, answer, err := call(http.MethodGet, address, "/v1/targets", nil, nil)
 	var document service.Document
 	if err != nil || status != http.StatusOK || json.Unmarshal(answer, &document) != nil {
-		return show(to, "targets", status, answer, err)
+		return printAnswer(to, "targets", status, answer, err)
 	}
 	fmt.Fprintf(to.out, "; version = %d\n%s", document.Version, document.Text)
 	return ExitDone
@@ -180,7 +180,7 @@
 		return fail(to, name, err)
 	}
 	status, answer, err := call(http.MethodPost, address, "/v1/targets", nil, body)
-	return show(to, name, status, answer, err)
+	return printAnswer(to, name, status, answer, err)
 }
 
 func runRefusals(args []string, to output) int {
@@ -193,7 +193,7 @@
 	status, answer, err := call(http.MethodGet, *address, "/v1/refusals?workspace="+url.QueryEscape(*workspace), nil, nil)
 	var list []structs.Refusal
 	if err != nil || status != http.StatusOK || json.Unmarshal(answer, &list) != nil {
-		return show(to, "refusals", status, answer, err)
+		return printAnswer(to, "refusals", status, answer, err)
 	}
 	for _, refusal := range list {
 		fmt.Fprintf(to.out, "at_ms=%d workspace=%s class=%s subject=%s outcome=%s reason=%s retry_after_s=%d instance=%s dropped_before=%d\n",
--- a/command/command.go
+++ b/command/command.go
@@ -1,4 +1,4 @@
-// Package command owns the command line: one file for each subcommand.
+// Package command implements the command line, with one file per subcommand.
 package command
 
 import (
@@ -22,13 +22,13 @@
 // Version is what the version subcommand prints.
 const Version = "0.1.0"
 
-// output is where a subcommand writes.
+// output holds the writers for the output and the errors of a subcommand.
 type output struct {
 	out io.Writer
 	err io.Writer
 }
 
-// subcommand is one entry of the command line.
+// subcommand is an entry of the command line.
 type subcommand struct {
 	usage string
 	run   func(args []string, to output) int
@@ -61,38 +61,38 @@
 		printUsage(to)
 		return ExitUsage
 	}
-	chosen, known := subcommands()[args[0]]
-	if !known {
+	cmd, ok := subcommands()[args[0]]
+	if !ok {
 		fmt.Fprintf(err, "teaselcleat: unknown command %q\n", args[0])
 		printUsage(to)
 		return ExitUsage
 	}
-	return chosen.run(args[1:], to)
+	return cmd.run(args[1:], to)
 }
 
 func printUsage(to output) {
-	known := subcommands()
-	names := make([]string, 0, len(known))
-	for name := range known {
+	commands := subcommands()
+	names := make([]string, 0, len(commands))
+	for name := range commands {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	fmt.Fprintln(to.err, "usage: teaselcleat COMMAND [flags]")
 	for _, name := range names {
-		fmt.Fprintln(to.err, "  "+known[name].usage)
+		fmt.Fprintln(to.err, "  "+commands[name].usage)
 	}
 }
 
-// newFlags returns a flag set that reports errors instead of exiting.
+// newFlags returns a flag set that returns errors instead of exiting.
 func newFlags(name string, to output) *flag.FlagSet {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.SetOutput(to.err)
 	return flags
 }
 
-// parse reads flags and checks the number of arguments after them. ok is false
-// if the subcommand must return code.
-func parse(flags *flag.FlagSet, args []string, least, most int, to output) (code int, ok bool) {
+// parse parses flags and checks the number of remaining arguments. If ok is false, the
+// subcommand must return code.
+func parse(flags *flag.FlagSet, args []string, minArgs, maxArgs int, to output) (code int, ok bool) {
 	err := flags.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
 		return ExitDone, false
@@ -100,7 +100,7 @@
 	if err != nil {
 		return ExitUsage, false
 	}
-	if flags.NArg() < least || flags.NArg() > most {
+	if flags.NArg() < minArgs || flags.NArg() > maxArgs {
 		fmt.Fprintf(to.err, "%s: wrong number of arguments\n", flags.Name())
 		flags.Usage()
 		return ExitUsage, false
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestReplayPrintsItsLineLast(t *testing.T) {
+func TestReplayPrintsSummaryLast(t *testing.T) {
 	is := is.New(t)
 	code, out, _ := run("replay", "-settings", "../replay/testdata/merrimack.ini", "../replay/testdata/merrimack.jsonl")
 	is.Equal(code, ExitDone)
@@ -71,7 +71,7 @@
 	is := is.New(t)
 	code, out, _ := run("dev", "-demo")
 	is.Equal(code, ExitDone)
-	for _, said := range []string{"class=surge-check outcome=ran", "class=flow-reconciliation outcome=ran", "event=gang_placed", "event=run_finished"} {
-		is.True(strings.Contains(out, said))
+	for _, want := range []string{"class=surge-check outcome=ran", "class=flow-reconciliation outcome=ran", "event=gang_placed", "event=run_finished"} {
+		is.True(strings.Contains(out, want))
 	}
 }
--- a/command/dev.go
+++ b/command/dev.go
@@ -27,14 +27,14 @@
 
 // Size of the embedded system.
 const (
-	devInstances       = 3
-	devRunners         = 4
-	devWorkers         = 8
-	devAccelerators    = 8
-	devWorkersPerRack  = 4
-	devReadyWithin     = 20 * time.Second
-	devGangWithin      = 20 * time.Second
-	devAccelersPerGang = 8
+	devInstances             = 3
+	devRunners               = 4
+	devWorkers               = 8
+	devAccelerators          = 8
+	devWorkersPerRack        = 4
+	devReadyTimeout          = 20 * time.Second
+	devGangTimeout           = 20 * time.Second
+	devAcceleratorsPerMember = 8
 )
 
 const devTargets = `[class "impeller-wear"]
@@ -56,8 +56,9 @@
 guarantee = 2x8
 `
 
-// system is the whole system in one process: stand-ins and instances.
-type system struct {
+// devSystem runs the whole system in one process: stand-ins of the external systems and
+// instances.
+type devSystem struct {
 	platform  *standin.Platform
 	address   string // of the platform
 	runners   []*standin.Runner
@@ -65,28 +66,29 @@
 	servers   []*http.Server
 }
 
-func serveOn(handler http.Handler) (string, *http.Server, error) {
+// startServer serves handler on a free loopback port and returns its address.
+func startServer(handler http.Handler) (string, *http.Server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, eris.Wrap(err, "stand-in listener")
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second}
-	go func() { _ = server.Serve(listener) }() // ends with the process
+	go func() { _ = server.Serve(listener) }() // runs until the server is closed
 	return listener.Addr().String(), server, nil
 }
 
-func (s *system) serve(handler http.Handler) (string, error) {
-	address, server, err := serveOn(handler)
+func (s *devSystem) listenAndServe(handler http.Handler) (string, error) {
+	address, server, err := startServer(handler)
 	if err == nil {
 		s.servers = append(s.servers, server)
 	}
 	return address, err
 }
 
-func startSystem(log *logrus.Logger) (*system, error) {
-	s := &system{platform: standin.NewPlatform()}
+func startDevSystem(log *logrus.Logger) (*devSystem, error) {
+	s := &devSystem{platform: standin.NewPlatform()}
 	var err error
-	if s.address, err = s.serve(s.platform); err != nil {
+	if s.address, err = s.listenAndServe(s.platform); err != nil {
 		return nil, err
 	}
 	if err := s.startRunners(); err != nil {
@@ -103,11 +105,11 @@
 	return s, nil
 }
 
-func (s *system) startRunners() error {
+func (s *devSystem) startRunners() error {
 	for n := range devRunners {
 		name := "runner-" + strconv.Itoa(n)
 		runner := standin.NewRunner(name)
-		address, err := s.serve(runner)
+		address, err := s.listenAndServe(runner)
 		if err != nil {
 			return err
 		}
@@ -117,9 +119,9 @@
 	return nil
 }
 
-func (s *system) startWorkers() error {
+func (s *devSystem) startWorkers() error {
 	for n := range devWorkers {
-		address, err := s.serve(standin.NewWorker(devAccelerators))
+		address, err := s.listenAndServe(standin.NewWorker(devAccelerators))
 		if err != nil {
 			return err
 		}
@@ -130,37 +132,37 @@
 	return nil
 }
 
-func (s *system) startInstance(n int, log *logrus.Logger) error {
+func (s *devSystem) startInstance(n int, log *logrus.Logger) error {
 	text := fmt.Sprintf("[instance]\nname = entry-%d\nregion = new-england\navailability_zone = lowell-hall\n"+
 		"http = 127.0.0.1:0\npeer = 127.0.0.1:0\n[platform]\naddress = http://%s\n[timing]\nlease_ttl = 2s\nterm_timeout = 1s\n", n, s.address)
 	loaded, err := settings.Parse("embedded settings", []byte(text))
 	if err != nil {
 		return err
 	}
-	built, err := instance.New(loaded, log)
+	inst, err := instance.New(loaded, log)
 	if err != nil {
 		return err
 	}
-	built.Start()
-	s.instances = append(s.instances, built)
+	inst.Start()
+	s.instances = append(s.instances, inst)
 	return nil
 }
 
-func (s *system) stop() {
-	for _, running := range s.instances {
-		running.Stop()
+func (s *devSystem) stop() {
+	for _, inst := range s.instances {
+		inst.Stop()
 	}
 	for _, server := range s.servers {
 		server.Close()
 	}
 }
 
-// waitReady waits until every instance is ready and one of them places.
-func (s *system) waitReady(ctx context.Context) error {
+// waitReady waits until every instance is ready and knows the leader's term.
+func (s *devSystem) waitReady(ctx context.Context) error {
 	for {
 		ready := 0
-		for _, running := range s.instances {
-			if status := running.Status(); status.Ready && status.Term > 0 {
+		for _, inst := range s.instances {
+			if status := inst.Status(); status.Ready && status.Term > 0 {
 				ready++
 			}
 		}
@@ -175,15 +177,14 @@
 	}
 }
 
-// proposeDevTargets puts the embedded targets in force and waits until every
-// instance has them.
-func (s *system) proposeDevTargets(ctx context.Context) error {
+// proposeDevTargets applies the embedded targets and waits until every instance has them.
+func (s *devSystem) proposeDevTargets(ctx context.Context) error {
 	reply, version := s.instances[0].Propose(ctx, service.Document{Version: 0, Text: devTargets})
 	if reply.Outcome != structs.OutcomeAccepted {
 		return eris.Errorf("targets were not accepted: %s %s", reply.Reason, reply.Detail)
 	}
-	for _, running := range s.instances {
-		for running.Status().TargetsVersion < version {
+	for _, inst := range s.instances {
+		for inst.Status().TargetsVersion < version {
 			if ctx.Err() != nil {
 				return eris.New("targets did not reach every instance")
 			}
@@ -204,22 +205,22 @@
 	if !*verbose {
 		log.SetLevel(logrus.WarnLevel)
 	}
-	running, err := startSystem(log)
+	sys, err := startDevSystem(log)
 	if err != nil {
 		return fail(to, "dev", err)
 	}
-	defer running.stop()
-	ctx, cancel := context.WithTimeout(context.Background(), devReadyWithin)
+	defer sys.stop()
+	ctx, cancel := context.WithTimeout(context.Background(), devReadyTimeout)
 	defer cancel()
-	if err := running.waitReady(ctx); err != nil {
+	if err := sys.waitReady(ctx); err != nil {
 		return fail(to, "dev", err)
 	}
-	if err := running.proposeDevTargets(ctx); err != nil {
+	if err := sys.proposeDevTargets(ctx); err != nil {
 		return fail(to, "dev", err)
 	}
-	running.print(to)
+	sys.print(to)
 	if *demo {
-		return running.demo(to)
+		return sys.demo(to)
 	}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -227,16 +228,16 @@
 	return ExitDone
 }
 
-func (s *system) print(to output) {
+func (s *devSystem) print(to output) {
 	fmt.Fprintf(to.out, "platform=%s\n", s.address)
-	for n, running := range s.instances {
-		fmt.Fprintf(to.out, "instance=entry-%d http=%s\n", n, running.HTTPAddress())
+	for n, inst := range s.instances {
+		fmt.Fprintf(to.out, "instance=entry-%d http=%s\n", n, inst.HTTPAddress())
 	}
 }
 
-// demo serves one request of each class at one instance and one gang submitted
-// at another, and reads the gang back from a third.
-func (s *system) demo(to output) int {
+// demo runs one request of each class at the first instance, submits a gang to the second
+// and reads its state from the third.
+func (s *devSystem) demo(to output) int {
 	for _, class := range []string{"surge-check", "flow-reconciliation"} {
 		finish := s.instances[0].Request(context.Background(), service.Request{Workspace: "manchester", Class: class,
 			Key: "demo-" + class, Body: []byte("station 12")})
@@ -255,8 +256,8 @@
 	}
 	fmt.Fprintln(to.out, string(data))
 	var lists [][]timeline.Event
-	for _, running := range s.instances {
-		events, _ := running.Events(timeline.Filter{})
+	for _, inst := range s.instances {
+		events, _ := inst.Events(timeline.Filter{})
 		lists = append(lists, events)
 	}
 	printEvents(to, timeline.Merge(lists...))
@@ -266,14 +267,14 @@
 	return ExitDone
 }
 
-func (s *system) demoGang(to output) (*service.JobState, error) {
+func (s *devSystem) demoGang(to output) (*service.JobState, error) {
 	reply := s.instances[1].SubmitJob(context.Background(), service.JobRequest{Workspace: "manchester", Class: "impeller-wear",
-		Key: "demo-wear", Shape: structs.Shape{Members: 4, Accelerators: devAccelersPerGang, Adjacent: true}, Payload: standin.PayloadRunMS + "200"})
+		Key: "demo-wear", Shape: structs.Shape{Members: 4, Accelerators: devAcceleratorsPerMember, Adjacent: true}, Payload: standin.PayloadRunMS + "200"})
 	if reply.Outcome != structs.OutcomeAccepted {
 		return nil, eris.Errorf("gang was refused: %s %s", reply.Reason, reply.Detail)
 	}
 	fmt.Fprintf(to.out, "class=impeller-wear outcome=%s id=%s\n", reply.Outcome, reply.ID)
-	deadline := time.Now().Add(devGangWithin)
+	deadline := time.Now().Add(devGangTimeout)
 	for time.Now().Before(deadline) {
 		if job := s.instances[2].Job(reply.ID); job != nil && job.Phase == ledger.JobEnded {
 			return job, nil
--- a/command/explain.go
+++ b/command/explain.go
@@ -14,40 +14,40 @@
 	"github.com/rotisserie/eris"
 )
 
-// logTimes is the format of a log line's time.
-const logTimes = "2006-01-02T15:04:05.000Z07:00"
+// logTimeFormat is the format of the time of a log line.
+const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// contextEvents are lines without a request's id that explain what happens to
-// requests: who placed, and what was lost.
+// contextEvents match log lines without a job ID that explain what happens to jobs:
+// changes of the leader, outages, restarts and evacuations.
 var contextEvents = []string{"msg=term_", "msg=store_lost", "msg=store_regained", "msg=instance_started", "msg=instance_stopped", "msg=draining", "msg=configuration_taken",
 	"msg=zone_", "msg=evacuations_"}
 
-// logLine is one line of one process.
+// logLine is a line of a process's log.
 type logLine struct {
-	at     time.Time
-	log    int64 // position that its instance had read of the platform's log
-	source string
-	text   string
-	about  bool // names the id
+	at          time.Time
+	logPosition int64 // position up to which the instance had read the platform's log
+	source      string
+	text        string
+	namesID     bool // contains the requested ID
 }
 
-// runExplain merges what several processes' logs say of one job.
+// runExplain merges the lines about one job from the logs of several processes.
 func runExplain(args []string, to output) int {
 	flags := newFlags("explain", to)
-	around := flags.Bool("context", true, "show terms, outages and restarts in the time of the job as well")
+	showContext := flags.Bool("context", true, "show terms, outages and restarts in the time of the job as well")
 	if code, ok := parse(flags, args, 2, 1000, to); !ok {
 		return code
 	}
 	id := flags.Arg(0)
 	var lines []logLine
 	for _, path := range flags.Args()[1:] {
-		read, err := readLogs(path, id)
+		fileLines, err := readLogs(path, id)
 		if err != nil {
 			return fail(to, "explain", err)
 		}
-		lines = append(lines, read...)
+		lines = append(lines, fileLines...)
 	}
-	found := printStory(to.out, lines, *around)
+	found := printHistory(to.out, lines, *showContext)
 	if found == 0 {
 		fmt.Fprintf(to.err, "explain: no line names %s\n", id)
 		return ExitFailed
@@ -55,7 +55,7 @@
 	return ExitDone
 }
 
-// readLogs reads a log file, or every file of a folder.
+// readLogs reads a log file or every file of a directory.
 func readLogs(path, id string) ([]logLine, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -68,44 +68,45 @@
 		}
 	}
 	var lines []logLine
-	for _, each := range paths {
-		file, err := os.Open(each)
+	for _, name := range paths {
+		file, err := os.Open(name)
 		if err != nil {
 			return nil, eris.Wrap(err, "log")
 		}
-		read, err := scanLog(file, filepath.Base(each), id)
+		fileLines, err := scanLog(file, filepath.Base(name), id)
 		file.Close()
 		if err != nil {
 			return nil, err
 		}
-		lines = append(lines, read...)
+		lines = append(lines, fileLines...)
 	}
 	return lines, nil
 }
 
-// maxLine bounds a log line.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
+// scanLog returns the lines of a log that contain id or are context events.
 func scanLog(reader io.Reader, source, id string) ([]logLine, error) {
 	scanner := bufio.NewScanner(reader)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	var lines []logLine
 	position := int64(0)
 	for scanner.Scan() {
 		text := scanner.Text()
-		position = positionOf(text, position)
-		about := strings.Contains(text, id)
-		if !about && !isContext(text) {
+		position = parsePosition(text, position)
+		namesID := strings.Contains(text, id)
+		if !namesID && !isContextEvent(text) {
 			continue
 		}
-		if at, ok := timeOf(text); ok {
-			lines = append(lines, logLine{at: at, log: position, source: source, text: text, about: about})
+		if at, ok := parseTime(text); ok {
+			lines = append(lines, logLine{at: at, logPosition: position, source: source, text: text, namesID: namesID})
 		}
 	}
 	return lines, eris.Wrap(scanner.Err(), "log "+source)
 }
 
-func isContext(text string) bool {
+func isContextEvent(text string) bool {
 	for _, event := range contextEvents {
 		if strings.Contains(text, event) {
 			return true
@@ -114,48 +115,47 @@
 	return false
 }
 
-func timeOf(text string) (time.Time, bool) {
+func parseTime(text string) (time.Time, bool) {
 	_, rest, found := strings.Cut(text, `time="`)
 	if !found {
 		return time.Time{}, false
 	}
 	stamp, _, _ := strings.Cut(rest, `"`)
-	at, err := time.Parse(logTimes, stamp)
+	at, err := time.Parse(logTimeFormat, stamp)
 	return at, err == nil
 }
 
-// positionOf reads a line's position; a line without one has that of the line
-// before.
-func positionOf(text string, before int64) int64 {
-	_, rest, found := strings.Cut(text, " "+positionField+"=")
+// parsePosition returns the log position of a line, or previous if the line has none.
+func parsePosition(text string, previous int64) int64 {
+	_, rest, found := strings.Cut(text, " "+logPositionField+"=")
 	if !found {
-		return before
+		return previous
 	}
 	digits, _, _ := strings.Cut(rest, " ")
 	position, err := strconv.ParseInt(digits, 10, 64)
 	if err != nil {
-		return before
+		return previous
 	}
 	return position
 }
 
-// earlier orders lines by what their instances had read of the platform's log:
-// who tells of a record has read it, and who wrote it had not. Their clocks
-// decide only where that is the same.
-func earlier(a, b logLine) bool {
-	if a.log != b.log {
-		return a.log < b.log
+// lineBefore orders lines by the log positions of their instances: an instance that
+// reports a record has read it, and the instance that wrote it had not yet. Clocks decide
+// only between equal positions.
+func lineBefore(a, b logLine) bool {
+	if a.logPosition != b.logPosition {
+		return a.logPosition < b.logPosition
 	}
 	return a.at.Before(b.at)
 }
 
-// printStory prints the lines in causal order and returns how many name the id.
-// Context is shown from the first such line to the last.
-func printStory(out io.Writer, lines []logLine, around bool) int {
-	sort.SliceStable(lines, func(a, b int) bool { return earlier(lines[a], lines[b]) })
+// printHistory prints the lines in causal order and returns how many contain the ID.
+// Context events are printed between the first and the last of these.
+func printHistory(out io.Writer, lines []logLine, showContext bool) int {
+	sort.SliceStable(lines, func(a, b int) bool { return lineBefore(lines[a], lines[b]) })
 	first, last, found := -1, -1, 0
 	for index := range lines {
-		if lines[index].about {
+		if lines[index].namesID {
 			if first < 0 {
 				first = index
 			}
@@ -164,7 +164,7 @@
 		}
 	}
 	for index := range lines {
-		if lines[index].about || around && index > first && index < last {
+		if lines[index].namesID || showContext && index > first && index < last {
 			fmt.Fprintf(out, "%s %s\n", lines[index].source, lines[index].text)
 		}
 	}
--- a/command/explain_test.go
+++ b/command/explain_test.go
@@ -10,21 +10,21 @@
 	"github.com/matryer/is"
 )
 
-// What two processes wrote of one job comes out in the order of time, with the
-// change of term between, and nothing of other jobs.
+// Checks that the lines of two processes about one job are printed in order of time, with
+// the change of term between them and without lines about other jobs.
 func TestExplainMergesLogs(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	one := `time="2026-12-02T10:00:00.100Z" level=info msg=submit job=00000000000000a1
+	firstLog := `time="2026-12-02T10:00:00.100Z" level=info msg=submit job=00000000000000a1
 time="2026-12-02T10:00:03.000Z" level=info msg=job_ended job=00000000000000a1
 time="2026-12-02T10:00:01.000Z" level=info msg=submit job=00000000000000b2
 `
-	two := `time="2026-12-02T10:00:00.200Z" level=info msg=placed job=00000000000000a1
+	secondLog := `time="2026-12-02T10:00:00.200Z" level=info msg=placed job=00000000000000a1
 time="2026-12-02T10:00:02.000Z" level=warning msg=term_lost reason="a later term has written"
 time="2026-12-02T10:00:09.000Z" level=info msg=term_won
 `
-	is.NoErr(os.WriteFile(filepath.Join(dir, "one.log"), []byte(one), 0o600))
-	is.NoErr(os.WriteFile(filepath.Join(dir, "two.log"), []byte(two), 0o600))
+	is.NoErr(os.WriteFile(filepath.Join(dir, "one.log"), []byte(firstLog), 0o600))
+	is.NoErr(os.WriteFile(filepath.Join(dir, "two.log"), []byte(secondLog), 0o600))
 	var out, errs bytes.Buffer
 	is.Equal(Main([]string{"explain", "00000000000000a1", dir}, &out, &errs), ExitDone)
 	var events []string
@@ -37,19 +37,19 @@
 	is.Equal(Main([]string{"explain", "ffffffffffffffff", dir}, &out, &errs), ExitFailed)
 }
 
-// The clock of the second process is five seconds slow. What it says of an end
-// that it read in the log comes after the line of the process that wrote it.
-func TestExplainOrdersByTheLogWhereClocksDiffer(t *testing.T) {
+// The clock of the second process is five seconds slow. Checks that its line about an end
+// that it read in the log is printed after the line of the process that wrote the end.
+func TestExplainOrdersByLogPositionWhenClocksDiffer(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	one := `time="2026-12-02T10:00:05.100Z" level=info msg=submit job=00000000000000a1 log_at=7
+	firstLog := `time="2026-12-02T10:00:05.100Z" level=info msg=submit job=00000000000000a1 log_at=7
 time="2026-12-02T10:00:08.000Z" level=info msg=job_ended job=00000000000000a1 log_at=9 verdict=x
 `
-	two := `time="2026-12-02T10:00:00.200Z" level=info msg=submit job=00000000000000a1 log_at=8
+	secondLog := `time="2026-12-02T10:00:00.200Z" level=info msg=submit job=00000000000000a1 log_at=8
 time="2026-12-02T10:00:03.100Z" level=info msg=state_told job=00000000000000a1 log_at=10
 `
-	is.NoErr(os.WriteFile(filepath.Join(dir, "one.log"), []byte(one), 0o600))
-	is.NoErr(os.WriteFile(filepath.Join(dir, "two.log"), []byte(two), 0o600))
+	is.NoErr(os.WriteFile(filepath.Join(dir, "one.log"), []byte(firstLog), 0o600))
+	is.NoErr(os.WriteFile(filepath.Join(dir, "two.log"), []byte(secondLog), 0o600))
 	var out, errs bytes.Buffer
 	is.Equal(Main([]string{"explain", "00000000000000a1", dir}, &out, &errs), ExitDone)
 	text := out.String()
@@ -57,7 +57,7 @@
 	is.True(strings.HasPrefix(text, "one.log"))
 }
 
-func TestCheckNamesEveryFaultOfThePlatformsFile(t *testing.T) {
+func TestCheckReportsEveryErrorInPlatformSettings(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "boot.json")
 	is.NoErr(os.WriteFile(path, []byte(`{"listen":{"front":"x","ready":"127.0.0.1:1"},"bounds":{"stop_ms":-1}}`), 0o600))
--- a/command/fleet.go
+++ b/command/fleet.go
@@ -15,10 +15,10 @@
 	"github.com/teaselcleat/teaselcleat/batch"
 )
 
-// statusTimeout bounds one instance's answer.
+// statusTimeout bounds the status call to one instance.
 const statusTimeout = 3 * time.Second
 
-// runFleet prints what each instance on the platform believes.
+// runFleet prints the status that each instance on the platform reports.
 func runFleet(args []string, to output) int {
 	flags := newFlags("fleet", to)
 	if code, ok := parse(flags, args, 1, 1000, to); !ok {
@@ -38,8 +38,8 @@
 	return code
 }
 
-// printStatus prints a line for the instance and, if it places, one for each
-// instance that drives workers for it.
+// printStatus prints a line for the instance and, if it is the leader, one for each of its
+// delegates.
 func printStatus(out io.Writer, status *batch.Status) {
 	fmt.Fprintf(out, "instance=%s leading=%t epoch=%d holder=%s config=%d ready=%t draining=%t log_age_ms=%d jobs=%v waiting=%v keeping=%d",
 		status.Instance, status.Leading, status.Term.Epoch, status.Term.Holder, status.ConfigVersion, status.Ready,
@@ -51,8 +51,8 @@
 		fmt.Fprintf(out, " shared=%t own=%d moving=%d", status.Sharing.Shared, status.Sharing.Own, status.Sharing.Moving)
 	}
 	fmt.Fprintln(out)
-	for _, keeper := range slices.Sorted(maps.Keys(status.Sharing.Keepers)) {
-		fmt.Fprintf(out, "holder=%s keeper=%s workers=%d\n", status.Instance, keeper, status.Sharing.Keepers[keeper])
+	for _, delegate := range slices.Sorted(maps.Keys(status.Sharing.Keepers)) {
+		fmt.Fprintf(out, "holder=%s keeper=%s workers=%d\n", status.Instance, delegate, status.Sharing.Keepers[delegate])
 	}
 }
 
--- a/command/fleet_test.go
+++ b/command/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/teaselcleat/teaselcleat/batch"
 )
 
-func TestFleetTellsWhoKeepsWhat(t *testing.T) {
+func TestFleetPrintsDelegates(t *testing.T) {
 	is := is.New(t)
 	status := batch.Status{Instance: "a", Leading: true, Sharing: batch.SharingStatus{Shared: true, Own: 1, Moving: 2, Keepers: map[string]int{"c": 118, "b": 121}}}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -21,10 +21,10 @@
 		is.NoErr(json.NewEncoder(w).Encode(status))
 	}))
 	defer server.Close()
-	var out, failed bytes.Buffer
-	code := runFleet([]string{strings.TrimPrefix(server.URL, "http://"), "127.0.0.1:1"}, output{out: &out, err: &failed})
-	is.Equal(code, ExitFailed) // one does not answer, and is named
-	is.True(strings.Contains(failed.String(), "127.0.0.1:1"))
+	var out, errs bytes.Buffer
+	code := runFleet([]string{strings.TrimPrefix(server.URL, "http://"), "127.0.0.1:1"}, output{out: &out, err: &errs})
+	is.Equal(code, ExitFailed) // the instance that does not answer is named
+	is.True(strings.Contains(errs.String(), "127.0.0.1:1"))
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	is.Equal(len(lines), 3)
 	is.True(strings.HasSuffix(lines[0], "keeping=0 shared=true own=1 moving=2"))
--- a/command/front.go
+++ b/command/front.go
@@ -23,21 +23,23 @@
 )
 
 const (
-	// frontGC is the growth of the heap between collections, in percent. Peak
-	// memory is dear to the users, and the heap is a few megabytes.
-	frontGC = 60
-	// leaveBalancer is how long a stopping instance still takes new
-	// connections: the balancer asks once a second and believes two misses.
-	leaveBalancer = 2500 * time.Millisecond
-	// closeSlack is kept of the grace for the process's end.
-	closeSlack = 700 * time.Millisecond
-	// headTime bounds the reading of a request's head and body, idleTime an idle
+	// frontGCPercent is the heap growth between garbage collections in percent. It is low
+	// because the users pay for peak memory and the heap has only a few megabytes.
+	frontGCPercent = 60
+	// balancerLeaveDelay is how long a stopping instance still accepts connections. The
+	// load balancer checks once a second and removes an instance after two failed checks.
+	balancerLeaveDelay = 2500 * time.Millisecond
+	// shutdownReserve is the part of the grace period that is kept for the end of the
+	// process.
+	shutdownReserve = 700 * time.Millisecond
+	// readTimeout bounds the reading of a request with its body, idleTimeout an idle
 	// connection of a caller.
-	headTime = 5 * time.Second
-	idleTime = 30 * time.Second
+	readTimeout = 5 * time.Second
+	idleTimeout = 30 * time.Second
 )
 
-// runFront runs one instance on the users' platform, as its settings file says.
+// runFront runs an instance on the users' platform, configured by the platform's settings
+// file.
 func runFront(args []string, to output) int {
 	flags := newFlags("front", to)
 	path := flags.String("settings", os.Getenv(platform.SettingsVariable), "the platform's settings file")
@@ -50,22 +52,22 @@
 		fmt.Fprintln(to.err, err.Error())
 		return ExitUsage
 	}
-	debug.SetGCPercent(frontGC)
-	limitMemory(loaded.MemoryMB)
+	debug.SetGCPercent(frontGCPercent)
+	setMemoryLimit(loaded.MemoryMB)
 	sink := logsink.New()
-	logContext, endLog := context.WithCancel(context.Background())
-	logEnded := make(chan struct{})
+	logContext, stopLog := context.WithCancel(context.Background())
+	logDone := make(chan struct{})
 	go func() {
 		sink.Run(logContext, to.out)
-		close(logEnded)
+		close(logDone)
 	}()
 	defer func() {
-		endLog()
-		<-logEnded
+		stopLog()
+		<-logDone
 	}()
 	log := logrus.New()
 	log.SetOutput(sink)
-	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: logTimes})
+	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: logTimeFormat})
 	entry := log.WithField("instance", loaded.Name)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -74,41 +76,41 @@
 	if err := process.start(); err != nil {
 		return fail(to, "front", err)
 	}
-	process.follow(*path, signals)
+	process.pollSettings(*path, signals)
 	process.stop()
 	return ExitDone
 }
 
-// follow keeps to the settings file until the process is to end. The file may change
-// without a signal.
-func (p *frontProcess) follow(path string, signals <-chan os.Signal) {
-	looks := time.NewTicker(settingsLook)
-	defer looks.Stop()
+// pollSettings adopts changes of the settings file until the process is told to stop. It
+// reads the file on SIGHUP and periodically, as the file may change without a signal.
+func (p *frontProcess) pollSettings(path string, signals <-chan os.Signal) {
+	ticker := time.NewTicker(settingsPollInterval)
+	defer ticker.Stop()
 	file := settingsFile{path: path}
 	for {
 		select {
-		case <-looks.C:
+		case <-ticker.C:
 		case received := <-signals:
 			if received != syscall.SIGHUP {
 				return
 			}
 			p.log.Info("settings_signal")
 		}
-		p.adopt(file.changed())
+		p.applySettings(file.readIfChanged())
 	}
 }
 
-// frontProcess is an instance with its listeners.
+// frontProcess is an instance with its HTTP servers.
 type frontProcess struct {
-	settings *platform.Settings
-	log      *logrus.Entry
-	store    *platform.Store
-	workers  *platform.Workers
-	instance *batch.Instance
-	front    *http.Server
-	ready    *http.Server
-	metrics  *http.Server       // nil for none
-	endRelay context.CancelFunc // nil while no calls of others are served
+	settings  *platform.Settings
+	log       *logrus.Entry
+	store     *platform.Store
+	workers   *platform.Workers
+	instance  *batch.Instance
+	front     *http.Server
+	ready     *http.Server
+	metrics   *http.Server       // nil if metrics have no port of their own
+	stopRelay context.CancelFunc // nil while no calls of other instances are served
 }
 
 func newFrontProcess(loaded *platform.Settings, log *logrus.Entry, metricsPort int) *frontProcess {
@@ -116,38 +118,38 @@
 	store := platform.NewStore(loaded.StoreAddress)
 	workers := platform.NewWorkers(loaded.AdviceAddress)
 	instance := batch.New(loaded.Settings, store, platform.Decoder{}, workers, registry, log)
-	log.Logger.AddHook(positionHook{instance})
+	log.Logger.AddHook(logPositionHook{instance})
 	process := &frontProcess{
 		settings: loaded,
 		log:      log,
 		store:    store,
 		workers:  workers,
 		instance: instance,
-		front:    &http.Server{Addr: loaded.FrontAddress, Handler: platform.FrontHandler(instance), ReadTimeout: headTime, IdleTimeout: idleTime},
-		ready:    &http.Server{Addr: loaded.ReadyAddress, Handler: platform.ReadyHandler(instance, registry), ReadTimeout: headTime, IdleTimeout: idleTime},
+		front:    &http.Server{Addr: loaded.FrontAddress, Handler: platform.FrontHandler(instance), ReadTimeout: readTimeout, IdleTimeout: idleTimeout},
+		ready:    &http.Server{Addr: loaded.ReadyAddress, Handler: platform.ReadyHandler(instance, registry), ReadTimeout: readTimeout, IdleTimeout: idleTimeout},
 	}
 	if metricsPort > 0 {
 		address := net.JoinHostPort(loaded.Address, strconv.Itoa(metricsPort))
-		process.metrics = &http.Server{Addr: address, Handler: platform.MetricsHandler(registry), ReadTimeout: headTime, IdleTimeout: idleTime}
+		process.metrics = &http.Server{Addr: address, Handler: platform.MetricsHandler(registry), ReadTimeout: readTimeout, IdleTimeout: idleTimeout}
 	}
 	return process
 }
 
-// positionField is the field of a log line with the position that its instance
-// had read of the platform's log.
-const positionField = "log_at"
+// logPositionField is the log field with the position up to which the instance has read
+// the platform's log.
+const logPositionField = "log_at"
 
-// positionHook adds it to every line.
-type positionHook struct {
+// logPositionHook adds logPositionField to every log line.
+type logPositionHook struct {
 	instance *batch.Instance
 }
 
 // Levels implements logrus.Hook.
-func (positionHook) Levels() []logrus.Level { return logrus.AllLevels }
+func (logPositionHook) Levels() []logrus.Level { return logrus.AllLevels }
 
 // Fire implements logrus.Hook.
-func (h positionHook) Fire(entry *logrus.Entry) error {
-	entry.Data[positionField] = h.instance.LogPosition()
+func (h logPositionHook) Fire(entry *logrus.Entry) error {
+	entry.Data[logPositionField] = h.instance.LogPosition()
 	return nil
 }
 
@@ -161,13 +163,13 @@
 	}
 	p.serveMetrics()
 	p.log.WithField("terms", strings.Join(p.settings.Terms, ",")).Info("settings_read")
-	p.warnOfDuties()
+	p.logUnsupportedDuties()
 	p.instance.Start()
 	return p.serveRelay()
 }
 
-// warnOfDuties says which duties of the deployment nobody carries out.
-func (p *frontProcess) warnOfDuties() {
+// logUnsupportedDuties logs the duties that the deployment requests; none is implemented.
+func (p *frontProcess) logUnsupportedDuties() {
 	if len(p.settings.Duties) > 0 {
 		p.log.WithField("duties", strings.Join(p.settings.Duties, ",")).Error("duties_not_served")
 	}
@@ -179,8 +181,8 @@
 	}
 }
 
-// serveMetrics shows the metrics at a port of their own. Callers are served without
-// them if it is taken.
+// serveMetrics serves the metrics on a port of their own. If the port is taken, the
+// instance runs without it.
 func (p *frontProcess) serveMetrics() {
 	if p.metrics == nil {
 		return
@@ -193,7 +195,7 @@
 	go p.serve(p.metrics, listener)
 }
 
-// serveRelay answers the calls of other instances.
+// serveRelay serves the calls of other instances.
 func (p *frontProcess) serveRelay() error {
 	if p.settings.RelayAddress == "" {
 		return nil
@@ -203,22 +205,23 @@
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p.endRelay = cancel
+	p.stopRelay = cancel
 	go relay.Serve(ctx, listener, p.instance.Relayed, p.instance.Keep)
 	return nil
 }
 
-// stop leaves the balancer, lets callers finish, and ends within the grace.
+// stop drains the instance, waits until the load balancer sends no more connections, lets
+// calls finish and stops within the grace period.
 func (p *frontProcess) stop() {
 	p.instance.Drain()
-	time.Sleep(min(leaveBalancer, p.settings.Grace/2))
-	ctx, cancel := context.WithTimeout(context.Background(), p.settings.Grace/2-closeSlack)
+	time.Sleep(min(balancerLeaveDelay, p.settings.Grace/2))
+	ctx, cancel := context.WithTimeout(context.Background(), p.settings.Grace/2-shutdownReserve)
 	defer cancel()
 	if err := p.front.Shutdown(ctx); err != nil {
 		p.log.WithField("error", err.Error()).Warn("calls_cut")
 	}
-	if p.endRelay != nil {
-		p.endRelay()
+	if p.stopRelay != nil {
+		p.stopRelay()
 	}
 	p.instance.Stop()
 	p.ready.Close()
--- a/command/reload.go
+++ b/command/reload.go
@@ -12,64 +12,65 @@
 )
 
 const (
-	// settingsLook is how often the settings file is looked at.
-	settingsLook = time.Second
-	// memoryShare of the process's limit is where collections become eager.
-	memoryShare = 0.6
+	// settingsPollInterval is how often the settings file is checked for changes.
+	settingsPollInterval = time.Second
+	// softMemoryLimitRatio is the fraction of the process's memory limit at which the
+	// garbage collector runs more often.
+	softMemoryLimitRatio = 0.6
 )
 
-// settingsFile is the settings file as it was read last.
+// settingsFile is the platform's settings file with the content of the last read.
 type settingsFile struct {
-	path string
-	seen []byte // nil before the first reading
+	path        string
+	lastContent []byte // nil before the first read
 }
 
-// changed returns the settings if the file is not as it was read last; nil if it is. A
-// faulty file is told of once.
-func (f *settingsFile) changed() (*platform.Settings, error) {
+// readIfChanged returns the settings if the file has changed since the last read, else
+// nil. An invalid file is reported once.
+func (f *settingsFile) readIfChanged() (*platform.Settings, error) {
 	content, err := os.ReadFile(f.path)
 	if err != nil {
 		content = []byte(err.Error())
 	}
-	if f.seen != nil && bytes.Equal(content, f.seen) {
+	if f.lastContent != nil && bytes.Equal(content, f.lastContent) {
 		return nil, nil
 	}
-	f.seen = content
+	f.lastContent = content
 	if err != nil {
 		return nil, err
 	}
 	return platform.ParseSettings(content)
 }
 
-// adopt takes over what may change while the process runs, and names the rest. A faulty
-// file changes nothing.
-func (p *frontProcess) adopt(read *platform.Settings, err error) {
+// applySettings adopts the settings that may change at run time and logs the names of the
+// others. An invalid file changes nothing.
+func (p *frontProcess) applySettings(loaded *platform.Settings, err error) {
 	if err != nil {
 		p.log.WithField("error", err.Error()).Error("settings_refused")
 		return
 	}
-	if read == nil {
+	if loaded == nil {
 		return
 	}
-	adopted, kept := p.settings.Adopt(read)
+	adopted, needRestart := p.settings.Adopt(loaded)
 	if len(adopted) > 0 {
 		p.instance.SetBounds(p.settings.Bounds)
 		p.store.MoveTo(p.settings.StoreAddress)
 		p.workers.SetAdviser(p.settings.AdviceAddress)
-		limitMemory(p.settings.MemoryMB)
-		p.warnOfDuties()
+		setMemoryLimit(p.settings.MemoryMB)
+		p.logUnsupportedDuties()
 	}
-	if len(adopted)+len(kept) > 0 {
-		p.log.WithField("adopted", strings.Join(adopted, ",")).WithField("kept", strings.Join(kept, ",")).Warn("settings_changed")
+	if len(adopted)+len(needRestart) > 0 {
+		p.log.WithField("adopted", strings.Join(adopted, ",")).WithField("kept", strings.Join(needRestart, ",")).Warn("settings_changed")
 	}
 }
 
-// limitMemory sets where collections become eager, for a process that may use so many
-// megabytes; 0 for any.
-func limitMemory(limitMB int64) {
+// setMemoryLimit sets the soft memory limit of the Go runtime for a process that may use
+// limitMB megabytes; 0 means no limit.
+func setMemoryLimit(limitMB int64) {
 	if limitMB <= 0 {
 		debug.SetMemoryLimit(math.MaxInt64)
 		return
 	}
-	debug.SetMemoryLimit(int64(memoryShare * float64(limitMB<<20)))
+	debug.SetMemoryLimit(int64(softMemoryLimitRatio * float64(limitMB<<20)))
 }
--- a/command/serve.go
+++ b/command/serve.go
@@ -15,7 +15,8 @@
 	"github.com/teaselcleat/teaselcleat/settings"
 )
 
-// loadSettings reads a settings file; on failure it has printed every fault.
+// loadSettings reads a settings file. On failure it prints every error and returns an exit
+// code.
 func loadSettings(path string, to output) (*settings.Settings, int) {
 	loaded, err := settings.Load(path)
 	var faults *settings.FaultsError
@@ -64,7 +65,7 @@
 	return ExitDone
 }
 
-// newLog returns a logger that writes one line of key=value pairs an event.
+// newLog returns a logger that writes one line of key=value pairs per event.
 func newLog(to output, verbose bool) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(to.err)
@@ -86,16 +87,16 @@
 	if code != ExitDone {
 		return code
 	}
-	built, err := instance.New(loaded, newLog(to, *verbose))
+	inst, err := instance.New(loaded, newLog(to, *verbose))
 	if err != nil {
 		return fail(to, "serve", err)
 	}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	built.Start()
-	fmt.Fprintf(to.out, "http=%s peer=%s\n", built.HTTPAddress(), built.PeerAddress())
+	inst.Start()
+	fmt.Fprintf(to.out, "http=%s peer=%s\n", inst.HTTPAddress(), inst.PeerAddress())
 	<-signals
-	if !built.Stop() {
+	if !inst.Stop() {
 		return ExitFailed
 	}
 	return ExitDone
--- a/command/zones.go
+++ b/command/zones.go
@@ -13,8 +13,7 @@
 
 const zonesUsage = "usage: teaselcleat zones list -addr ADDR | zones evacuate -addr ADDR ZONE | zones return -addr ADDR ZONE"
 
-// runZones shows or changes which availability zones are evacuated, as the operators'
-// targets have them.
+// runZones lists or changes the evacuated availability zones in the operators' targets.
 func runZones(args []string, to output) int {
 	if len(args) == 0 {
 		fmt.Fprintln(to.err, zonesUsage)
@@ -55,8 +54,8 @@
 	return ExitDone
 }
 
-// changeZone proposes targets that differ in one zone from those in force. Where others
-// change them at the same time the proposal is refused as a conflict.
+// changeZone proposes the current targets with a change in one zone. If another operator
+// changes the targets at the same time, the proposal is refused as a conflict.
 func changeZone(address, zone string, evacuated bool, to output) int {
 	document, err := fetchTargets(address)
 	if err != nil {
--- a/command/zones_test.go
+++ b/command/zones_test.go
@@ -14,35 +14,35 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// An operator evacuates the only availability zone of a system: a gang waits, and runs once
-// the zone is taken back.
-func TestZonesAreEvacuatedAndTakenBack(t *testing.T) {
+// Evacuates the only availability zone of a system. Checks that a gang waits, and runs
+// after the zone is returned to service.
+func TestZoneIsEvacuatedAndReturned(t *testing.T) {
 	is := is.New(t)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	running, err := startSystem(log)
+	sys, err := startDevSystem(log)
 	is.NoErr(err)
-	defer running.stop()
-	ctx, cancel := context.WithTimeout(context.Background(), devReadyWithin)
+	defer sys.stop()
+	ctx, cancel := context.WithTimeout(context.Background(), devReadyTimeout)
 	defer cancel()
-	is.NoErr(running.waitReady(ctx))
-	is.NoErr(running.proposeDevTargets(ctx))
-	address := running.instances[0].HTTPAddress()
+	is.NoErr(sys.waitReady(ctx))
+	is.NoErr(sys.proposeDevTargets(ctx))
+	address := sys.instances[0].HTTPAddress()
 	code, _, errs := run("zones", "evacuate", "-addr", address, "lowell-hall")
 	is.Equal(code, ExitDone) // errs
 	is.Equal(errs, "")
 	_, out, _ := run("zones", "list", "-addr", address)
 	is.True(strings.Contains(out, "zone=lowell-hall evacuated=true"))
-	for _, instance := range running.instances {
-		for instance.Status().TargetsVersion < running.instances[0].Status().TargetsVersion {
+	for _, inst := range sys.instances {
+		for inst.Status().TargetsVersion < sys.instances[0].Status().TargetsVersion {
 			is.NoErr(ctx.Err())
 		}
 	}
-	reply := running.instances[1].SubmitJob(ctx, service.JobRequest{Workspace: "manchester", Class: "impeller-wear", Key: "wear",
+	reply := sys.instances[1].SubmitJob(ctx, service.JobRequest{Workspace: "manchester", Class: "impeller-wear", Key: "wear",
 		Shape: structs.Shape{Members: 1, Accelerators: 1, Adjacent: true}, Payload: standin.PayloadRunMS + "50"})
 	is.Equal(reply.Outcome, structs.OutcomeAccepted)
-	phase := func() string { return string(running.instances[2].Job(reply.ID).Phase) }
-	for running.instances[2].Job(reply.ID) == nil {
+	phase := func() string { return string(sys.instances[2].Job(reply.ID).Phase) }
+	for sys.instances[2].Job(reply.ID) == nil {
 		is.NoErr(ctx.Err())
 	}
 	queued := phase()
@@ -53,8 +53,8 @@
 	for phase() == queued {
 		is.NoErr(ctx.Err())
 	}
-	job := running.instances[2].Job(reply.ID)
-	for ; job.Outcome != structs.OutcomeRan; job = running.instances[2].Job(reply.ID) {
+	job := sys.instances[2].Job(reply.ID)
+	for ; job.Outcome != structs.OutcomeRan; job = sys.instances[2].Job(reply.ID) {
 		is.NoErr(ctx.Err())
 	}
 }
--- a/service/service.go
+++ b/service/service.go
@@ -1,5 +1,5 @@
-// Package service owns what an instance offers to callers and operators, as
-// types and one interface. Front adapters translate their dialect to it.
+// Package service defines the API that an instance offers to callers and operators, as
+// types and one interface. Adapters translate it to a protocol.
 package service
 
 import (
@@ -12,24 +12,24 @@
 	"github.com/teaselcleat/teaselcleat/timeline"
 )
 
-// Limits on what callers send.
+// Limits of requests.
 const (
-	// MaxNameBytes bounds keys, workspaces and class names.
+	// MaxNameBytes bounds keys, workspace names and class names.
 	MaxNameBytes = 128
 	// MaxPayloadBytes bounds a job's payload.
 	MaxPayloadBytes = 4096
 )
 
-// Request is a request that one runner executes.
+// Request is a request for execution by one runner.
 type Request struct {
 	Workspace string
 	Class     string
 	Key       string    // required for classes that are not idempotent
-	Issued    time.Time // when the caller made the key; zero means now
+	Issued    time.Time // when the caller created the key; zero means now
 	Body      []byte
 }
 
-// JobRequest is a gang job as a caller submits it.
+// JobRequest is a gang job as submitted by a caller.
 type JobRequest struct {
 	Workspace string        `json:"workspace"`
 	Class     string        `json:"class"`
@@ -39,7 +39,7 @@
 	Payload   string        `json:"payload,omitempty"`
 }
 
-// JobState is a job as callers see it.
+// JobState is the state of a job as shown to callers.
 type JobState struct {
 	ID        string           `json:"id"`
 	Workspace string           `json:"workspace"`
@@ -55,13 +55,13 @@
 	EndMS     int64            `json:"end_ms,omitempty"`
 }
 
-// Document is the targets document in force, or a proposal for it.
+// Document is the current targets document, or a proposal to replace it.
 type Document struct {
-	Version int64  `json:"version"` // in force, or the one a proposal was made from
+	Version int64  `json:"version"` // current version, or the version that a proposal is based on
 	Text    string `json:"text"`
 }
 
-// Status is what an instance says of itself.
+// Status is the state that an instance reports about itself.
 type Status struct {
 	Name           string `json:"name"`
 	Boot           int64  `json:"boot"`
@@ -71,33 +71,34 @@
 	Term           int64  `json:"term"`
 	TermHolder     string `json:"term_holder"`
 	LogAvailable   bool   `json:"log_available"`
-	// SnapshotAgeMS is the age of the peer's snapshot this instance started
-	// from while the log was out; 0 otherwise.
+	// SnapshotAgeMS is the age of the peer's snapshot that this instance started from
+	// while the log was unavailable; 0 otherwise.
 	SnapshotAgeMS int64 `json:"snapshot_age_ms,omitempty"`
 }
 
-// Service is an instance. All methods are safe for concurrent use.
+// Service is the API of an instance. All methods are safe for concurrent use.
 type Service interface {
-	// Request serves a request to its final answer.
+	// Request executes a request and returns its final result.
 	Request(ctx context.Context, request Request) requests.Finish
-	// KeyState returns what is known of a request's key, or nil.
+	// KeyState returns the entry of a request key, or nil if there is none.
 	KeyState(key structs.KeyID) *ledger.KeyEntry
-	// SubmitJob answers once the job is durable, or with a refusal.
+	// SubmitJob returns once the job is durable or refused.
 	SubmitJob(ctx context.Context, job JobRequest) structs.Reply
-	// Job returns a job's state, or nil.
+	// Job returns the state of a job, or nil if there is none.
 	Job(id string) *JobState
-	// CancelJob answers once the cancellation is durable, or with a refusal.
+	// CancelJob returns once the cancellation is durable or refused.
 	CancelJob(ctx context.Context, id string) structs.Reply
-	// Targets returns the document in force.
+	// Targets returns the current targets document.
 	Targets() Document
-	// Propose answers once the proposal was accepted or refused.
+	// Propose returns once the proposal is accepted or refused, with the version in force.
 	Propose(ctx context.Context, proposal Document) (structs.Reply, int64)
 	// Refusals returns the recorded refusals of a workspace, oldest first.
 	Refusals(ctx context.Context, workspace string) ([]structs.Refusal, error)
-	// Events returns this process's events and how many older ones were forgotten.
+	// Events returns the events of this process that match filter, and how many older
+	// events were dropped.
 	Events(filter timeline.Filter) ([]timeline.Event, int64)
-	// Status returns what the instance says of itself.
+	// Status returns the state of the instance.
 	Status() Status
-	// MaxBody returns the largest request body, in bytes.
+	// MaxBody returns the maximum size of a request body in bytes.
 	MaxBody() int64
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -20,7 +20,7 @@
 address = http://127.0.0.1:9000
 `
 
-func TestValidSettingsGetTheirDefaults(t *testing.T) {
+func TestMissingKeysGetDefaults(t *testing.T) {
 	is := is.New(t)
 	loaded, err := settings.Parse("f", []byte(valid))
 	is.NoErr(err)
@@ -28,7 +28,7 @@
 	is.Equal(loaded.MaxInFlight, 1024)
 }
 
-func TestEveryFaultIsNamedWithItsPlace(t *testing.T) {
+func TestEveryFaultIsReportedWithSectionAndKey(t *testing.T) {
 	for _, c := range []struct{ name, text, says string }{
 		{"missing", strings.Replace(valid, "name = e1\n", "", 1), "[instance] name: is missing"},
 		{"unknown section", valid + "[weights]\nx = 1\n", "[weights] : unknown section"},
