--- a/adapters/runnerhttp/runnerhttp_test.go
+++ b/adapters/runnerhttp/runnerhttp_test.go
@@ -38,9 +38,9 @@
 		{"reset after executing", standin.RunnerFaults{ResetAfter: true}, requests.AttemptBroken, structs.ReasonUpstreamFailed, 1},
 		{"truncated", standin.RunnerFaults{Truncate: true}, requests.AttemptBroken, structs.ReasonAnswerTruncated, 1},
 		{"no stated end", standin.RunnerFaults{Endless: true}, requests.AttemptBroken, structs.ReasonAnswerTruncated, 1},
-		{"of another attempt", standin.RunnerFaults{OtherAttempt: true}, requests.AttemptBroken, structs.ReasonAnswerMismatched, 1},
+		{"answer of another attempt", standin.RunnerFaults{OtherAttempt: true}, requests.AttemptBroken, structs.ReasonAnswerMismatched, 1},
 		{"over the size limit", standin.RunnerFaults{AnswerBytes: 4096}, requests.AttemptBroken, structs.ReasonAnswerTooLarge, 1},
-		{"failed whole", standin.RunnerFaults{Status: 500}, requests.AttemptAnswered, structs.ReasonNone, 1},
+		{"complete error answer", standin.RunnerFaults{Status: 500}, requests.AttemptAnswered, structs.ReasonNone, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/command/explain.go
+++ b/command/explain.go
@@ -18,7 +18,7 @@
 const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 // contextEvents match log lines without a job ID that explain what happens to jobs:
-// changes of the leader, outages, restarts and evacuations.
+// changes of the leader and the configuration, outages, restarts and evacuations.
 var contextEvents = []string{"msg=term_", "msg=store_lost", "msg=store_regained", "msg=instance_started", "msg=instance_stopped", "msg=draining", "msg=configuration_taken",
 	"msg=zone_", "msg=evacuations_"}
 
--- a/command/front.go
+++ b/command/front.go
@@ -24,7 +24,8 @@
 
 const (
 	// frontGCPercent is the heap growth between garbage collections in percent. It is low
-	// because the users pay for peak memory and the heap has only a few megabytes.
+	// because peak memory is expensive for the users, and the heap has only a few
+	// megabytes.
 	frontGCPercent = 60
 	// balancerLeaveDelay is how long a stopping instance still accepts connections. The
 	// load balancer checks once a second and removes an instance after two failed checks.
