--- a/internal/knownred/check.go
+++ b/internal/knownred/check.go
@@ -24,19 +24,19 @@
 	if err != nil {
 		return err
 	}
-	red := map[string][]entry{}
-	for _, listed := range list {
-		found, err := c.packages(listed.pkg)
+	listedByPackage := map[string][]entry{}
+	for _, e := range list {
+		found, err := c.packages(e.pkg)
 		if err != nil || len(found) != 1 {
-			return eris.Errorf("%s is listed in %s, which is no package", listed.test, listed.pkg)
+			return eris.Errorf("%s is listed in %s, which is no package", e.test, e.pkg)
 		}
-		red[found[0]] = append(red[found[0]], listed)
+		listedByPackage[found[0]] = append(listedByPackage[found[0]], e)
 	}
-	failed := !c.runOthers(packages, red)
-	for _, name := range packages {
-		for _, listed := range red[name] {
-			if fault := c.runListed(name, listed); fault != "" {
-				fmt.Fprintf(c.out, "%s %s: %s\n", listed.pkg, listed.test, fault)
+	failed := !c.runUnlisted(packages, listedByPackage)
+	for _, pkg := range packages {
+		for _, e := range listedByPackage[pkg] {
+			if problem := c.runListed(pkg, e); problem != "" {
+				fmt.Fprintf(c.out, "%s %s: %s\n", e.pkg, e.test, problem)
 				failed = true
 			}
 		}
@@ -55,25 +55,25 @@
 	return strings.Fields(output), nil
 }
 
-// runOthers runs all tests that are not listed. Packages with listed tests are run
+// runUnlisted runs all tests that are not listed. Packages with listed tests are run
 // apart, since a name on the list stands for one test of one package.
-func (c *checker) runOthers(packages []string, red map[string][]entry) bool {
-	clean := []string{"test", "-count=1"}
-	for _, name := range packages {
-		if len(red[name]) == 0 {
-			clean = append(clean, name)
+func (c *checker) runUnlisted(packages []string, listedByPackage map[string][]entry) bool {
+	args := []string{"test", "-count=1"}
+	for _, pkg := range packages {
+		if len(listedByPackage[pkg]) == 0 {
+			args = append(args, pkg)
 		}
 	}
-	passed := c.test(clean...)
-	for _, name := range packages {
-		if len(red[name]) == 0 {
+	passed := c.test(args...)
+	for _, pkg := range packages {
+		if len(listedByPackage[pkg]) == 0 {
 			continue
 		}
 		var names []string
-		for _, listed := range red[name] {
-			names = append(names, listed.test)
+		for _, e := range listedByPackage[pkg] {
+			names = append(names, e.test)
 		}
-		passed = c.test("test", "-count=1", "-skip", "^("+strings.Join(names, "|")+")$", name) && passed
+		passed = c.test("test", "-count=1", "-skip", "^("+strings.Join(names, "|")+")$", pkg) && passed
 	}
 	return passed
 }
@@ -86,20 +86,20 @@
 
 // runListed runs a listed test and returns what is wrong with its place on the
 // list; empty if nothing is.
-func (c *checker) runListed(name string, listed entry) string {
-	only := "^" + listed.test + "$"
-	output, ok := c.run("test", "-list", only, name)
-	if !ok || !strings.Contains("\n"+output, "\n"+listed.test+"\n") {
+func (c *checker) runListed(pkg string, e entry) string {
+	pattern := "^" + e.test + "$"
+	output, ok := c.run("test", "-list", pattern, pkg)
+	if !ok || !strings.Contains("\n"+output, "\n"+e.test+"\n") {
 		return "is listed and does not exist"
 	}
-	output, ok = c.run("test", "-count=1", "-run", only, name)
+	output, ok = c.run("test", "-count=1", "-run", pattern, pkg)
 	if ok {
 		return "is listed and passes: take it off the list"
 	}
-	if !strings.Contains("\n"+output, "\n--- FAIL: "+listed.test+" ") {
+	if !strings.Contains("\n"+output, "\n--- FAIL: "+e.test+" ") {
 		fmt.Fprint(c.out, output)
 		return "is listed and did not fail as a test does"
 	}
-	fmt.Fprintf(c.out, "known red: %s %s: %s (%s; %s)\n", listed.pkg, listed.test, listed.cause, listed.issue, listed.seen)
+	fmt.Fprintf(c.out, "known red: %s %s: %s (%s; %s)\n", e.pkg, e.test, e.cause, e.issue, e.seen)
 	return ""
 }
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -10,14 +10,14 @@
 
 const goodLine = "./a TestOne | a cause | go test ./a, seed 1, lost one | issue 7"
 
-func TestListIsRead(t *testing.T) {
+func TestParseList(t *testing.T) {
 	is := is.New(t)
 	list, err := parseList(goodLine + "\n\n")
 	is.NoErr(err)
 	is.Equal(list, []entry{{pkg: "./a", test: "TestOne", cause: "a cause", seen: "go test ./a, seed 1, lost one", issue: "issue 7"}})
 }
 
-func TestFaultyListsAreRefused(t *testing.T) {
+func TestParseListRejectsInvalidLists(t *testing.T) {
 	for name, text := range map[string]string{
 		"no cause":      "./a TestOne | | seen | issue 7",
 		"no issue":      "./a TestOne | cause | seen | later",
@@ -47,11 +47,11 @@
 	case args[0] == "list" && args[1] == "./...":
 		return "m/a\nm/b\n", true
 	case args[0] == "list":
-		name := "m/" + strings.TrimPrefix(args[1], "./")
-		return name + "\n", m.tests[name] != nil
+		pkg := "m/" + strings.TrimPrefix(args[1], "./")
+		return pkg + "\n", m.tests[pkg] != nil
 	case args[1] == "-list":
 		test := strings.Trim(args[2], "^$")
-		if _, known := m.tests[args[3]][test]; known {
+		if _, exists := m.tests[args[3]][test]; exists {
 			return test + "\nok m 0.1s\n", true
 		}
 		return "ok m 0.1s\n", true
@@ -68,12 +68,12 @@
 	}
 	var output strings.Builder
 	passed := true
-	for _, name := range args {
-		for test, passes := range m.tests[name] {
+	for _, pkg := range args {
+		for test, passes := range m.tests[pkg] {
 			if only != "" && only != "^"+test+"$" || strings.Contains(skip, test) {
 				continue
 			}
-			m.ran[name+" "+test] = true
+			m.ran[pkg+" "+test] = true
 			if !passes {
 				passed = false
 				output.WriteString("--- FAIL: " + test + " (0.00s)\n")
@@ -94,7 +94,7 @@
 	return module, out.String(), err
 }
 
-func TestListedTestMayFailAndIsPrinted(t *testing.T) {
+func TestListedTestMayFailAndIsReported(t *testing.T) {
 	is := is.New(t)
 	module, out, err := checkFake(map[string]map[string]bool{
 		"m/a": {"TestOne": false, "TestTwo": true}, "m/b": {"TestOne": true}}, goodLine)
@@ -103,7 +103,7 @@
 	is.Equal(len(module.ran), 3) // the same name in another package is run
 }
 
-func TestWhatIsNotListedMustPass(t *testing.T) {
+func TestCheckFailsUnlessExactlyListedTestsFail(t *testing.T) {
 	for name, tests := range map[string]map[string]map[string]bool{
 		"another package":             {"m/a": {"TestOne": false}, "m/b": {"TestTwo": false}},
 		"the same name elsewhere":     {"m/a": {"TestOne": false}, "m/b": {"TestOne": false}},
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestEmptyListRunsAll(t *testing.T) {
+func TestEmptyListRunsAllTests(t *testing.T) {
 	is := is.New(t)
 	module, _, err := checkFake(map[string]map[string]bool{"m/a": {"TestOne": true}, "m/b": {"TestOne": true}}, "")
 	is.NoErr(err)
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// mostEntries bounds the list: more than three known faults are to be mended
+	// maxEntries bounds the list: more than three known faults are to be mended
 	// before anything else.
-	mostEntries = 3
+	maxEntries = 3
 	// fieldSeparator stands between the fields of a line.
 	fieldSeparator = " | "
 )
@@ -33,23 +33,23 @@
 // issue N". Empty lines are passed over.
 func parseList(text string) ([]entry, error) {
 	var list []entry
-	known := map[string]bool{}
-	for number, line := range strings.Split(text, "\n") {
+	seen := map[string]bool{}
+	for i, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
 			continue
 		}
-		made, err := parseEntry(line)
+		e, err := parseEntry(line)
 		if err != nil {
-			return nil, eris.Wrapf(err, "line %d", number+1)
+			return nil, eris.Wrapf(err, "line %d", i+1)
 		}
-		if known[made.pkg+" "+made.test] {
-			return nil, eris.Errorf("line %d: %s stands twice", number+1, made.test)
+		if seen[e.pkg+" "+e.test] {
+			return nil, eris.Errorf("line %d: %s stands twice", i+1, e.test)
 		}
-		known[made.pkg+" "+made.test] = true
-		list = append(list, made)
+		seen[e.pkg+" "+e.test] = true
+		list = append(list, e)
 	}
-	if len(list) > mostEntries {
-		return nil, eris.Errorf("%d tests are listed, %d are allowed", len(list), mostEntries)
+	if len(list) > maxEntries {
+		return nil, eris.Errorf("%d tests are listed, %d are allowed", len(list), maxEntries)
 	}
 	return list, nil
 }
@@ -59,10 +59,10 @@
 	if len(fields) != 4 {
 		return entry{}, eris.Errorf("%d fields where four are expected", len(fields))
 	}
-	for index := range fields {
-		fields[index] = strings.TrimSpace(fields[index])
-		if fields[index] == "" {
-			return entry{}, eris.Errorf("field %d is empty", index+1)
+	for i := range fields {
+		fields[i] = strings.TrimSpace(fields[i])
+		if fields[i] == "" {
+			return entry{}, eris.Errorf("field %d is empty", i+1)
 		}
 	}
 	names := strings.Fields(fields[0])
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -24,8 +24,8 @@
 	if err != nil {
 		logrus.WithError(err).Fatal("list_faulty")
 	}
-	check := &checker{run: runGo, out: os.Stdout}
-	if err := check.check(list); err != nil {
+	c := &checker{run: runGo, out: os.Stdout}
+	if err := c.check(list); err != nil {
 		logrus.WithError(err).Fatal("check_failed")
 	}
 }
--- a/internal/prooftest/prooftest.go
+++ b/internal/prooftest/prooftest.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// defaults are set unless given on the command line, so that every run of the
+// defaultFlags are set unless given on the command line, so that every run of the
 // tests tries the same cases.
-var defaults = map[string]string{
+var defaultFlags = map[string]string{
 	"rapid.seed":       "20261202",
 	"rapid.shrinktime": "3s",
 	"rapid.nofailfile": "true",
@@ -22,50 +22,50 @@
 // steps. Flags given by hand win.
 func Main(m *testing.M, steps string) {
 	flag.Parse()
-	setUnlessGiven("rapid.steps", steps)
-	for name, value := range defaults {
-		setUnlessGiven(name, value)
+	setDefault("rapid.steps", steps)
+	for name, value := range defaultFlags {
+		setDefault(name, value)
 	}
 	os.Exit(m.Run())
 }
 
-func setUnlessGiven(name, value string) {
-	if known := flag.Lookup(name); known.Value.String() == known.DefValue {
-		set(name, value)
+func setDefault(name, value string) {
+	if f := flag.Lookup(name); f.Value.String() == f.DefValue {
+		setFlag(name, value)
 	}
 }
 
-func set(name, value string) {
+func setFlag(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic(err)
 	}
 }
 
-// recorder stands in for testing.TB where a property is expected to fail.
-type recorder struct {
+// failureRecorder stands in for testing.TB where a property is expected to fail.
+type failureRecorder struct {
 	testing.TB
 	failed bool
 }
 
 // The methods that rapid calls.
 
-func (r *recorder) Helper()               {}
-func (r *recorder) Name() string          { return "expected to fail" }
-func (r *recorder) Logf(string, ...any)   {}
-func (r *recorder) Errorf(string, ...any) { r.failed = true }
-func (r *recorder) Fatalf(string, ...any) { r.failed = true; panic(r) }
-func (r *recorder) FailNow()              { r.failed = true; panic(r) }
-func (r *recorder) Fail()                 { r.failed = true }
-func (r *recorder) Failed() bool          { return r.failed }
+func (r *failureRecorder) Helper()               {}
+func (r *failureRecorder) Name() string          { return "expected to fail" }
+func (r *failureRecorder) Logf(string, ...any)   {}
+func (r *failureRecorder) Errorf(string, ...any) { r.failed = true }
+func (r *failureRecorder) Fatalf(string, ...any) { r.failed = true; panic(r) }
+func (r *failureRecorder) FailNow()              { r.failed = true; panic(r) }
+func (r *failureRecorder) Fail()                 { r.failed = true }
+func (r *failureRecorder) Failed() bool          { return r.failed }
 
 // violationChecks is how many cases are tried for a violation.
 const violationChecks = "5000"
 
 // Violates reports whether a property fails.
 func Violates(property func(*rapid.T)) (failed bool) {
-	defer restore("rapid.shrinktime", "0s")()
-	defer restore("rapid.checks", violationChecks)()
-	r := &recorder{}
+	defer overrideFlag("rapid.shrinktime", "0s")()
+	defer overrideFlag("rapid.checks", violationChecks)()
+	r := &failureRecorder{}
 	defer func() {
 		if p := recover(); p != nil && p != any(r) {
 			panic(p)
@@ -76,9 +76,9 @@
 	return r.failed
 }
 
-// restore sets a flag and returns what sets it back.
-func restore(name, value string) func() {
-	before := flag.Lookup(name).Value.String()
-	set(name, value)
-	return func() { set(name, before) }
+// overrideFlag sets a flag and returns what sets it back.
+func overrideFlag(name, value string) func() {
+	previous := flag.Lookup(name).Value.String()
+	setFlag(name, value)
+	return func() { setFlag(name, previous) }
 }
--- a/replay/bench_test.go
+++ b/replay/bench_test.go
@@ -14,7 +14,7 @@
 // totals sums up what two policies did over several traces.
 type totals struct {
 	missed, wait, fragmentation, completion, urgent float64
-	zero                                            int
+	violations                                      int
 }
 
 func (t *totals) add(r *Report, urgent string) {
@@ -22,7 +22,7 @@
 	t.wait += r.LargeGangWaitP99S
 	t.fragmentation += r.FragmentationMean
 	t.completion += r.CompletionP99S
-	t.zero += r.Lost + r.Doubled + r.PartialGangs + r.GuaranteeViolations
+	t.violations += r.Lost + r.Doubled + r.PartialGangs + r.GuaranteeViolations
 	for _, class := range r.Classes {
 		if class.Name == urgent {
 			t.urgent += class.CompletionP99S
@@ -30,17 +30,17 @@
 	}
 }
 
-// healthy drops the workers that fail everything. Under the baseline these end
+// withoutFailingWorkers drops the workers that fail everything. Under the baseline these end
 // a large part of the jobs early and so empty the cluster, which flatters its
 // waits and its fragmentation.
-func healthy(events []Event) []Event {
-	var kept []Event
+func withoutFailingWorkers(events []Event) []Event {
+	var remaining []Event
 	for _, event := range events {
 		if event.Event != EventWorkerBad && event.Event != EventWorkerGood {
-			kept = append(kept, event)
+			remaining = append(remaining, event)
 		}
 	}
-	return kept
+	return remaining
 }
 
 // BenchmarkPolicy reports the policy's figures as shares of the baseline's, over
@@ -52,8 +52,8 @@
 	}{
 		{"merrimack", "surge-check", merrimack},
 		{"authority", "title-search", authority},
-		{"merrimack", "surge-check", func(seed uint64) []Event { return healthy(merrimack(seed)) }},
-		{"authority", "title-search", func(seed uint64) []Event { return healthy(authority(seed)) }},
+		{"merrimack", "surge-check", func(seed uint64) []Event { return withoutFailingWorkers(merrimack(seed)) }},
+		{"authority", "title-search", func(seed uint64) []Event { return withoutFailingWorkers(authority(seed)) }},
 	} {
 		b.Run(user.name, func(b *testing.B) {
 			data, err := os.ReadFile("testdata/" + user.name + ".ini")
@@ -80,7 +80,7 @@
 				b.ReportMetric(ours.fragmentation/base.fragmentation, "fragmentation-share")
 				b.ReportMetric(ours.urgent/base.urgent, "urgent-p99-share")
 				b.ReportMetric(ours.completion/base.completion, "completion-p99-share")
-				b.ReportMetric(float64(ours.zero), "must-be-zero")
+				b.ReportMetric(float64(ours.violations), "must-be-zero")
 			}
 		})
 	}
--- a/replay/fragmentation.go
+++ b/replay/fragmentation.go
@@ -2,18 +2,18 @@
 
 import "github.com/teaselcleat/teaselcleat/structs"
 
-// fitsInRack is how many disjoint copies of a shape fit the free accelerators
+// copiesInRack is how many disjoint copies of a shape fit the free accelerators
 // of one rack's workers: the most copies k for which the workers, each giving
 // at most one member to a copy, have k times the members.
-func fitsInRack(free []int, shape structs.Shape) int {
+func copiesInRack(free []int, shape structs.Shape) int {
 	slots := 0
-	for _, level := range free {
-		slots += level / shape.Accelerators
+	for _, workerFree := range free {
+		slots += workerFree / shape.Accelerators
 	}
 	for copies := slots / shape.Members; copies > 0; copies-- {
 		members := 0
-		for _, level := range free {
-			members += min(level/shape.Accelerators, copies)
+		for _, workerFree := range free {
+			members += min(workerFree/shape.Accelerators, copies)
 		}
 		if members >= copies*shape.Members {
 			return copies
@@ -22,24 +22,24 @@
 	return 0
 }
 
-func fits(racks [][]int, shape structs.Shape) int {
+func copiesInRacks(racks [][]int, shape structs.Shape) int {
 	total := 0
 	for _, free := range racks {
-		total += fitsInRack(free, shape)
+		total += copiesInRack(free, shape)
 	}
 	return total
 }
 
-// packed is the best arrangement of as many free accelerators: wholly free
+// packRacks is the best arrangement of as many free accelerators: wholly free
 // workers, racks filled in order.
-func (i Inventory) packed(free int) [][]int {
+func (i Inventory) packRacks(free int) [][]int {
 	var racks [][]int
 	for free > 0 {
 		var rack []int
 		for range i.WorkersPerRack {
-			level := min(free, i.AcceleratorsPerWorker)
-			rack = append(rack, level)
-			free -= level
+			workerFree := min(free, i.AcceleratorsPerWorker)
+			rack = append(rack, workerFree)
+			free -= workerFree
 		}
 		racks = append(racks, rack)
 	}
@@ -52,13 +52,13 @@
 func (i Inventory) fragmentation(racks [][]int, shape structs.Shape) (value float64, ok bool) {
 	total := 0
 	for _, free := range racks {
-		for _, level := range free {
-			total += level
+		for _, workerFree := range free {
+			total += workerFree
 		}
 	}
-	best := fits(i.packed(total), shape)
+	best := copiesInRacks(i.packRacks(total), shape)
 	if best == 0 {
 		return 0, false
 	}
-	return 1 - float64(min(fits(racks, shape), best))/float64(best), true
+	return 1 - float64(min(copiesInRacks(racks, shape), best))/float64(best), true
 }
--- a/replay/generate_test.go
+++ b/replay/generate_test.go
@@ -25,64 +25,64 @@
 	hour   = 3600.0
 )
 
-// kind is a kind of job a generated trace draws from.
-type kind struct {
+// jobKind is a kind of job a generated trace draws from.
+type jobKind struct {
 	class        string
 	members      int
 	accelerators int
 	adjacent     bool
 	median       float64 // seconds
-	spread       float64 // of the logarithm
+	sigma        float64 // of the logarithm
 	weight       int
 }
 
 // generator draws one trace from a seed.
 type generator struct {
-	random     *rand.Rand
+	rng        *rand.Rand
 	workspaces []string
 	events     []Event
 	jobs       int
 }
 
 func newGenerator(seed uint64, workspaces ...string) *generator {
-	return &generator{random: rand.New(rand.NewPCG(seed, seed)), workspaces: workspaces}
+	return &generator{rng: rand.New(rand.NewPCG(seed, seed)), workspaces: workspaces}
 }
 
-func (g *generator) lognormal(median, spread float64) float64 {
-	return median * math.Exp(spread*g.random.NormFloat64())
+func (g *generator) lognormal(median, sigma float64) float64 {
+	return median * math.Exp(sigma*g.rng.NormFloat64())
 }
 
 // submit adds a job at a time in seconds. One in thirty never ends by itself
 // and is cancelled an hour later at the latest; declared times are often far off.
-func (g *generator) submit(at float64, k kind, workspace string) string {
+func (g *generator) submit(at float64, k jobKind, workspace string) string {
 	g.jobs++
 	name := fmt.Sprintf("job-%04d", g.jobs)
-	actual := math.Round(g.lognormal(k.median, k.spread)*10) / 10
+	actual := math.Round(g.lognormal(k.median, k.sigma)*10) / 10
 	declared := math.Round(g.lognormal(actual, 0.9))
-	if g.random.IntN(6) == 0 {
+	if g.rng.IntN(6) == 0 {
 		declared = math.Round(k.median * 4)
 	}
-	if k.median > 10*minute && g.random.IntN(40) == 0 {
+	if k.median > 10*minute && g.rng.IntN(40) == 0 {
 		actual = 0
-		g.add(Event{AtMS: ms(at + 3*hour + g.random.Float64()*hour), Event: EventCancel, Job: name})
+		g.add(Event{AtMS: toMS(at + 3*hour + g.rng.Float64()*hour), Event: EventCancel, Job: name})
 	}
-	g.add(Event{AtMS: ms(at), Event: EventSubmit, Job: name, Workspace: workspace, Class: k.class, Members: k.members,
+	g.add(Event{AtMS: toMS(at), Event: EventSubmit, Job: name, Workspace: workspace, Class: k.class, Members: k.members,
 		Accelerators: k.accelerators, Adjacent: k.adjacent, DeclaredS: max(declared, 1), ActualS: actual})
 	return name
 }
 
-func ms(seconds float64) int64 { return int64(seconds * 1000) }
+func toMS(seconds float64) int64 { return int64(seconds * 1000) }
 
 func (g *generator) add(event Event) { g.events = append(g.events, event) }
 
-func (g *generator) workspace() string { return g.workspaces[g.random.IntN(len(g.workspaces))] }
+func (g *generator) workspace() string { return g.workspaces[g.rng.IntN(len(g.workspaces))] }
 
-func (g *generator) pick(kinds []kind) kind {
+func (g *generator) pick(kinds []jobKind) jobKind {
 	total := 0
 	for _, k := range kinds {
 		total += k.weight
 	}
-	drawn := g.random.IntN(total)
+	drawn := g.rng.IntN(total)
 	for _, k := range kinds {
 		if drawn -= k.weight; drawn < 0 {
 			return k
@@ -91,19 +91,19 @@
 	return kinds[0]
 }
 
-// arrive submits jobs at random times of an interval.
-func (g *generator) arrive(from, to float64, count int, kinds []kind) []string {
+// submitRandomly submits jobs at random times of an interval.
+func (g *generator) submitRandomly(from, to float64, count int, kinds []jobKind) []string {
 	var names []string
 	for range count {
-		names = append(names, g.submit(from+g.random.Float64()*(to-from), g.pick(kinds), g.workspace()))
+		names = append(names, g.submit(from+g.rng.Float64()*(to-from), g.pick(kinds), g.workspace()))
 	}
 	return names
 }
 
-func (g *generator) worker(from, to float64, down, up EventName) {
-	name := fmt.Sprintf("w%d", g.random.IntN(50))
-	g.add(Event{AtMS: ms(from), Event: down, Worker: name})
-	g.add(Event{AtMS: ms(to), Event: up, Worker: name})
+func (g *generator) addWorkerEvents(from, to float64, down, up EventName) {
+	name := fmt.Sprintf("w%d", g.rng.IntN(50))
+	g.add(Event{AtMS: toMS(from), Event: down, Worker: name})
+	g.add(Event{AtMS: toMS(to), Event: up, Worker: name})
 }
 
 func (g *generator) sorted() []Event {
@@ -117,37 +117,37 @@
 // cancellations and an outage of the log.
 func merrimack(seed uint64) []Event {
 	g := newGenerator(seed, "manchester", "lawrence", "lowell", "nashua")
-	wear := []kind{
+	wear := []jobKind{
 		{"impeller-wear", 1, 4, false, 50 * minute, 0.5, 5},
 		{"impeller-wear", 1, 8, false, 60 * minute, 0.5, 4},
 		{"impeller-wear", 2, 8, true, 70 * minute, 0.4, 4},
 		{"impeller-wear", 4, 8, true, 80 * minute, 0.4, 3},
 		{"impeller-wear", 6, 8, true, 60 * minute, 0.3, 1},
 	}
-	flow := []kind{{"flow-reconciliation", 1, 2, false, 20 * minute, 0.6, 3}, {"flow-reconciliation", 2, 4, true, 30 * minute, 0.5, 1}}
-	surge := []kind{{"surge-check", 1, 1, false, 25, 0.5, 4}, {"surge-check", 1, 4, false, 35, 0.5, 2}, {"surge-check", 2, 4, true, 40, 0.4, 1}}
-	g.arrive(0, 20*minute, 50, wear)
-	g.arrive(1*hour, 1.2*hour, 35, wear)
-	withdrawn := g.arrive(2*hour, 2.1*hour, 40, wear)
-	for _, name := range withdrawn[:30] {
-		g.add(Event{AtMS: ms(2.4*hour + g.random.Float64()*minute), Event: EventCancel, Job: name})
+	flow := []jobKind{{"flow-reconciliation", 1, 2, false, 20 * minute, 0.6, 3}, {"flow-reconciliation", 2, 4, true, 30 * minute, 0.5, 1}}
+	surge := []jobKind{{"surge-check", 1, 1, false, 25, 0.5, 4}, {"surge-check", 1, 4, false, 35, 0.5, 2}, {"surge-check", 2, 4, true, 40, 0.4, 1}}
+	g.submitRandomly(0, 20*minute, 50, wear)
+	g.submitRandomly(1*hour, 1.2*hour, 35, wear)
+	cancelled := g.submitRandomly(2*hour, 2.1*hour, 40, wear)
+	for _, name := range cancelled[:30] {
+		g.add(Event{AtMS: toMS(2.4*hour + g.rng.Float64()*minute), Event: EventCancel, Job: name})
 	}
-	g.arrive(3*hour, 4*hour, 25, wear)
-	g.arrive(5*hour, 6.5*hour, 20, wear)
-	g.arrive(0, 15*hour, 60, flow)
-	g.arrive(0, 16*hour, 250, surge)
-	g.arrive(8*hour, 8.4*hour, 300, surge) // the storm
-	g.arrive(12*hour, 15*hour, 30, wear)
-	g.submit(4*hour, kind{"impeller-wear", 9, 8, true, hour, 0.3, 1}, "lowell") // no rack holds it
-	g.worker(1*hour, 9*hour, EventWorkerBad, EventWorkerGood)
-	g.worker(4*hour, 12*hour, EventWorkerBad, EventWorkerGood)
+	g.submitRandomly(3*hour, 4*hour, 25, wear)
+	g.submitRandomly(5*hour, 6.5*hour, 20, wear)
+	g.submitRandomly(0, 15*hour, 60, flow)
+	g.submitRandomly(0, 16*hour, 250, surge)
+	g.submitRandomly(8*hour, 8.4*hour, 300, surge) // the storm
+	g.submitRandomly(12*hour, 15*hour, 30, wear)
+	g.submit(4*hour, jobKind{"impeller-wear", 9, 8, true, hour, 0.3, 1}, "lowell") // no rack holds it
+	g.addWorkerEvents(1*hour, 9*hour, EventWorkerBad, EventWorkerGood)
+	g.addWorkerEvents(4*hour, 12*hour, EventWorkerBad, EventWorkerGood)
 	for n := 16; n < 24; n++ { // a rack
-		g.add(Event{AtMS: ms(6 * hour), Event: EventWorkerDown, Worker: fmt.Sprintf("w%d", n)})
-		g.add(Event{AtMS: ms(6.7 * hour), Event: EventWorkerUp, Worker: fmt.Sprintf("w%d", n)})
+		g.add(Event{AtMS: toMS(6 * hour), Event: EventWorkerDown, Worker: fmt.Sprintf("w%d", n)})
+		g.add(Event{AtMS: toMS(6.7 * hour), Event: EventWorkerUp, Worker: fmt.Sprintf("w%d", n)})
 	}
-	g.worker(10*hour, 11*hour, EventWorkerDown, EventWorkerUp)
-	g.add(Event{AtMS: ms(9 * hour), Event: EventAppendDown})
-	g.add(Event{AtMS: ms(9*hour + 4*minute), Event: EventAppendUp})
+	g.addWorkerEvents(10*hour, 11*hour, EventWorkerDown, EventWorkerUp)
+	g.add(Event{AtMS: toMS(9 * hour), Event: EventAppendDown})
+	g.add(Event{AtMS: toMS(9*hour + 4*minute), Event: EventAppendUp})
 	return g.sorted()
 }
 
@@ -156,36 +156,36 @@
 // losses, withdrawn filings and an outage of the log.
 func authority(seed uint64) []Event {
 	g := newGenerator(seed, "western", "ashanti", "eastern", "districts")
-	survey := []kind{
+	survey := []jobKind{
 		{"boundary-survey", 4, 8, true, 90 * minute, 0.5, 4},
 		{"boundary-survey", 6, 8, true, 80 * minute, 0.4, 2},
 		{"boundary-survey", 2, 8, true, 60 * minute, 0.5, 4},
 		{"boundary-survey", 1, 8, false, 50 * minute, 0.5, 4},
 		{"boundary-survey", 1, 3, false, 40 * minute, 0.6, 6},
 	}
-	royalty := []kind{{"royalty-reassessment", 1, 2, false, 25 * minute, 0.6, 4}, {"royalty-reassessment", 2, 4, true, 35 * minute, 0.5, 1}}
-	search := []kind{{"title-search", 1, 1, false, 30, 0.5, 4}, {"title-search", 1, 2, false, 45, 0.5, 2}}
-	g.arrive(0, 3*hour, 70, survey)
-	g.arrive(3*hour, 8*hour, 90, survey)
-	withdrawn := g.arrive(9*hour, 9.2*hour, 30, survey)
-	for _, name := range withdrawn[:20] {
-		g.add(Event{AtMS: ms(9.5*hour + g.random.Float64()*minute), Event: EventCancel, Job: name})
+	royalty := []jobKind{{"royalty-reassessment", 1, 2, false, 25 * minute, 0.6, 4}, {"royalty-reassessment", 2, 4, true, 35 * minute, 0.5, 1}}
+	search := []jobKind{{"title-search", 1, 1, false, 30, 0.5, 4}, {"title-search", 1, 2, false, 45, 0.5, 2}}
+	g.submitRandomly(0, 3*hour, 70, survey)
+	g.submitRandomly(3*hour, 8*hour, 90, survey)
+	cancelled := g.submitRandomly(9*hour, 9.2*hour, 30, survey)
+	for _, name := range cancelled[:20] {
+		g.add(Event{AtMS: toMS(9.5*hour + g.rng.Float64()*minute), Event: EventCancel, Job: name})
 	}
-	g.arrive(10*hour, 20*hour, 60, survey)
-	g.arrive(0, 22*hour, 120, royalty)
-	g.arrive(2*hour, 11*hour, 700, search)
-	g.arrive(4*hour, 4.3*hour, 150, search) // market day
-	g.submit(5*hour, kind{"boundary-survey", 7, 8, true, hour, 0.3, 1}, "western")
-	g.worker(2*hour, 14*hour, EventWorkerBad, EventWorkerGood)
-	g.worker(6*hour, 8*hour, EventWorkerDown, EventWorkerUp)
-	g.worker(12*hour, 13*hour, EventWorkerDown, EventWorkerUp)
-	g.add(Event{AtMS: ms(7 * hour), Event: EventAppendDown})
-	g.add(Event{AtMS: ms(7*hour + 5*minute), Event: EventAppendUp})
+	g.submitRandomly(10*hour, 20*hour, 60, survey)
+	g.submitRandomly(0, 22*hour, 120, royalty)
+	g.submitRandomly(2*hour, 11*hour, 700, search)
+	g.submitRandomly(4*hour, 4.3*hour, 150, search) // market day
+	g.submit(5*hour, jobKind{"boundary-survey", 7, 8, true, hour, 0.3, 1}, "western")
+	g.addWorkerEvents(2*hour, 14*hour, EventWorkerBad, EventWorkerGood)
+	g.addWorkerEvents(6*hour, 8*hour, EventWorkerDown, EventWorkerUp)
+	g.addWorkerEvents(12*hour, 13*hour, EventWorkerDown, EventWorkerUp)
+	g.add(Event{AtMS: toMS(7 * hour), Event: EventAppendDown})
+	g.add(Event{AtMS: toMS(7*hour + 5*minute), Event: EventAppendUp})
 	return g.sorted()
 }
 
 // The checked-in traces are what the generators write.
-func TestTracesAreAsGenerated(t *testing.T) {
+func TestCheckedInTracesMatchGenerators(t *testing.T) {
 	is := is.New(t)
 	for name, events := range map[string][]Event{"merrimack": merrimack(merrimackSeed), "authority": authority(authoritySeed)} {
 		path := "testdata/" + name + ".jsonl"
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -12,41 +12,41 @@
 
 // What the replay takes for granted of the outside, for every policy alike.
 const (
-	// checkpointTime is how long a run goes on holding its accelerators when it
+	// checkpointDuration is how long a run goes on holding its accelerators when it
 	// is stopped for others.
-	checkpointTime = 2 * scheduler.Second
-	// restartTime is added to a run that continues from a checkpoint.
-	restartTime = 30 * scheduler.Second
-	// failTime is how long a task runs on a worker that fails everything.
-	failTime = 5 * scheduler.Second
-	// reclaimLimit is how long work that its workspace's guarantee covers may
+	checkpointDuration = 2 * scheduler.Second
+	// restartDuration is added to a run that continues from a checkpoint.
+	restartDuration = 30 * scheduler.Second
+	// failDelay is how long a task runs on a worker that fails everything.
+	failDelay = 5 * scheduler.Second
+	// maxReclaimDelay is how long work that its workspace's guarantee covers may
 	// wait before it counts as a violation.
-	reclaimLimit = scheduler.Minute
-	// drainLimit is how long the replay goes on after the last event.
-	drainLimit   = 24 * 60 * scheduler.Minute
-	busyTick     = scheduler.Second
-	idleTick     = 10 * scheduler.Second
-	sampleEvery  = scheduler.Minute
-	neverEnds    = scheduler.Time(1) << 60
-	defaultClass = 24 * time.Hour // target of a class that the settings do not name
+	maxReclaimDelay = scheduler.Minute
+	// maxDrainTime is how long the replay goes on after the last event.
+	maxDrainTime        = 24 * 60 * scheduler.Minute
+	busyTick            = scheduler.Second
+	idleTick            = 10 * scheduler.Second
+	sampleInterval      = scheduler.Minute
+	neverEnds           = scheduler.Time(1) << 60
+	defaultFinishWithin = 24 * time.Hour // target of a class that the settings do not name
 )
 
-// driver is one replay under way.
-type driver struct {
-	setup    *Setup
-	policy   scheduler.Policy
-	now      scheduler.Time
-	jobs     map[string]*record
-	order    []*record
-	runs     map[string]*live
-	ends     endings
-	seq      int
-	bad      map[string]bool
-	used     map[string]int // accelerators in use, by worker
-	inUse    map[string]int // accelerators in use, by workspace
-	logOut   bool
-	waiting  map[*record]bool // entitled jobs not yet started
-	measures measures
+// replayer is one replay under way.
+type replayer struct {
+	setup             *Setup
+	policy            scheduler.Policy
+	now               scheduler.Time
+	jobs              map[string]*jobRecord
+	submitted         []*jobRecord
+	runs              map[string]*activeRun
+	ends              endQueue
+	lastSeq           int
+	failingWorkers    map[string]bool
+	usedByWorker      map[string]int // accelerators in use, by worker
+	usedByWorkspace   map[string]int // accelerators in use, by workspace
+	logDown           bool
+	waitingGuaranteed map[*jobRecord]bool // entitled jobs not yet started
+	metrics           metrics
 }
 
 // Run replays a trace under the named policy and returns what was measured.
@@ -55,107 +55,107 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &driver{
-		setup: setup, policy: policy, jobs: map[string]*record{}, runs: map[string]*live{}, bad: map[string]bool{},
-		used: map[string]int{}, inUse: map[string]int{}, waiting: map[*record]bool{},
+	r := &replayer{
+		setup: setup, policy: policy, jobs: map[string]*jobRecord{}, runs: map[string]*activeRun{}, failingWorkers: map[string]bool{},
+		usedByWorker: map[string]int{}, usedByWorkspace: map[string]int{}, waitingGuaranteed: map[*jobRecord]bool{},
 	}
 	for _, event := range events {
-		d.advance(scheduler.Time(event.AtMS))
-		d.take(event)
+		r.advanceTo(scheduler.Time(event.AtMS))
+		r.applyEvent(event)
 	}
-	d.drain()
-	return d.report(), nil
+	r.runToCompletion()
+	return r.report(), nil
 }
 
-// advance moves virtual time on, through ticks, samples and ends of runs.
-func (d *driver) advance(to scheduler.Time) {
+// advanceTo moves virtual time on, through ticks, samples and ends of runs.
+func (r *replayer) advanceTo(until scheduler.Time) {
 	for {
-		next := d.nextStop(to)
-		if next > to {
-			d.now = to
+		next := r.nextTime(until)
+		if next > until {
+			r.now = until
 			return
 		}
-		d.now = next
-		d.atStop()
-		if next == to && !d.endsDue() {
+		r.now = next
+		r.processDue()
+		if next == until && !r.endDue() {
 			return
 		}
 	}
 }
 
-// nextStop is the next time at which something is due, at most one past to.
-func (d *driver) nextStop(to scheduler.Time) scheduler.Time {
+// nextTime is the next time at which something is due, at most one past to.
+func (r *replayer) nextTime(until scheduler.Time) scheduler.Time {
 	tick := idleTick
-	if d.policy.Queued() > 0 {
+	if r.policy.Queued() > 0 {
 		tick = busyTick
 	}
-	next := (d.now/tick + 1) * tick
-	if len(d.ends) > 0 && d.ends[0].at < next {
-		next = max(d.ends[0].at, d.now)
+	next := (r.now/tick + 1) * tick
+	if len(r.ends) > 0 && r.ends[0].at < next {
+		next = max(r.ends[0].at, r.now)
 	}
-	return min(next, to+1)
+	return min(next, until+1)
 }
 
-func (d *driver) endsDue() bool { return len(d.ends) > 0 && d.ends[0].at <= d.now }
+func (r *replayer) endDue() bool { return len(r.ends) > 0 && r.ends[0].at <= r.now }
 
-func (d *driver) atStop() {
-	for d.endsDue() {
-		end := heap.Pop(&d.ends).(ending)
-		if end.version == end.run.version {
-			d.endRun(end.run)
+func (r *replayer) processDue() {
+	for r.endDue() {
+		end := heap.Pop(&r.ends).(plannedEnd)
+		if end.version == end.run.endVersion {
+			r.endRun(end.run)
 		}
 	}
-	d.step(scheduler.Tick{})
-	d.checkEntitled()
-	if d.now >= d.measures.nextSample {
-		d.sample()
-		d.measures.nextSample = d.now + sampleEvery
+	r.stepPolicy(scheduler.Tick{})
+	r.checkGuarantees()
+	if r.now >= r.metrics.nextSample {
+		r.sampleFragmentation()
+		r.metrics.nextSample = r.now + sampleInterval
 	}
 }
 
-// drain goes on after the last event until nothing can change any more.
-func (d *driver) drain() {
-	limit := d.now + drainLimit
-	for d.now < limit && (len(d.ends) > 0 || d.policy.Queued() > 0) {
-		if len(d.ends) == 0 || d.ends[0].at >= neverEnds {
-			limit = min(limit, d.now+10*scheduler.Minute) // only work that never ends is left
+// runToCompletion goes on after the last event until nothing can change any more.
+func (r *replayer) runToCompletion() {
+	limit := r.now + maxDrainTime
+	for r.now < limit && (len(r.ends) > 0 || r.policy.Queued() > 0) {
+		if len(r.ends) == 0 || r.ends[0].at >= neverEnds {
+			limit = min(limit, r.now+10*scheduler.Minute) // only work that never ends is left
 		}
-		d.advance(min(d.now+scheduler.Minute, limit))
+		r.advanceTo(min(r.now+scheduler.Minute, limit))
 	}
 }
 
-// step gives an event to the policy, measures its time and carries out what it says.
-func (d *driver) step(event scheduler.Event) {
-	began := time.Now()
-	actions := d.policy.Step(event, d.now)
-	d.measures.decided(time.Since(began))
+// stepPolicy gives an event to the policy, measures its time and carries out what it says.
+func (r *replayer) stepPolicy(event scheduler.Event) {
+	start := time.Now()
+	actions := r.policy.Step(event, r.now)
+	r.metrics.addDecision(time.Since(start))
 	for _, action := range actions {
-		d.carryOut(action)
+		r.applyAction(action)
 	}
 }
 
-func (d *driver) take(event Event) {
+func (r *replayer) applyEvent(event Event) {
 	switch event.Event {
 	case EventSubmit:
-		d.submit(event)
+		r.submit(event)
 	case EventCancel:
-		d.cancel(event.Job)
+		r.cancel(event.Job)
 	case EventWorkerDown:
-		d.step(scheduler.WorkerDown{Worker: event.Worker})
+		r.stepPolicy(scheduler.WorkerDown{Worker: event.Worker})
 	case EventWorkerUp:
-		d.step(scheduler.WorkerUp{Worker: d.spec(event.Worker)})
+		r.stepPolicy(scheduler.WorkerUp{Worker: r.workerSpec(event.Worker)})
 	case EventWorkerBad:
-		d.bad[event.Worker] = true
+		r.failingWorkers[event.Worker] = true
 	case EventWorkerGood:
-		delete(d.bad, event.Worker)
+		delete(r.failingWorkers, event.Worker)
 	case EventAppendDown, EventAppendUp:
-		d.logOut = event.Event == EventAppendDown
-		d.step(scheduler.LogState{Available: !d.logOut})
+		r.logDown = event.Event == EventAppendDown
+		r.stepPolicy(scheduler.LogState{Available: !r.logDown})
 	}
 }
 
-func (d *driver) spec(name string) scheduler.WorkerSpec {
-	for _, spec := range d.setup.Inventory.Specs() {
+func (r *replayer) workerSpec(name string) scheduler.WorkerSpec {
+	for _, spec := range r.setup.Inventory.Specs() {
 		if spec.ID == name {
 			return spec
 		}
@@ -163,203 +163,203 @@
 	return scheduler.WorkerSpec{ID: name}
 }
 
-func (d *driver) submit(event Event) {
-	if d.jobs[event.Job] != nil {
+func (r *replayer) submit(event Event) {
+	if r.jobs[event.Job] != nil {
 		return // a retry of a key that is known
 	}
-	class, known := d.setup.Targets.Classes[event.Class]
-	if !known {
-		class = targets.Class{Name: event.Class, FinishWithin: defaultClass, Idempotent: true}
+	class, ok := r.setup.Targets.Classes[event.Class]
+	if !ok {
+		class = targets.Class{Name: event.Class, FinishWithin: defaultFinishWithin, Idempotent: true}
 	}
-	job := &record{event: event, class: class, submitted: d.now, started: -1,
-		deadline: d.now + scheduler.Time(class.FinishWithin.Milliseconds())}
-	d.jobs[event.Job] = job
-	d.order = append(d.order, job)
-	if d.logOut || event.Shape().Validate() != nil {
+	job := &jobRecord{event: event, class: class, submittedAt: r.now, startedAt: -1,
+		deadline: r.now + scheduler.Time(class.FinishWithin.Milliseconds())}
+	r.jobs[event.Job] = job
+	r.submitted = append(r.submitted, job)
+	if r.logDown || event.Shape().Validate() != nil {
 		job.phase = jobRefused // as the instances do: nothing durable could be said of it
-		job.ended = d.now
+		job.endedAt = r.now
 		return
 	}
-	d.noteEntitled(job)
-	d.step(scheduler.Submitted{Job: scheduler.JobSpec{
-		ID: event.Job, Workspace: event.Workspace, Class: event.Class, Shape: event.Shape(), Submit: d.now, Deadline: job.deadline,
+	r.markGuaranteed(job)
+	r.stepPolicy(scheduler.Submitted{Job: scheduler.JobSpec{
+		ID: event.Job, Workspace: event.Workspace, Class: event.Class, Shape: event.Shape(), Submit: r.now, Deadline: job.deadline,
 		Declared: scheduler.Time(event.DeclaredS * 1000), Idempotent: class.Idempotent,
 	}})
 }
 
-// noteEntitled marks a job that its workspace's guarantee covers beside all
+// markGuaranteed marks a job that its workspace's guarantee covers beside all
 // that the workspace already uses or waits for.
-func (d *driver) noteEntitled(job *record) {
+func (r *replayer) markGuaranteed(job *jobRecord) {
 	total := 0
 	covers := false
-	for _, shape := range d.setup.Targets.Workspaces[job.event.Workspace].Guarantee {
+	for _, shape := range r.setup.Targets.Workspaces[job.event.Workspace].Guarantee {
 		total += shape.Total()
 		covers = covers || (shape.Members >= job.event.Members && shape.Accelerators >= job.event.Accelerators)
 	}
-	wanted := job.event.Shape().Total() + d.inUse[job.event.Workspace]
-	for _, other := range d.order {
-		waits := other != job && other.phase == jobQueued // also one that was stopped for others
-		if waits && other.event.Workspace == job.event.Workspace {
+	wanted := job.event.Shape().Total() + r.usedByWorkspace[job.event.Workspace]
+	for _, other := range r.submitted {
+		queued := other != job && other.phase == jobQueued // also one that was stopped for others
+		if queued && other.event.Workspace == job.event.Workspace {
 			wanted += other.event.Shape().Total()
 		}
 	}
 	if covers && wanted <= total {
-		job.entitled = true
-		d.waiting[job] = true
+		job.guaranteed = true
+		r.waitingGuaranteed[job] = true
 	}
 }
 
-func (d *driver) checkEntitled() {
-	for job := range d.waiting {
-		if !job.violated && d.now-job.submitted > reclaimLimit {
-			job.violated = true
+func (r *replayer) checkGuarantees() {
+	for job := range r.waitingGuaranteed {
+		if !job.guaranteeViolated && r.now-job.submittedAt > maxReclaimDelay {
+			job.guaranteeViolated = true
 		}
 	}
 }
 
-func (d *driver) cancel(id string) {
-	job := d.jobs[id]
+func (r *replayer) cancel(id string) {
+	job := r.jobs[id]
 	if job == nil || job.phase > jobRunning {
 		return
 	}
 	wasQueued := job.phase == jobQueued
-	d.step(scheduler.Cancelled{Job: id})
+	r.stepPolicy(scheduler.Cancelled{Job: id})
 	if wasQueued || job.phase == jobQueued {
-		d.finish(job, jobCancelled)
+		r.endJob(job, jobCancelled)
 	}
 }
 
-func (d *driver) finish(job *record, phase jobPhase) {
+func (r *replayer) endJob(job *jobRecord, phase jobPhase) {
 	job.phase = phase
-	job.ended = d.now
-	delete(d.waiting, job)
+	job.endedAt = r.now
+	delete(r.waitingGuaranteed, job)
 }
 
-func (d *driver) carryOut(action scheduler.Action) {
+func (r *replayer) applyAction(action scheduler.Action) {
 	switch a := action.(type) {
 	case scheduler.Place:
-		d.place(a)
+		r.place(a)
 	case scheduler.Preempt:
-		d.measures.preemptions++
-		d.preempt(a)
+		r.metrics.preemptions++
+		r.preempt(a)
 	case scheduler.Abort:
-		d.abort(a)
+		r.abort(a)
 	case scheduler.End:
-		if job := d.jobs[a.Job]; job != nil && job.phase <= jobRunning {
-			d.finish(job, jobRefused)
+		if job := r.jobs[a.Job]; job != nil && job.phase <= jobRunning {
+			r.endJob(job, jobRefused)
 		}
 	}
 }
 
-func (d *driver) place(a scheduler.Place) {
-	job := d.jobs[a.Job]
-	d.checkPlacement(job, a)
-	run := &live{id: a.Run, job: job, members: a.Members, since: d.now, result: scheduler.RunFinished}
-	if a.Resume {
-		run.extra = restartTime
+func (r *replayer) place(place scheduler.Place) {
+	job := r.jobs[place.Job]
+	r.checkPlacement(job, place)
+	run := &activeRun{id: place.Run, job: job, members: place.Members, startedAt: r.now, result: scheduler.RunFinished}
+	if place.Resume {
+		run.restartOverhead = restartDuration
 	} else {
 		job.progress = 0
-		job.starts++
+		job.freshStarts++
 	}
 	job.phase = jobRunning
-	if job.started < 0 {
-		job.started = d.now
+	if job.startedAt < 0 {
+		job.startedAt = r.now
 	}
-	delete(d.waiting, job)
-	d.runs[a.Run] = run
-	for _, m := range a.Members {
-		d.used[m.Worker] += m.Accelerators
-		d.inUse[job.event.Workspace] += m.Accelerators
+	delete(r.waitingGuaranteed, job)
+	r.runs[place.Run] = run
+	for _, m := range place.Members {
+		r.usedByWorker[m.Worker] += m.Accelerators
+		r.usedByWorkspace[job.event.Workspace] += m.Accelerators
 	}
-	d.plan(run)
+	r.scheduleEnd(run)
 }
 
 // checkPlacement compares a placement with the replay's own books.
-func (d *driver) checkPlacement(job *record, a scheduler.Place) {
+func (r *replayer) checkPlacement(job *jobRecord, place scheduler.Place) {
 	distinct := map[string]bool{}
-	whole := len(a.Members) == job.event.Members
-	for _, m := range a.Members {
-		room := d.used[m.Worker]+m.Accelerators <= d.setup.Inventory.AcceleratorsPerWorker
-		whole = whole && !distinct[m.Worker] && m.Accelerators == job.event.Accelerators && room
+	whole := len(place.Members) == job.event.Members
+	for _, m := range place.Members {
+		fits := r.usedByWorker[m.Worker]+m.Accelerators <= r.setup.Inventory.AcceleratorsPerWorker
+		whole = whole && !distinct[m.Worker] && m.Accelerators == job.event.Accelerators && fits
 		distinct[m.Worker] = true
 	}
 	if !whole {
-		d.measures.partial++
+		r.metrics.partial++
 	}
-	if job.phase == jobRunning || (!job.class.Idempotent && job.starts > 0 && !a.Resume) {
-		d.measures.doubled++
+	if job.phase == jobRunning || (!job.class.Idempotent && job.freshStarts > 0 && !place.Resume) {
+		r.metrics.doubled++
 	}
 }
 
-// plan sets a run's natural end.
-func (d *driver) plan(run *live) {
+// scheduleEnd sets a run's natural end.
+func (r *replayer) scheduleEnd(run *activeRun) {
 	at := neverEnds
 	if actual := scheduler.Time(run.job.event.ActualS * 1000); actual > 0 {
-		at = run.since + run.extra + max(actual-run.job.progress, 0)
+		at = run.startedAt + run.restartOverhead + max(actual-run.job.progress, 0)
 	}
 	for _, m := range run.members {
-		if d.bad[m.Worker] && run.since+failTime < at {
-			at = run.since + failTime
+		if r.failingWorkers[m.Worker] && run.startedAt+failDelay < at {
+			at = run.startedAt + failDelay
 			run.result = scheduler.RunFailed
-			run.worker = m.Worker
+			run.failedWorker = m.Worker
 		}
 	}
-	d.schedule(run, at)
+	r.pushEnd(run, at)
 }
 
-func (d *driver) schedule(run *live, at scheduler.Time) {
-	run.version++
+func (r *replayer) pushEnd(run *activeRun, at scheduler.Time) {
+	run.endVersion++
 	run.endsAt = at
-	d.seq++
-	heap.Push(&d.ends, ending{at: at, seq: d.seq, run: run, version: run.version})
+	r.lastSeq++
+	heap.Push(&r.ends, plannedEnd{at: at, seq: r.lastSeq, run: run, version: run.endVersion})
 }
 
-func (d *driver) preempt(a scheduler.Preempt) {
-	run := d.runs[a.Run]
-	if run == nil || run.endsAt <= d.now+checkpointTime {
+func (r *replayer) preempt(preempt scheduler.Preempt) {
+	run := r.runs[preempt.Run]
+	if run == nil || run.endsAt <= r.now+checkpointDuration {
 		return
 	}
 	run.result = scheduler.RunPreempted
-	d.schedule(run, d.now+checkpointTime)
+	r.pushEnd(run, r.now+checkpointDuration)
 }
 
-func (d *driver) abort(a scheduler.Abort) {
-	run := d.runs[a.Run]
+func (r *replayer) abort(abort scheduler.Abort) {
+	run := r.runs[abort.Run]
 	if run == nil {
 		return
 	}
 	run.result = scheduler.RunLost
-	if a.Reason == structs.ReasonCancelled {
+	if abort.Reason == structs.ReasonCancelled {
 		run.result = scheduler.RunAborted
 	}
-	d.schedule(run, d.now)
+	r.pushEnd(run, r.now)
 }
 
-func (d *driver) endRun(run *live) {
+func (r *replayer) endRun(run *activeRun) {
 	job := run.job
-	delete(d.runs, run.id)
+	delete(r.runs, run.id)
 	for _, m := range run.members {
-		d.used[m.Worker] -= m.Accelerators
-		d.inUse[job.event.Workspace] -= m.Accelerators
+		r.usedByWorker[m.Worker] -= m.Accelerators
+		r.usedByWorkspace[job.event.Workspace] -= m.Accelerators
 	}
 	job.phase = jobQueued
 	switch run.result {
 	case scheduler.RunFinished:
-		d.finish(job, jobFinished)
+		r.endJob(job, jobFinished)
 	case scheduler.RunAborted:
-		d.finish(job, jobCancelled)
+		r.endJob(job, jobCancelled)
 	case scheduler.RunPreempted:
-		job.progress += max(d.now-checkpointTime-run.since-run.extra, 0)
+		job.progress += max(r.now-checkpointDuration-run.startedAt-run.restartOverhead, 0)
 	}
-	d.step(scheduler.RunEnded{Run: run.id, Result: run.result, Worker: run.worker})
+	r.stepPolicy(scheduler.RunEnded{Run: run.id, Result: run.result, Worker: run.failedWorker})
 }
 
-// shapes are the declared shapes, each once, in order.
-func (d *driver) shapes() []structs.Shape {
+// guaranteedShapes are the declared shapes, each once, in order.
+func (r *replayer) guaranteedShapes() []structs.Shape {
 	seen := map[structs.Shape]bool{}
 	var shapes []structs.Shape
-	for _, name := range d.setup.Targets.WorkspaceNames() {
-		for _, shape := range d.setup.Targets.Workspaces[name].Guarantee {
+	for _, name := range r.setup.Targets.WorkspaceNames() {
+		for _, shape := range r.setup.Targets.Workspaces[name].Guarantee {
 			if !seen[shape] {
 				seen[shape] = true
 				shapes = append(shapes, shape)
@@ -370,11 +370,11 @@
 	return shapes
 }
 
-func (d *driver) sample() {
-	free := d.policy.Free()
-	for _, shape := range d.shapes() {
-		if value, ok := d.setup.Inventory.fragmentation(free, shape); ok {
-			d.measures.fragmentation = append(d.measures.fragmentation, value)
+func (r *replayer) sampleFragmentation() {
+	free := r.policy.Free()
+	for _, shape := range r.guaranteedShapes() {
+		if value, ok := r.setup.Inventory.fragmentation(free, shape); ok {
+			r.metrics.fragmentation = append(r.metrics.fragmentation, value)
 		}
 	}
 }
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -11,7 +11,7 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-func load(t *testing.T, name string) (*Setup, []Event) {
+func loadReplay(t *testing.T, name string) (*Setup, []Event) {
 	t.Helper()
 	is := is.New(t)
 	data, err := os.ReadFile("testdata/" + name + ".ini")
@@ -26,11 +26,11 @@
 	return setup, events
 }
 
-func TestWhatMustBeZeroIsZeroAndReplaysAreTheSame(t *testing.T) {
+func TestReplayIsDeterministicWithoutViolations(t *testing.T) {
 	for _, name := range []string{"merrimack", "authority"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			setup, events := load(t, name)
+			setup, events := loadReplay(t, name)
 			first, err := Run(setup, events, scheduler.PolicyTargets)
 			is.NoErr(err)
 			is.Equal(first.Lost+first.Doubled+first.PartialGangs+first.GuaranteeViolations, 0)
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestTraceFaultsNameTheLine(t *testing.T) {
+func TestTraceErrorsNameLine(t *testing.T) {
 	for _, c := range []struct{ name, trace, says string }{
 		{"unknown event", `{"at_ms":1,"event":"explode"}`, `line 1: unknown event "explode"`},
 		{"unknown field", "{\"at_ms\":1,\"event\":\"append_down\"}\n{\"at_ms\":2,\"event\":\"cancel\",\"job\":\"a\",\"why\":1}", "line 2:"},
@@ -72,7 +72,7 @@
 	is.Equal(value, 1.0) // 32 free accelerators would hold one, scattered they hold none
 	value, _ = inventory.fragmentation([][]int{{8, 8, 8, 8}, {0, 0, 0, 0}}, shape)
 	is.Equal(value, 0.0)
-	is.Equal(fitsInRack([]int{8, 8, 4, 4}, structs.Shape{Members: 2, Accelerators: 4}), 3) // members of one copy on distinct workers
+	is.Equal(copiesInRack([]int{8, 8, 4, 4}, structs.Shape{Members: 2, Accelerators: 4}), 3) // members of one copy on distinct workers
 	_, ok = inventory.fragmentation([][]int{{8, 0, 0, 0}, {0, 0, 0, 0}}, shape)
 	is.True(!ok)
 }
--- a/replay/report.go
+++ b/replay/report.go
@@ -9,23 +9,23 @@
 	"github.com/teaselcleat/teaselcleat/scheduler"
 )
 
-// largeMembers and largeAccelerators bound the gangs whose waits are reported apart.
+// minLargeMembers and minLargeAccelerators bound the gangs whose waits are reported apart.
 const (
-	largeMembers      = 4
-	largeAccelerators = 8
+	minLargeMembers      = 4
+	minLargeAccelerators = 8
 )
 
-// measures collects figures during a replay.
-type measures struct {
+// metrics collects figures during a replay.
+type metrics struct {
 	nextSample    scheduler.Time
 	fragmentation []float64
-	steps         []time.Duration
+	decisions     []time.Duration
 	preemptions   int
 	partial       int
 	doubled       int
 }
 
-func (m *measures) decided(took time.Duration) { m.steps = append(m.steps, took) }
+func (m *metrics) addDecision(d time.Duration) { m.decisions = append(m.decisions, d) }
 
 // ClassReport is what was measured of one class.
 type ClassReport struct {
@@ -69,121 +69,121 @@
 		c.Name, c.Jobs, c.Met, c.Missed, c.CompletionP50S, c.CompletionP99S, c.WaitP99S, c.FinishWithinSec)
 }
 
-// met says whether a job counts for its target, and whether it met it. A job
+// targetOutcome says whether a job counts for its target, and whether it met it. A job
 // that was cancelled does not count, nor one that has time left at the end.
-func (d *driver) met(job *record) (counts, met bool) {
+func (r *replayer) targetOutcome(job *jobRecord) (counts, met bool) {
 	switch job.phase {
 	case jobFinished:
-		return true, job.ended <= job.deadline
+		return true, job.endedAt <= job.deadline
 	case jobRefused:
 		return true, false
 	case jobCancelled:
 		return false, false
 	}
-	return d.now > job.deadline, false
+	return r.now > job.deadline, false
 }
 
-func (d *driver) report() *Report {
-	r := &Report{Jobs: len(d.order), Doubled: d.measures.doubled, PartialGangs: d.measures.partial,
-		Preemptions: d.measures.preemptions, Decisions: len(d.measures.steps)}
+func (r *replayer) report() *Report {
+	report := &Report{Jobs: len(r.submitted), Doubled: r.metrics.doubled, PartialGangs: r.metrics.partial,
+		Preemptions: r.metrics.preemptions, Decisions: len(r.metrics.decisions)}
 	queued := 0
-	for _, job := range d.order {
-		d.count(r, job)
+	for _, job := range r.submitted {
+		r.countJob(report, job)
 		if job.phase == jobQueued {
 			queued++
 		}
-		if job.violated {
-			r.GuaranteeViolations++
+		if job.guaranteeViolated {
+			report.GuaranteeViolations++
 		}
 	}
-	r.Lost = max(queued-d.policy.Queued(), 0)
-	r.Unfinished -= r.Lost
-	r.CompletionP50S = percentile(d.completions(nil), 0.5)
-	r.CompletionP99S = percentile(d.completions(nil), 0.99)
-	r.FragmentationMean, r.FragmentationMax = meanAndMax(d.measures.fragmentation)
-	sort.Slice(d.measures.steps, func(i, j int) bool { return d.measures.steps[i] < d.measures.steps[j] })
-	if n := len(d.measures.steps); n > 0 {
-		r.DecisionP99 = d.measures.steps[(n-1)*99/100]
+	report.Lost = max(queued-r.policy.Queued(), 0)
+	report.Unfinished -= report.Lost
+	report.CompletionP50S = percentile(r.completionTimes(nil), 0.5)
+	report.CompletionP99S = percentile(r.completionTimes(nil), 0.99)
+	report.FragmentationMean, report.FragmentationMax = meanAndMax(r.metrics.fragmentation)
+	sort.Slice(r.metrics.decisions, func(i, j int) bool { return r.metrics.decisions[i] < r.metrics.decisions[j] })
+	if n := len(r.metrics.decisions); n > 0 {
+		report.DecisionP99 = r.metrics.decisions[(n-1)*99/100]
 	}
-	d.reportLarge(r)
-	d.reportClasses(r)
-	return r
+	r.addLargeGangs(report)
+	r.addClasses(report)
+	return report
 }
 
-func (d *driver) count(r *Report, job *record) {
+func (r *replayer) countJob(report *Report, job *jobRecord) {
 	switch job.phase {
 	case jobFinished:
-		r.Finished++
+		report.Finished++
 	case jobRefused:
-		r.Refused++
+		report.Refused++
 	case jobCancelled:
-		r.Cancelled++
+		report.Cancelled++
 	default:
-		r.Unfinished++
+		report.Unfinished++
 	}
-	if counts, met := d.met(job); counts && met {
-		r.TargetsMet++
+	if counts, met := r.targetOutcome(job); counts && met {
+		report.TargetsMet++
 	} else if counts {
-		r.TargetsMissed++
+		report.TargetsMissed++
 	}
 }
 
-func (d *driver) completions(match func(*record) bool) []float64 {
-	var spans []float64
-	for _, job := range d.order {
+func (r *replayer) completionTimes(match func(*jobRecord) bool) []float64 {
+	var seconds []float64
+	for _, job := range r.submitted {
 		if job.phase == jobFinished && (match == nil || match(job)) {
-			spans = append(spans, float64(job.ended-job.submitted)/1000)
+			seconds = append(seconds, float64(job.endedAt-job.submittedAt)/1000)
 		}
 	}
-	return spans
+	return seconds
 }
 
-// waits are the times to the first start; a job that never started and was not
+// waitTimes are the times to the first start; a job that never started and was not
 // withdrawn has waited until the end.
-func (d *driver) waits(match func(*record) bool) []float64 {
-	var spans []float64
-	for _, job := range d.order {
+func (r *replayer) waitTimes(match func(*jobRecord) bool) []float64 {
+	var seconds []float64
+	for _, job := range r.submitted {
 		if !match(job) {
 			continue
 		}
 		switch {
-		case job.started >= 0:
-			spans = append(spans, float64(job.started-job.submitted)/1000)
+		case job.startedAt >= 0:
+			seconds = append(seconds, float64(job.startedAt-job.submittedAt)/1000)
 		case job.phase == jobQueued:
-			spans = append(spans, float64(d.now-job.submitted)/1000)
+			seconds = append(seconds, float64(r.now-job.submittedAt)/1000)
 		}
 	}
-	return spans
+	return seconds
 }
 
-func (d *driver) reportLarge(r *Report) {
-	large := func(job *record) bool {
-		return job.event.Adjacent && job.event.Members >= largeMembers && job.event.Accelerators >= largeAccelerators
+func (r *replayer) addLargeGangs(report *Report) {
+	large := func(job *jobRecord) bool {
+		return job.event.Adjacent && job.event.Members >= minLargeMembers && job.event.Accelerators >= minLargeAccelerators
 	}
-	waits := d.waits(large)
-	r.LargeGangs = len(waits)
-	r.LargeGangWaitP99S = percentile(waits, 0.99)
+	waits := r.waitTimes(large)
+	report.LargeGangs = len(waits)
+	report.LargeGangWaitP99S = percentile(waits, 0.99)
 }
 
-func (d *driver) reportClasses(r *Report) {
-	for _, name := range d.setup.Targets.ClassNames() {
-		ofClass := func(job *record) bool { return job.event.Class == name }
-		c := ClassReport{Name: name, FinishWithinSec: d.setup.Targets.Classes[name].FinishWithin.Seconds()}
-		for _, job := range d.order {
+func (r *replayer) addClasses(report *Report) {
+	for _, name := range r.setup.Targets.ClassNames() {
+		ofClass := func(job *jobRecord) bool { return job.event.Class == name }
+		c := ClassReport{Name: name, FinishWithinSec: r.setup.Targets.Classes[name].FinishWithin.Seconds()}
+		for _, job := range r.submitted {
 			if !ofClass(job) {
 				continue
 			}
 			c.Jobs++
-			if counts, met := d.met(job); counts && met {
+			if counts, met := r.targetOutcome(job); counts && met {
 				c.Met++
 			} else if counts {
 				c.Missed++
 			}
 		}
-		c.CompletionP50S = percentile(d.completions(ofClass), 0.5)
-		c.CompletionP99S = percentile(d.completions(ofClass), 0.99)
-		c.WaitP99S = percentile(d.waits(ofClass), 0.99)
-		r.Classes = append(r.Classes, c)
+		c.CompletionP50S = percentile(r.completionTimes(ofClass), 0.5)
+		c.CompletionP99S = percentile(r.completionTimes(ofClass), 0.99)
+		c.WaitP99S = percentile(r.waitTimes(ofClass), 0.99)
+		report.Classes = append(report.Classes, c)
 	}
 }
 
@@ -195,13 +195,13 @@
 	return values[int(math.Ceil(q*float64(len(values))))-1]
 }
 
-func meanAndMax(values []float64) (mean, worst float64) {
+func meanAndMax(values []float64) (mean, highest float64) {
 	if len(values) == 0 {
 		return 0, 0
 	}
 	for _, value := range values {
 		mean += value
-		worst = max(worst, value)
+		highest = max(highest, value)
 	}
-	return mean / float64(len(values)), worst
+	return mean / float64(len(values)), highest
 }
--- a/replay/setup.go
+++ b/replay/setup.go
@@ -44,8 +44,8 @@
 		return nil, eris.Wrap(err, "settings are not INI")
 	}
 	parsed, faults := targets.FromFile(file, map[string]bool{sectionInventory: true})
-	inventory, more := readInventory(file)
-	if faults = append(faults, more...); len(faults) > 0 {
+	inventory, inventoryFaults := readInventory(file)
+	if faults = append(faults, inventoryFaults...); len(faults) > 0 {
 		return nil, &targets.FaultsError{Faults: faults}
 	}
 	return &Setup{Inventory: inventory, Targets: parsed}, nil
@@ -67,9 +67,9 @@
 	}
 	section := file.Section(sectionInventory)
 	for _, key := range section.Keys() {
-		number, known := numbers[key.Name()]
+		number, ok := numbers[key.Name()]
 		switch {
-		case known:
+		case ok:
 			value, err := strconv.Atoi(key.String())
 			if err != nil || value < 1 || value > number.high {
 				fault(key.Name(), fmt.Sprintf("must be a whole number from 1 to %d", number.high))
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -53,8 +53,8 @@
 	return structs.Shape{Members: e.Members, Accelerators: e.Accelerators, Adjacent: e.Adjacent}
 }
 
-// allowed lists the fields of each kind of event, besides at_ms and event.
-var allowed = map[EventName][]string{
+// allowedFields lists the fields of each kind of event, besides at_ms and event.
+var allowedFields = map[EventName][]string{
 	EventSubmit:     {"job", "workspace", "class", "members", "accelerators", "adjacent", "declared_s", "actual_s"},
 	EventCancel:     {"job"},
 	EventWorkerDown: {"worker"},
@@ -95,17 +95,17 @@
 	if err := decoder.Decode(&event); err != nil {
 		return event, err
 	}
-	fields, known := allowed[event.Event]
-	if !known {
+	fields, ok := allowedFields[event.Event]
+	if !ok {
 		return event, eris.Errorf("unknown event %q", event.Event)
 	}
-	if err := onlyFields(line, fields); err != nil {
+	if err := checkFields(line, fields); err != nil {
 		return event, err
 	}
-	return event, event.check()
+	return event, event.validate()
 }
 
-func onlyFields(line []byte, fields []string) error {
+func checkFields(line []byte, fields []string) error {
 	var present map[string]json.RawMessage
 	if err := json.Unmarshal(line, &present); err != nil {
 		return err
@@ -124,7 +124,7 @@
 	return nil
 }
 
-func (e Event) check() error {
+func (e Event) validate() error {
 	if e.AtMS < 0 {
 		return eris.New("at_ms must not be negative")
 	}
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,5 +1,5 @@
-// Package standin owns small stand-ins of the outside systems: the platform's
-// log and instance list, runners and workers. Tests and the dev command use
-// them; the serve command does not. Each can be told to fail in the ways the
-// real one does.
+// Package standin provides small stand-ins of the outside systems: the platform's
+// log and instance list, runners and workers. They are used by tests and the dev
+// command, never by the serve command. Each can inject the failures of the real
+// system.
 package standin
--- a/standin/gangs.go
+++ b/standin/gangs.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// Gangs lets the tasks of gangs that run on several workers work together: from the moment
-// at which all are there until they end as one. The first step of a job whose spec is
-// "gangN" is a gang of N tasks.
+// Gangs coordinates gang tasks across the workers of a fleet. The tasks of a gang start
+// their work when all have joined, and end together. The first step of a job whose spec
+// is "gangN" is a gang of N tasks.
 type Gangs struct {
-	Wait time.Duration // how long a task waits for the others
+	Wait time.Duration // how long a gang waits for all its tasks
 
 	mu   sync.Mutex
-	runs map[string]*gangRun // by step and run
+	runs map[string]*gangRun // by step name and run number
 }
 
-// NewGangs returns a record of no gangs.
+// NewGangs returns a coordinator without gangs.
 func NewGangs(wait time.Duration) *Gangs {
 	return &Gangs{Wait: wait, runs: map[string]*gangRun{}}
 }
 
-// gangRun is one run of a gang.
+// gangRun is the state of one run of a gang.
 type gangRun struct {
-	gangs   *Gangs
-	size    int
-	members []gangMember
-	begun   time.Time // zero until all were there
-	over    bool
-	timer   *time.Timer
+	gangs     *Gangs
+	size      int
+	members   []gangMember
+	startedAt time.Time // zero until all tasks have joined
+	ended     bool
+	timer     *time.Timer
 }
 
 type gangMember struct {
@@ -38,7 +38,7 @@
 	run    *taskRun
 }
 
-// gangSize is how many tasks the gang has that a task is one of; 0 for none.
+// gangSize returns the number of tasks in a task's gang; 0 if it is in none.
 func gangSize(task, spec string) int {
 	parts := strings.Split(task, ".")
 	if len(parts) != 4 || parts[2] != "0" {
@@ -51,62 +51,63 @@
 	return size
 }
 
-func stepOf(task string) string { return task[:strings.LastIndexByte(task, '.')] }
+// stepName returns a task's name without its last component, the task's index.
+func stepName(task string) string { return task[:strings.LastIndexByte(task, '.')] }
 
-// join enters a task that was started. Its worker's lock is held.
+// join adds a started task to the run of its gang. The caller holds the worker's lock.
 func (g *Gangs) join(size int, member gangMember) *gangRun {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	key := stepOf(member.task) + "/" + strconv.Itoa(member.run.run)
+	key := stepName(member.task) + "/" + strconv.Itoa(member.run.number)
 	gang := g.runs[key]
-	if gang == nil || gang.over {
+	if gang == nil || gang.ended {
 		gang = &gangRun{gangs: g, size: size}
-		gang.timer = time.AfterFunc(g.Wait, func() { gang.end("alone") })
+		gang.timer = time.AfterFunc(g.Wait, func() { gang.endAll("alone") })
 		g.runs[key] = gang
 	}
 	gang.members = append(gang.members, member)
 	if len(gang.members) == size {
 		gang.timer.Stop()
-		gang.begun = time.Now()
-		gang.timer = time.AfterFunc(member.run.takes, func() { gang.end("done") })
+		gang.startedAt = time.Now()
+		gang.timer = time.AfterFunc(member.run.duration, func() { gang.endAll("done") })
 	}
 	return gang
 }
 
-// leave takes that a member ended by itself, which breaks the others. Its worker's lock is
-// held.
-func (g *gangRun) leave() {
-	go g.end("broken")
+// breakUp ends the run after one member ended by itself; the others end as broken. The
+// caller holds the member's worker's lock, so the run ends on another goroutine.
+func (g *gangRun) breakUp() {
+	go g.endAll("broken")
 }
 
-// end ends what is left of the run. No worker's lock is held.
-func (g *gangRun) end(how string) {
+// endAll ends all members that still run. The caller must not hold a worker's lock.
+func (g *gangRun) endAll(outcome string) {
 	g.gangs.mu.Lock()
-	if g.over {
+	if g.ended {
 		g.gangs.mu.Unlock()
 		return
 	}
-	g.over = true
+	g.ended = true
 	g.timer.Stop()
 	members := g.members
 	g.gangs.mu.Unlock()
 	for _, member := range members {
-		member.worker.endMember(member.task, member.run, how)
+		member.worker.endMember(member.task, member.run, outcome)
 	}
 }
 
-// begunAt is when all members were there; zero before.
-func (g *gangRun) begunAt() time.Time {
+// startTime returns the time at which the last member joined; zero before that.
+func (g *gangRun) startTime() time.Time {
 	g.gangs.mu.Lock()
 	defer g.gangs.mu.Unlock()
-	return g.begun
+	return g.startedAt
 }
 
-// tasks are all that the end of one member stands for.
-func (g *gangRun) tasks(task string) []string {
-	all := make([]string, g.size)
-	for index := range all {
-		all[index] = stepOf(task) + "." + strconv.Itoa(index)
+// memberTasks returns the names of all tasks in the gang of a task.
+func (g *gangRun) memberTasks(task string) []string {
+	tasks := make([]string, g.size)
+	for i := range tasks {
+		tasks[i] = stepName(task) + "." + strconv.Itoa(i)
 	}
-	return all
+	return tasks
 }
--- a/standin/gangs_test.go
+++ b/standin/gangs_test.go
@@ -9,27 +9,27 @@
 	"github.com/matryer/is"
 )
 
-// ended is how the runs ended that a worker lists.
-func (w *TaskWorker) ended() []string {
+// endOutcomes returns the outcomes of the ended runs that a worker lists.
+func (w *TaskWorker) endOutcomes() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var how []string
+	var outcomes []string
 	for _, end := range w.ends {
-		how = append(how, end.row[3].(string))
+		outcomes = append(outcomes, end.row[3].(string))
 	}
-	return how
+	return outcomes
 }
 
-// The tasks of a gang work from the moment at which all are there, and end as one: done,
-// broken when one ends otherwise, alone when one does not come.
-func TestGangsWorkAndEndAsOne(t *testing.T) {
+// The tasks of a gang start their work when all have joined, and end together: as done,
+// as broken if one task ends early, or as alone if a task never joins.
+func TestGangTasksRunAndEndTogether(t *testing.T) {
 	const wait, runTime = 3 * time.Second, time.Second
 	for _, c := range []struct {
 		name   string
-		second time.Duration // after the first; 0 for never
-		stop   bool          // the first, half way
-		halt   bool          // the worker of the first, half way
-		ends   [2][]string   // of both workers, once all is over
+		second time.Duration // start of the second task after the first; 0 for never
+		stop   bool          // the first task is stopped half way
+		halt   bool          // the first task's worker halts half way
+		ends   [2][]string   // outcomes on both workers
 	}{
 		{"both there", 2 * time.Second, false, false, [2][]string{{"done"}, {"done"}}},
 		{"one never comes", 0, false, false, [2][]string{{"alone"}, nil}},
@@ -41,12 +41,12 @@
 				is := is.New(t)
 				gangs := NewGangs(wait)
 				var workers [2]*TaskWorker
-				for index := range workers {
-					workers[index] = NewTaskWorker("w", runTime)
-					workers[index].Gangs = gangs
+				for i := range workers {
+					workers[i] = NewTaskWorker("w", runTime)
+					workers[i].Gangs = gangs
 				}
-				start := func(index int, task string) {
-					status, _ := order(t, workers[index], "/api/run-start", taskOrder{Task: task, Run: 1, Spec: "gang2", UntilMS: 60_000})
+				start := func(i int, task string) {
+					status, _ := sendOrder(t, workers[i], "/api/run-start", taskOrder{Task: task, Run: 1, Spec: "gang2", UntilMS: 60_000})
 					is.Equal(status, http.StatusOK)
 				}
 				start(0, "a.0.0.0")
@@ -56,14 +56,14 @@
 				}
 				time.Sleep(runTime / 2)
 				if c.stop {
-					order(t, workers[0], "/api/run-stop", taskOrder{Task: "a.0.0.0", Run: 1})
+					sendOrder(t, workers[0], "/api/run-stop", taskOrder{Task: "a.0.0.0", Run: 1})
 				}
 				if c.halt {
 					workers[0].Halt()
 				}
 				time.Sleep(2 * wait)
-				for index, worker := range workers {
-					is.Equal(worker.ended(), c.ends[index])
+				for i, worker := range workers {
+					is.Equal(worker.endOutcomes(), c.ends[i])
 					worker.Halt()
 				}
 			})
--- a/standin/keyedstore.go
+++ b/standin/keyedstore.go
@@ -16,26 +16,27 @@
 	"github.com/gorilla/mux"
 )
 
-// StoreFaults are the ways in which a keyed store misbehaves.
+// StoreFaults are the faults that a KeyedStore injects.
 type StoreFaults struct {
-	Down        bool // every call is refused as not done
-	LoseAnswers int  // so many appends take effect unanswered
-	Keep        int  // newest records kept for reading in each part; 0 keeps all
-	// Slow is how long each call waits before it is looked at.
+	Down        bool // every call is refused without effect
+	LoseAnswers int  // number of appends that take effect and get no answer
+	Keep        int  // newest records retained for reading in each part; 0 retains all
+	// Slow delays each call before it is processed.
 	Slow time.Duration
-	// LateAppends get no answer and take effect, if they still may, after LateBy.
+	// LateAppends is the number of appends that get no answer and are applied after
+	// LateBy, if the producer's epoch and sequence still permit.
 	LateAppends int
 	LateBy      time.Duration
 }
 
-// KeyedStore is an in-memory stand-in of the users' store: topics of parts with
-// keyed records, the newest of each key kept, appends fenced by a producer's
-// epoch and sequence.
+// KeyedStore is an in-memory stand-in of the users' store. Its topics consist of
+// parts that hold keyed records. The newest record of each key is retained, and
+// appends are fenced by a producer's epoch and sequence.
 type KeyedStore struct {
 	mu        sync.Mutex
-	parts     map[string]*storePart // by topic and part
+	parts     map[string]*storePart // by "topic/part"
 	faults    StoreFaults
-	addresses map[string]string // see Translate
+	addresses map[string]string // quoted replacements of quoted addresses; see Translate
 	router    *mux.Router
 }
 
@@ -45,13 +46,13 @@
 }
 
 type storePart struct {
-	first    int64
-	records  []storeRecord
-	newest   map[string]int64 // offset of the newest record of a key
-	values   map[string][]byte
-	epoch    int64
-	sequence int64
-	changed  chan struct{}
+	firstOffset   int64
+	records       []storeRecord
+	newestOffsets map[string]int64 // by key
+	newestValues  map[string][]byte
+	epoch         int64
+	lastSequence  int64
+	changed       chan struct{}
 }
 
 // NewKeyedStore returns an empty store.
@@ -82,58 +83,58 @@
 	defer s.mu.Unlock()
 	s.faults = faults
 	for _, part := range s.parts {
-		part.expire(faults.Keep)
+		part.trim(faults.Keep)
 	}
 }
 
-// Translate replaces an address in all records that are appended from now on, as a network
-// does that reaches a party by another address than the one it listens at.
+// Translate replaces an address in all records that are appended from now on. It models
+// a network in which a process is reached at another address than the one it listens on.
 func (s *KeyedStore) Translate(address, reachedAt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addresses[strconv.Quote(address)] = strconv.Quote(reachedAt)
 }
 
-// translated is called with s.mu held.
-func (s *KeyedStore) translated(records []storeRecord) []storeRecord {
-	for index := range records {
+// translateAddresses applies the replacements of Translate. The caller holds s.mu.
+func (s *KeyedStore) translateAddresses(records []storeRecord) []storeRecord {
+	for i := range records {
 		for address, reachedAt := range s.addresses {
-			records[index].value = bytes.ReplaceAll(records[index].value, []byte(address), []byte(reachedAt))
+			records[i].value = bytes.ReplaceAll(records[i].value, []byte(address), []byte(reachedAt))
 		}
 	}
 	return records
 }
 
-// Put writes a record as the operator or a worker would. A nil value drops the
-// key.
+// Put writes a record to part 0 without a producer, as the operator or a worker
+// does. A nil value deletes the key.
 func (s *KeyedStore) Put(topic, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	part := s.part(topic, "0")
 	part.add([]storeRecord{{key, value}})
-	part.expire(s.faults.Keep)
+	part.trim(s.faults.Keep)
 }
 
-func (s *KeyedStore) part(topic, number string) *storePart {
-	name := topic + "/" + number
+func (s *KeyedStore) part(topic, partNumber string) *storePart {
+	name := topic + "/" + partNumber
 	part := s.parts[name]
 	if part == nil {
-		part = &storePart{newest: map[string]int64{}, values: map[string][]byte{}, changed: make(chan struct{})}
+		part = &storePart{newestOffsets: map[string]int64{}, newestValues: map[string][]byte{}, changed: make(chan struct{})}
 		s.parts[name] = part
 	}
 	return part
 }
 
-func (p *storePart) end() int64 { return p.first + int64(len(p.records)) }
+func (p *storePart) end() int64 { return p.firstOffset + int64(len(p.records)) }
 
 func (p *storePart) add(records []storeRecord) {
 	for _, record := range records {
 		if len(record.value) == 0 {
-			delete(p.newest, record.key)
-			delete(p.values, record.key)
+			delete(p.newestOffsets, record.key)
+			delete(p.newestValues, record.key)
 		} else {
-			p.newest[record.key] = p.end()
-			p.values[record.key] = record.value
+			p.newestOffsets[record.key] = p.end()
+			p.newestValues[record.key] = record.value
 		}
 		p.records = append(p.records, record)
 	}
@@ -141,10 +142,10 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *storePart) expire(keep int) {
+func (p *storePart) trim(keep int) {
 	if excess := len(p.records) - keep; keep > 0 && excess > 0 {
 		p.records = append([]storeRecord(nil), p.records[excess:]...)
-		p.first += int64(excess)
+		p.firstOffset += int64(excess)
 	}
 }
 
@@ -172,41 +173,42 @@
 	writeReply(w, status, reply)
 }
 
-// append is called with s.mu held.
+// append applies an append request and returns its reply. The caller holds s.mu.
 func (s *KeyedStore) append(query url.Values, body []byte) (status int, reply map[string]any) {
 	part := s.part(query.Get("topic"), query.Get("part"))
 	if query.Get("producer") != "" {
-		repeat, refused := part.admit(number(query.Get("epoch")), number(query.Get("sequence")))
+		repeat, refused := part.checkProducer(parseNumber(query.Get("epoch")), parseNumber(query.Get("sequence")))
 		if refused != "" {
-			return http.StatusConflict, map[string]any{"reason": refused, "sequence": part.sequence + 1}
+			return http.StatusConflict, map[string]any{"reason": refused, "sequence": part.lastSequence + 1}
 		}
 		if repeat {
 			return http.StatusOK, map[string]any{"offset": part.end(), "end": part.end()}
 		}
 	}
 	offset := part.end()
-	part.add(s.translated(splitRecords(body)))
-	part.expire(s.faults.Keep)
+	part.add(s.translateAddresses(splitRecords(body)))
+	part.trim(s.faults.Keep)
 	return http.StatusOK, map[string]any{"offset": offset, "end": part.end()}
 }
 
-// admit checks a producer's epoch and sequence.
-func (p *storePart) admit(epoch, sequence int64) (repeat bool, refused string) {
+// checkProducer checks and records a producer's epoch and sequence. It reports whether
+// the append repeats the last one, or the reason of a refusal.
+func (p *storePart) checkProducer(epoch, sequence int64) (repeat bool, refused string) {
 	switch {
 	case epoch < p.epoch:
 		return false, "fenced"
 	case epoch > p.epoch:
 		p.epoch = epoch
-	case sequence == p.sequence:
+	case sequence == p.lastSequence:
 		return true, ""
-	case sequence != p.sequence+1:
+	case sequence != p.lastSequence+1:
 		return false, "seq"
 	}
-	p.sequence = sequence
+	p.lastSequence = sequence
 	return false, ""
 }
 
-func number(text string) int64 {
+func parseNumber(text string) int64 {
 	value, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return 0
@@ -228,23 +230,23 @@
 
 func (s *KeyedStore) serveRead(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	from := number(query.Get("from"))
-	timeout := time.NewTimer(time.Duration(number(query.Get("wait_ms"))) * time.Millisecond)
+	from := parseNumber(query.Get("from"))
+	timeout := time.NewTimer(time.Duration(parseNumber(query.Get("wait_ms"))) * time.Millisecond)
 	defer timeout.Stop()
 	for waiting := true; ; {
 		s.mu.Lock()
 		part := s.part(query.Get("topic"), query.Get("part"))
 		changed := part.changed
-		if from < part.first {
-			first := part.first
+		if from < part.firstOffset {
+			firstOffset := part.firstOffset
 			s.mu.Unlock()
-			writeReply(w, http.StatusGone, map[string]any{"first": first})
+			writeReply(w, http.StatusGone, map[string]any{"first": firstOffset})
 			return
 		}
 		if from < part.end() || !waiting {
 			body := part.read(from)
 			s.mu.Unlock()
-			// A reader that has gone is not told again.
+			// The write fails only if the reader has disconnected.
 			_, _ = w.Write(body)
 			return
 		}
@@ -261,8 +263,8 @@
 
 func (p *storePart) read(from int64) []byte {
 	body := binary.BigEndian.AppendUint64(nil, uint64(p.end()))
-	body = binary.BigEndian.AppendUint64(body, uint64(p.first))
-	for _, record := range p.records[from-p.first:] {
+	body = binary.BigEndian.AppendUint64(body, uint64(p.firstOffset))
+	for _, record := range p.records[from-p.firstOffset:] {
 		body = binary.BigEndian.AppendUint32(body, uint32(1+len(record.key)+len(record.value)))
 		body = append(body, byte(len(record.key)))
 		body = append(body, record.key...)
@@ -271,14 +273,14 @@
 	return body
 }
 
-// newestItem is one record of a page of newest records.
+// newestItem is one record in a page of newest records.
 type newestItem struct {
 	Key    string `json:"key"`
 	Value  string `json:"value"`
 	Offset int64  `json:"offset"`
 }
 
-const newestPage = 3 // small, so that tests meet several pages
+const newestPageSize = 3 // small, so that tests read several pages
 
 func (s *KeyedStore) serveNewest(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
@@ -286,20 +288,20 @@
 	defer s.mu.Unlock()
 	part := s.part(query.Get("topic"), query.Get("part"))
 	items := []newestItem{}
-	for key, offset := range part.newest {
+	for key, offset := range part.newestOffsets {
 		if key > query.Get("after") {
-			items = append(items, newestItem{key, base64.StdEncoding.EncodeToString(part.values[key]), offset})
+			items = append(items, newestItem{key, base64.StdEncoding.EncodeToString(part.newestValues[key]), offset})
 		}
 	}
 	sort.Slice(items, func(a, b int) bool { return items[a].Key < items[b].Key })
-	more := len(items) > newestPage
-	items = items[:min(len(items), newestPage)]
-	writeReply(w, http.StatusOK, map[string]any{"items": items, "has_more": more, "end": part.end()})
+	hasMore := len(items) > newestPageSize
+	items = items[:min(len(items), newestPageSize)]
+	writeReply(w, http.StatusOK, map[string]any{"items": items, "has_more": hasMore, "end": part.end()})
 }
 
 func writeReply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that has gone is not told again.
+	// The write fails only if the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -20,39 +20,39 @@
 // DefaultListTTL is how long an announced machine stays listed without a refresh.
 const DefaultListTTL = 5 * time.Second
 
-// PlatformFaults are the ways in which the platform misbehaves. The zero value
-// is a healthy platform.
+// PlatformFaults are the faults that a Platform injects. The zero value is a
+// healthy platform.
 type PlatformFaults struct {
 	LogDown     bool          `json:"log_down"`     // appends and reads are refused
-	AppendDown  bool          `json:"append_down"`  // appends alone are refused
-	LoseAnswers int           `json:"lose_answers"` // so many appends take effect unanswered
-	Slow        time.Duration `json:"slow"`         // added to every log call
+	AppendDown  bool          `json:"append_down"`  // appends are refused, reads are not
+	LoseAnswers int           `json:"lose_answers"` // number of appends that take effect and get no answer
+	Slow        time.Duration `json:"slow"`         // delay of every log call
 	ListFrozen  bool          `json:"list_frozen"`  // the list stops changing
-	Retain      int           `json:"retain"`       // records kept in each stream; 0 keeps all
+	Retain      int           `json:"retain"`       // records retained in each stream; 0 retains all
 }
 
 type stream struct {
-	first   int64
-	records [][]byte
-	changed chan struct{}
+	firstOffset int64
+	records     [][]byte
+	changed     chan struct{}
 }
 
 type listing struct {
-	entry membership.Listed
-	at    time.Time
-	fixed bool // listed until removed
+	entry       membership.Listed
+	refreshedAt time.Time
+	fixed       bool // listed until removed, without refreshes
 }
 
-// Platform is an in-memory log service and instance list. It is an
-// http.Handler and implements logstream.Log and membership.InstanceList as well.
+// Platform is an in-memory log service and instance list. It implements
+// http.Handler, logstream.Log and membership.InstanceList.
 type Platform struct {
-	mu      sync.Mutex
-	faults  PlatformFaults
-	streams map[string]*stream
-	listed  map[string]listing
-	frozen  []membership.Listed
-	appends int64
-	router  *mux.Router
+	mu         sync.Mutex
+	faults     PlatformFaults
+	streams    map[string]*stream
+	listed     map[string]listing
+	frozenList []membership.Listed
+	appends    int64
+	router     *mux.Router
 }
 
 // NewPlatform returns a healthy platform with empty streams.
@@ -76,7 +76,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if faults.ListFrozen && !p.faults.ListFrozen {
-		p.frozen = p.current()
+		p.frozenList = p.currentList()
 	}
 	p.faults = faults
 	for _, s := range p.streams {
@@ -84,7 +84,7 @@
 	}
 }
 
-// Appends is the number of appends that took effect.
+// Appends returns the number of appends that took effect.
 func (p *Platform) Appends() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +106,7 @@
 		return
 	}
 	s.records = append([][]byte(nil), s.records[excess:]...)
-	s.first += int64(excess)
+	s.firstOffset += int64(excess)
 }
 
 // Append implements logstream.Log.
@@ -118,7 +118,7 @@
 		return 0, logstream.ErrUnavailable
 	}
 	s := p.stream(name)
-	first := s.first + int64(len(s.records))
+	first := s.firstOffset + int64(len(s.records))
 	s.records = append(s.records, records...)
 	p.appends++
 	p.trim(s)
@@ -144,15 +144,15 @@
 	}
 }
 
-// maxRead is the most records of one answer.
-const maxRead = 2000
+// maxReadRecords bounds the records in one answer.
+const maxReadRecords = 2000
 
 // Read implements logstream.Log.
 func (p *Platform) Read(ctx context.Context, name string, from int64, wait time.Duration) (logstream.Batch, error) {
 	p.delay(ctx)
 	deadline := time.After(wait)
 	for {
-		batch, changed, err := p.readNow(name, from)
+		batch, changed, err := p.readAvailable(name, from)
 		if err != nil || len(batch.Records) > 0 || wait <= 0 {
 			return batch, err
 		}
@@ -166,20 +166,20 @@
 	}
 }
 
-func (p *Platform) readNow(name string, from int64) (logstream.Batch, <-chan struct{}, error) {
+func (p *Platform) readAvailable(name string, from int64) (logstream.Batch, <-chan struct{}, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.faults.LogDown {
 		return logstream.Batch{}, nil, logstream.ErrUnavailable
 	}
 	s := p.stream(name)
-	if from < s.first {
-		return logstream.Batch{}, nil, &logstream.RetentionError{First: s.first}
+	if from < s.firstOffset {
+		return logstream.Batch{}, nil, &logstream.RetentionError{First: s.firstOffset}
 	}
-	batch := logstream.Batch{First: from, End: s.first + int64(len(s.records))}
+	batch := logstream.Batch{First: from, End: s.firstOffset + int64(len(s.records))}
 	if from < batch.End {
-		waiting := s.records[from-s.first:]
-		batch.Records = waiting[:min(len(waiting), maxRead)]
+		available := s.records[from-s.firstOffset:]
+		batch.Records = available[:min(len(available), maxReadRecords)]
 	}
 	return batch, s.changed, nil
 }
@@ -188,18 +188,18 @@
 func (p *Platform) Announce(_ context.Context, self membership.Listed) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.listed[self.ID] = listing{entry: self, at: time.Now()}
+	p.listed[self.ID] = listing{entry: self, refreshedAt: time.Now()}
 	return nil
 }
 
-// Fix lists a machine until Remove.
+// Fix lists a machine until it is removed; it needs no refreshes.
 func (p *Platform) Fix(entry membership.Listed) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.listed[entry.ID] = listing{entry: entry, fixed: true}
 }
 
-// Remove takes a machine off the list.
+// Remove removes a machine from the list.
 func (p *Platform) Remove(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -211,16 +211,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.faults.ListFrozen {
-		return p.frozen, nil
+		return p.frozenList, nil
 	}
-	return p.current(), nil
+	return p.currentList(), nil
 }
 
-func (p *Platform) current() []membership.Listed {
+func (p *Platform) currentList() []membership.Listed {
 	var list []membership.Listed
-	for _, known := range p.listed {
-		if known.fixed || time.Since(known.at) < DefaultListTTL {
-			list = append(list, known.entry)
+	for _, l := range p.listed {
+		if l.fixed || time.Since(l.refreshedAt) < DefaultListTTL {
+			list = append(list, l.entry)
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
@@ -229,7 +229,7 @@
 
 func (p *Platform) serveAppend(w http.ResponseWriter, r *http.Request) {
 	var request platformhttp.AppendRequest
-	if !decode(w, r, &request) {
+	if !readJSON(w, r, &request) {
 		return
 	}
 	first, err := p.Append(r.Context(), mux.Vars(r)["name"], request.Records)
@@ -237,7 +237,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	encode(w, http.StatusOK, platformhttp.AppendReply{First: first})
+	writeJSON(w, http.StatusOK, platformhttp.AppendReply{First: first})
 }
 
 func (p *Platform) serveRead(w http.ResponseWriter, r *http.Request) {
@@ -248,20 +248,20 @@
 		return
 	}
 	batch, err := p.Read(r.Context(), mux.Vars(r)["name"], from, time.Duration(waitMS)*time.Millisecond)
-	if gone, ok := err.(*logstream.RetentionError); ok {
-		encode(w, http.StatusGone, platformhttp.ReadReply{First: gone.First})
+	if retention, ok := err.(*logstream.RetentionError); ok {
+		writeJSON(w, http.StatusGone, platformhttp.ReadReply{First: retention.First})
 		return
 	}
 	if err != nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	encode(w, http.StatusOK, platformhttp.ReadReply{First: batch.First, Records: batch.Records, End: batch.End})
+	writeJSON(w, http.StatusOK, platformhttp.ReadReply{First: batch.First, Records: batch.Records, End: batch.End})
 }
 
 func (p *Platform) serveAnnounce(w http.ResponseWriter, r *http.Request) {
 	var entry membership.Listed
-	if decode(w, r, &entry) {
+	if readJSON(w, r, &entry) {
 		_ = p.Announce(r.Context(), entry) // the stand-in's list never fails
 	}
 }
@@ -279,33 +279,33 @@
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	_, _ = w.Write(data) // the client is gone if this fails
+	_, _ = w.Write(data) // fails only if the client has disconnected
 }
 
 func (p *Platform) serveFixed(w http.ResponseWriter, r *http.Request) {
 	var entry membership.Listed
-	if decode(w, r, &entry) {
+	if readJSON(w, r, &entry) {
 		p.Fix(entry)
 	}
 }
 
 func (p *Platform) serveControl(w http.ResponseWriter, r *http.Request) {
 	var faults PlatformFaults
-	if decode(w, r, &faults) {
+	if readJSON(w, r, &faults) {
 		p.SetFaults(faults)
 	}
 }
 
-func decode(w http.ResponseWriter, r *http.Request, into any) bool {
-	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
+func readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
+	if err := json.NewDecoder(r.Body).Decode(target); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-func encode(w http.ResponseWriter, status int, value any) {
+func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(value) // the client is gone if this fails
+	_ = json.NewEncoder(w).Encode(value) // fails only if the client has disconnected
 }
--- a/standin/proxy.go
+++ b/standin/proxy.go
@@ -7,78 +7,78 @@
 	"time"
 )
 
-// ProxyFaults are the ways in which the network between two parties misbehaves. The zero
-// value carries everything at once.
+// ProxyFaults are the network faults that a Proxy injects. The zero value forwards all
+// bytes immediately.
 type ProxyFaults struct {
-	Delay  time.Duration // of each piece of bytes, either way
-	Piece  int           // longest piece, in bytes; 0 for any
-	HoldUp bool          // bytes towards the address wait
-	HoldIn bool          // bytes from the address wait
+	Delay  time.Duration // of each chunk, in both directions
+	Piece  int           // largest chunk in bytes; 0 for no limit
+	HoldUp bool          // bytes to the target are blocked
+	HoldIn bool          // bytes from the target are blocked
 	Refuse bool          // new connections are reset
 }
 
-// Proxy is a stand-in of the network on the way to one address: a party that connects to
-// it reaches that address, as far as the faults allow.
+// Proxy is a TCP proxy that stands in for the network path to one target address and
+// injects faults into its connections.
 type Proxy struct {
 	target   string
 	listener net.Listener
 
-	lock    sync.Mutex
-	faults  ProxyFaults
-	harmed  time.Time     // when faults last ended; zero if there were none
-	changed chan struct{} // closed when the faults change
-	open    map[net.Conn]bool
-	closed  bool
+	mu            sync.Mutex
+	faults        ProxyFaults
+	faultyUntil   time.Time     // time of the last change away from injected faults; zero if there was none
+	faultsChanged chan struct{} // closed and replaced when the faults change
+	conns         map[net.Conn]bool
+	closed        bool
 }
 
-// NewProxy returns a proxy that listens on loopback, in front of an address (IP:PORT).
+// NewProxy starts a proxy that listens on loopback and forwards to a target (IP:PORT).
 func NewProxy(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{target: target, listener: listener, changed: make(chan struct{}), open: map[net.Conn]bool{}}
+	p := &Proxy{target: target, listener: listener, faultsChanged: make(chan struct{}), conns: map[net.Conn]bool{}}
 	go p.accept()
 	return p, nil
 }
 
-// Address is where the proxy listens, as IP:PORT.
+// Address returns the address that the proxy listens on, as IP:PORT.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetFaults replaces the faults, for the connections that are open as well.
+// SetFaults replaces the faults, including those of open connections.
 func (p *Proxy) SetFaults(faults ProxyFaults) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if p.faults != (ProxyFaults{}) {
-		p.harmed = time.Now()
+		p.faultyUntil = time.Now()
 	}
 	p.faults = faults
-	close(p.changed)
-	p.changed = make(chan struct{})
+	close(p.faultsChanged)
+	p.faultsChanged = make(chan struct{})
 }
 
-// CalmFor reports whether nothing has harmed the way for some time, so that nothing which
-// was sent longer ago can arrive now.
+// CalmFor reports whether there have been no faults for a time span, so that no bytes that
+// were sent before that span can still arrive.
 func (p *Proxy) CalmFor(span time.Duration) bool {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return p.faults == ProxyFaults{} && time.Since(p.harmed) >= span
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.faults == ProxyFaults{} && time.Since(p.faultyUntil) >= span
 }
 
-// Reset breaks all open connections off, with a reset and without what was on its way.
+// Reset closes all open connections with a TCP reset; bytes in transit are lost.
 func (p *Proxy) Reset() {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	for conn := range p.open {
-		abort(conn)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for conn := range p.conns {
+		resetConn(conn)
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
-	p.lock.Lock()
+	p.mu.Lock()
 	p.closed = true
-	p.lock.Unlock()
+	p.mu.Unlock()
 	p.listener.Close()
 	p.SetFaults(ProxyFaults{})
 	p.Reset()
@@ -86,114 +86,115 @@
 
 func (p *Proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
-			return // closed
+			return // the listener is closed
 		}
-		go p.serve(near)
+		go p.serve(client)
 	}
 }
 
-func (p *Proxy) serve(near net.Conn) {
-	if faults, _ := p.state(); faults.Refuse {
-		abort(near)
+func (p *Proxy) serve(client net.Conn) {
+	if faults, _ := p.currentFaults(); faults.Refuse {
+		resetConn(client)
 		return
 	}
-	far, err := net.Dial("tcp4", p.target)
+	server, err := net.Dial("tcp4", p.target)
 	if err != nil {
-		abort(near)
+		resetConn(client)
 		return
 	}
-	if !p.add(near, far) {
+	if !p.track(client, server) {
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { p.carry(near, far, func(f ProxyFaults) bool { return f.HoldUp }) })
-	both.Go(func() { p.carry(far, near, func(f ProxyFaults) bool { return f.HoldIn }) })
-	both.Wait()
-	p.remove(near, far)
-}
-
-// add enters a pair of connections, unless the proxy has ended.
-func (p *Proxy) add(near, far net.Conn) bool {
-	p.lock.Lock()
-	defer p.lock.Unlock()
+	var wg sync.WaitGroup
+	wg.Go(func() { p.relay(client, server, func(f ProxyFaults) bool { return f.HoldUp }) })
+	wg.Go(func() { p.relay(server, client, func(f ProxyFaults) bool { return f.HoldIn }) })
+	wg.Wait()
+	p.untrack(client, server)
+}
+
+// track registers a pair of connections. If the proxy is closed, it resets them and
+// returns false.
+func (p *Proxy) track(client, server net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if p.closed {
-		abort(near)
-		abort(far)
+		resetConn(client)
+		resetConn(server)
 		return false
 	}
-	p.open[near] = true
-	p.open[far] = true
+	p.conns[client] = true
+	p.conns[server] = true
 	return true
 }
 
-func (p *Proxy) remove(near, far net.Conn) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	delete(p.open, near)
-	delete(p.open, far)
+func (p *Proxy) untrack(client, server net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.conns, client)
+	delete(p.conns, server)
 }
 
-func (p *Proxy) state() (ProxyFaults, <-chan struct{}) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return p.faults, p.changed
+func (p *Proxy) currentFaults() (ProxyFaults, <-chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.faults, p.faultsChanged
 }
 
-// carry moves bytes one way until either side ends, which ends both.
-func (p *Proxy) carry(from, to net.Conn, held func(ProxyFaults) bool) {
+// relay copies bytes in one direction until either side ends, then closes both.
+func (p *Proxy) relay(from, to net.Conn, blocked func(ProxyFaults) bool) {
 	defer from.Close()
 	defer to.Close()
-	piece := make([]byte, 16<<10)
+	buffer := make([]byte, 16<<10)
 	for {
-		count, err := from.Read(piece)
-		if count > 0 {
-			if failed := p.pass(to, piece[:count], held); failed != nil {
+		n, err := from.Read(buffer)
+		if n > 0 {
+			if writeErr := p.writeChunks(to, buffer[:n], blocked); writeErr != nil {
 				return
 			}
 		}
 		if err != nil {
 			if err != io.EOF {
-				abort(to)
+				resetConn(to)
 			}
 			return
 		}
 	}
 }
 
-// pass hands bytes on, in pieces as the faults say.
-func (p *Proxy) pass(to net.Conn, bytes []byte, held func(ProxyFaults) bool) error {
-	for len(bytes) > 0 {
-		piece := len(bytes)
-		if faults, _ := p.state(); faults.Piece > 0 {
-			piece = min(piece, faults.Piece)
+// writeChunks writes bytes in chunks, applying the faults to each.
+func (p *Proxy) writeChunks(to net.Conn, data []byte, blocked func(ProxyFaults) bool) error {
+	for len(data) > 0 {
+		size := len(data)
+		if faults, _ := p.currentFaults(); faults.Piece > 0 {
+			size = min(size, faults.Piece)
 		}
-		p.wait(held)
-		if _, err := to.Write(bytes[:piece]); err != nil {
+		p.waitUnblocked(blocked)
+		if _, err := to.Write(data[:size]); err != nil {
 			return err
 		}
-		bytes = bytes[piece:]
+		data = data[size:]
 	}
 	return nil
 }
 
-// wait holds a piece of bytes back as the faults say.
-func (p *Proxy) wait(held func(ProxyFaults) bool) {
-	faults, changed := p.state()
+// waitUnblocked waits for the injected delay, then until the direction is not blocked.
+func (p *Proxy) waitUnblocked(blocked func(ProxyFaults) bool) {
+	faults, changed := p.currentFaults()
 	if faults.Delay > 0 {
 		time.Sleep(faults.Delay)
 	}
-	for held(faults) {
+	for blocked(faults) {
 		<-changed
-		faults, changed = p.state()
+		faults, changed = p.currentFaults()
 	}
 }
 
-// abort ends a connection with a reset.
-func abort(conn net.Conn) {
+// resetConn closes a connection with a TCP reset.
+func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		// Without a linger time the close resets; one that fails has ended already.
+		// With a linger time of 0, Close sends a reset. SetLinger fails only on a closed connection.
 		_ = tcp.SetLinger(0)
 	}
 	conn.Close()
--- a/standin/proxy_test.go
+++ b/standin/proxy_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// echoBehind returns a proxy in front of an address that sends back what it gets.
-func echoBehind(t *testing.T) *Proxy {
+// newEchoProxy returns a proxy whose target is an echo server.
+func newEchoProxy(t *testing.T) *Proxy {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -55,11 +55,11 @@
 	return err
 }
 
-func TestProxyHoldsBytesUntilItMayCarryThem(t *testing.T) {
+func TestProxyBlocksBytesUntilFaultIsCleared(t *testing.T) {
 	for name, faults := range map[string]ProxyFaults{"towards": {HoldUp: true}, "from": {HoldIn: true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := echoBehind(t)
+			p := newEchoProxy(t)
 			conn := dial(t, p)
 			is.NoErr(exchange(conn))
 			p.SetFaults(faults)
@@ -78,20 +78,20 @@
 
 func TestProxyResetsAndRefuses(t *testing.T) {
 	is := is.New(t)
-	p := echoBehind(t)
+	p := newEchoProxy(t)
 	conn := dial(t, p)
 	is.NoErr(exchange(conn))
 	p.Reset()
 	is.True(exchange(conn) != nil)
 	p.SetFaults(ProxyFaults{Refuse: true})
-	is.True(reach(p) != nil)
+	is.True(dialAndExchange(p) != nil)
 	p.SetFaults(ProxyFaults{})
-	is.NoErr(reach(p))
+	is.NoErr(dialAndExchange(p))
 }
 
-// reach makes one exchange over a connection of its own. A reset may meet it at any step:
-// one that follows the handshake at once is seen by the connect itself.
-func reach(p *Proxy) error {
+// dialAndExchange makes one exchange over a new connection. A reset can fail any step: one
+// that directly follows the handshake fails the dial itself.
+func dialAndExchange(p *Proxy) error {
 	conn, err := net.Dial("tcp4", p.Address())
 	if err != nil {
 		return err
--- a/standin/runner.go
+++ b/standin/runner.go
@@ -12,23 +12,23 @@
 	"github.com/teaselcleat/teaselcleat/adapters/runnerhttp"
 )
 
-// RunnerSlots is how many requests a runner executes at once.
+// RunnerSlots is the number of requests that a runner executes concurrently.
 const RunnerSlots = 8
 
-// RunnerFaults are the ways in which a runner misbehaves.
+// RunnerFaults are the faults that a Runner injects.
 type RunnerFaults struct {
-	Leaving      bool          `json:"leaving"`       // refuses new work, saying so
+	Leaving      bool          `json:"leaving"`       // refuses new work and reports that it is leaving
 	Work         time.Duration `json:"work"`          // time to execute one request
 	ResetBefore  bool          `json:"reset_before"`  // closes the connection before executing
 	ResetAfter   bool          `json:"reset_after"`   // executes, then closes without an answer
-	Truncate     bool          `json:"truncate"`      // sends half of the stated length
+	Truncate     bool          `json:"truncate"`      // sends half of the stated content length
 	OtherAttempt bool          `json:"other_attempt"` // answers with another attempt's identifier
-	Endless      bool          `json:"endless"`       // answers with no stated end
+	Endless      bool          `json:"endless"`       // answers without a content length, until the connection closes
 	Status       int           `json:"status"`        // answers with this status; 0 is 200
 	AnswerBytes  int           `json:"answer_bytes"`  // pads the answer to this size
 }
 
-// Runner is a back end with slots. It counts executions by key.
+// Runner is a back end with a fixed number of slots. It counts executions by request key.
 type Runner struct {
 	mu         sync.Mutex
 	name       string
@@ -59,7 +59,7 @@
 	r.faults = faults
 }
 
-// Executions is how often the request of each key was executed.
+// Executions returns how many times the request of each key was executed.
 func (r *Runner) Executions() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,8 +70,8 @@
 	return copied
 }
 
-// begin takes a slot, or says why not.
-func (r *Runner) begin() (faults RunnerFaults, busy int, refusal string) {
+// acquireSlot takes a slot, or returns the reason of a refusal.
+func (r *Runner) acquireSlot() (faults RunnerFaults, busy int, refusal string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
@@ -84,13 +84,13 @@
 	return r.faults, r.busy, ""
 }
 
-func (r *Runner) end() {
+func (r *Runner) releaseSlot() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.busy--
 }
 
-func (r *Runner) count(key string) {
+func (r *Runner) countExecution(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.executions[key]++
@@ -101,7 +101,7 @@
 	if err != nil {
 		return
 	}
-	faults, busy, refusal := r.begin()
+	faults, busy, refusal := r.acquireSlot()
 	w.Header().Set(runnerhttp.HeaderAttempt, request.Header.Get(runnerhttp.HeaderAttempt))
 	w.Header().Set(runnerhttp.HeaderBusy, strconv.Itoa(busy))
 	if refusal != "" {
@@ -109,11 +109,11 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer r.end()
+	defer r.releaseSlot()
 	if faults.ResetBefore {
 		panic(http.ErrAbortHandler)
 	}
-	r.count(request.Header.Get(runnerhttp.HeaderKey))
+	r.countExecution(request.Header.Get(runnerhttp.HeaderKey))
 	if faults.Work > 0 {
 		time.Sleep(faults.Work)
 	}
@@ -144,14 +144,15 @@
 	if faults.Truncate {
 		answer = answer[:len(answer)/2]
 	}
-	_, _ = w.Write(answer) // the client is gone if this fails
+	_, _ = w.Write(answer) // fails only if the client has disconnected
 	if faults.Truncate {
 		w.(http.Flusher).Flush()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// answerEndless writes an HTTP/1.0 style answer that ends with the connection.
+// answerEndless writes an HTTP/1.0 answer without a length, which ends when the
+// connection closes.
 func (r *Runner) answerEndless(w http.ResponseWriter, answer []byte) {
 	attempt := w.Header().Get(runnerhttp.HeaderAttempt)
 	conn, _, err := w.(http.Hijacker).Hijack()
@@ -164,11 +165,11 @@
 
 func (r *Runner) serveControl(w http.ResponseWriter, request *http.Request) {
 	var faults RunnerFaults
-	if decode(w, request, &faults) {
+	if readJSON(w, request, &faults) {
 		r.SetFaults(faults)
 	}
 }
 
 func (r *Runner) serveExecutions(w http.ResponseWriter, _ *http.Request) {
-	encode(w, http.StatusOK, r.Executions())
+	writeJSON(w, http.StatusOK, r.Executions())
 }
--- a/standin/taskrun.go
+++ b/standin/taskrun.go
@@ -2,60 +2,63 @@
 
 import "time"
 
-// LongRuns is how many times as long as others tasks run whose spec is "long".
+// LongRuns is the factor by which tasks run longer if their spec is "long".
 const LongRuns = 7
 
+// taskRun is a run of a task that executes on a worker.
 type taskRun struct {
-	run    int
-	failed bool
-	begun  time.Time
-	takes  time.Duration
-	timer  *time.Timer // nil in a gang
-	gang   *gangRun    // nil for a task alone
+	number    int
+	fails     bool
+	startedAt time.Time
+	duration  time.Duration
+	timer     *time.Timer // nil for a gang task
+	gang      *gangRun    // nil for a task that is in no gang
 }
 
-// percent is how much of its work a run has done.
-func (r *taskRun) percent() int {
-	begun := r.begun
+// percentDone returns the share of its work that a run has done.
+func (r *taskRun) percentDone() int {
+	startedAt := r.startedAt
 	if r.gang != nil {
-		begun = r.gang.begunAt()
+		startedAt = r.gang.startTime()
 	}
-	if begun.IsZero() {
+	if startedAt.IsZero() {
 		return 0
 	}
-	return int(min(100, 100*time.Since(begun)/r.takes))
+	return int(min(100, 100*time.Since(startedAt)/r.duration))
 }
 
-// halt keeps a run from ending by itself, and breaks its gang.
-func (r *taskRun) halt() {
+// cancel stops the timer that ends the run. For a gang task it ends the gang's run.
+func (r *taskRun) cancel() {
 	if r.gang != nil {
-		r.gang.leave()
+		r.gang.breakUp()
 		return
 	}
 	r.timer.Stop()
 }
 
+// taskEnd is an ended run that was not acknowledged yet.
 type taskEnd struct {
-	number int64
+	cursor int64
 	run    *taskRun
 	row    []any
-	at     int64 // by the ledger's count
-	lapsed bool  // the lease lapsed since, so that nobody counts on it
+	seq    int64 // of the ledger, when the run ended
+	lapsed bool  // the lease expired before an acknowledgement, so the end may be ignored
 }
 
-// doneTask names the task, and reports whether it ended as done.
-func (e *taskEnd) doneTask() (task string, done bool) {
+// outcome returns the task's name and whether it ended as done.
+func (e *taskEnd) outcome() (task string, done bool) {
 	return e.row[1].(string), e.row[3] == "done"
 }
 
-// doneTasks are those that an end as done stands for.
-func (e *taskEnd) doneTasks() []string {
-	task, done := e.doneTask()
+// completedTasks returns the tasks that are done with this end: all tasks of a gang, or
+// none if the run did not end as done.
+func (e *taskEnd) completedTasks() []string {
+	task, done := e.outcome()
 	switch {
 	case !done:
 		return nil
 	case e.run.gang != nil:
-		return e.run.gang.tasks(task)
+		return e.run.gang.memberTasks(task)
 	}
 	return []string{task}
 }
--- a/standin/taskworker.go
+++ b/standin/taskworker.go
@@ -12,47 +12,46 @@
 	"github.com/gorilla/mux"
 )
 
-// TaskWorker is a stand-in of one worker that runs tasks under leases, as the
-// users' platform has them. A task runs for RunTime and ends as done, or as
-// failed if its spec is "fail". One whose spec is "long" runs for LongRuns times as long,
-// and one whose spec is "crash" ends the worker: Crash is
-// called, on a goroutine of its own. It is one life of the worker: what comes after it, under
-// its ID or another, is a TaskWorker of its own.
+// TaskWorker is a stand-in of one worker of the users' platform that runs tasks under
+// leases. A task runs for RunTime and ends as done, or as failed if its spec is "fail".
+// A task whose spec is "long" runs LongRuns times as long, and one whose spec is "crash"
+// calls Crash on a separate goroutine. A TaskWorker is one incarnation of the worker: a
+// worker that replaces it, under the same ID or another, is another TaskWorker.
 type TaskWorker struct {
 	ID      string
-	BornMS  int64 // Unix milliseconds of the start of this life; 0 to say nothing of it
+	BornMS  int64 // start of this incarnation in Unix milliseconds; 0 to omit it from replies
 	RunTime time.Duration
-	Lease   time.Duration // longest that it grants; 0 for any
-	Slow    float64       // share of the time that its clock loses
+	Lease   time.Duration // longest lease; 0 for no limit
+	Slow    float64       // share of elapsed time that the worker's clock loses
 	Crash   func()
 	Zone    string                        // availability zone
-	CalmFor func(span time.Duration) bool // nothing has held up orders on their way for so long; nil for always
-	Ledger  *TaskLedger                   // told of what runs here; nil for none
-	Gangs   *Gangs                        // of the fleet; nil where every task works by itself
+	CalmFor func(span time.Duration) bool // reports that orders were not delayed for the span; nil for always
+	Ledger  *TaskLedger                   // records starts and ends; nil for none
+	Gangs   *Gangs                        // of the fleet; nil if every task runs by itself
 
-	mu      sync.Mutex
-	halted  bool
-	start   time.Time
-	fence   int64
-	until   int64       // when the lease lapses, by its clock
-	lapse   *time.Timer // nil before the first lease
-	lapses  int         // runs that ended so, and ends that nobody counts on since
-	running map[string]*taskRun
-	highest map[string]int // highest run stopped or ended, by task
-	ends    []taskEnd
-	number  int64
-	changed chan struct{}
-	starts  map[string]int // starts of each task
-	done    map[string]int // ends as done of each task
-	lost    map[string]int // of these, lost with the worker before they were taken note of
-	stray   int            // holds that acknowledged ends which this life never had
-	router  *mux.Router
+	mu          sync.Mutex
+	halted      bool
+	startedAt   time.Time
+	fence       int64
+	leaseUntil  int64       // expiry of the lease, by the worker's clock
+	leaseTimer  *time.Timer // nil before the first lease
+	lapsedRuns  int         // runs that ended when the lease expired, and ends unacknowledged at that time
+	running     map[string]*taskRun
+	highestRun  map[string]int // highest run number stopped or ended, by task
+	ends        []taskEnd
+	lastCursor  int64
+	endsChanged chan struct{}
+	starts      map[string]int // by task
+	done        map[string]int // ends as done, by task
+	lostDone    map[string]int // ends as done that were lost with the worker unacknowledged, by task
+	strayAcks   int            // holds that acknowledged ends that this incarnation never had
+	router      *mux.Router
 }
 
 // NewTaskWorker returns an idle worker.
 func NewTaskWorker(id string, runTime time.Duration) *TaskWorker {
-	w := &TaskWorker{ID: id, RunTime: runTime, start: time.Now(), running: map[string]*taskRun{},
-		highest: map[string]int{}, changed: make(chan struct{}), starts: map[string]int{}, done: map[string]int{}, lost: map[string]int{}, router: mux.NewRouter()}
+	w := &TaskWorker{ID: id, RunTime: runTime, startedAt: time.Now(), running: map[string]*taskRun{},
+		highestRun: map[string]int{}, endsChanged: make(chan struct{}), starts: map[string]int{}, done: map[string]int{}, lostDone: map[string]int{}, router: mux.NewRouter()}
 	w.router.HandleFunc("/api/run-start", w.serveStart).Methods(http.MethodPost)
 	w.router.HandleFunc("/api/run-stop", w.serveStop).Methods(http.MethodPost)
 	w.router.HandleFunc("/api/hold", w.serveHold).Methods(http.MethodPost)
@@ -60,74 +59,74 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (w *TaskWorker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+func (w *TaskWorker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	if expected := r.Header.Get("X-Teaselcleat-Expect-Instance"); expected != "" && expected != w.ID {
-		out.WriteHeader(http.StatusMisdirectedRequest)
+		rw.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	w.router.ServeHTTP(out, r)
+	w.router.ServeHTTP(rw, r)
 }
 
-// Starts is how often a task was started here.
+// Starts returns how many times a task was started on this worker.
 func (w *TaskWorker) Starts(task string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.starts[task]
 }
 
-// Done is how often a task ended as done here.
+// Done returns how many times a task ended as done on this worker.
 func (w *TaskWorker) Done(task string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.done[task]
 }
 
-// Halt ends all that runs without a trace, as when the worker loses power. Ends that
-// were not taken note of are lost with it.
+// Halt ends all runs without recording an end, as when the worker loses power. Ends that
+// were not acknowledged are lost.
 func (w *TaskWorker) Halt() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, end := range w.ends {
-		if task, done := end.doneTask(); done {
-			w.lost[task]++
+		if task, done := end.outcome(); done {
+			w.lostDone[task]++
 		}
 	}
 	w.ends = nil
 	w.halted = true
-	if w.lapse != nil {
-		w.lapse.Stop()
+	if w.leaseTimer != nil {
+		w.leaseTimer.Stop()
 	}
 	for task, run := range w.running {
-		run.halt()
-		w.Ledger.end(w, task)
+		run.cancel()
+		w.Ledger.recordEnd(w, task)
 	}
 	clear(w.running)
 }
 
-// Lost is how many ends as done of a task were lost with the worker before anyone took
-// note of them.
+// Lost returns how many ends as done of a task were lost with the worker before they were
+// acknowledged.
 func (w *TaskWorker) Lost(task string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lost[task]
+	return w.lostDone[task]
 }
 
-// StrayAcks is how many holds acknowledged ends that this life has not had: they were meant
-// for another, and its own would be forgotten unread.
+// StrayAcks returns how many holds acknowledged ends that this incarnation never had. Such
+// a hold is meant for another incarnation and would discard unread ends of this one.
 func (w *TaskWorker) StrayAcks() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.stray
+	return w.strayAcks
 }
 
-// Running is the number of tasks at work.
+// Running returns the number of running tasks.
 func (w *TaskWorker) Running() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.running)
 }
 
-// Tasks are the names of the tasks at work.
+// Tasks returns the names of the running tasks.
 func (w *TaskWorker) Tasks() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -145,121 +144,124 @@
 	WaitMS    int64  `json:"wait_ms"`
 }
 
-func (w *TaskWorker) clock() int64 {
-	return int64(float64(time.Since(w.start).Milliseconds())*(1-w.Slow)) + 1
+// clockMS returns the time of the worker's clock, in milliseconds from its start.
+func (w *TaskWorker) clockMS() int64 {
+	return int64(float64(time.Since(w.startedAt).Milliseconds())*(1-w.Slow)) + 1
 }
 
-// admit reads an order and checks its fence; w.mu is held on success.
-func (w *TaskWorker) admit(out http.ResponseWriter, r *http.Request) (order taskOrder, ok bool) {
+// acceptOrder reads an order, checks its fence and extends the lease. On success it
+// returns with w.mu held.
+func (w *TaskWorker) acceptOrder(rw http.ResponseWriter, r *http.Request) (order taskOrder, ok bool) {
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
-		out.WriteHeader(http.StatusBadRequest)
+		rw.WriteHeader(http.StatusBadRequest)
 		return order, false
 	}
 	w.mu.Lock()
 	if w.halted {
 		w.mu.Unlock()
-		panic(http.ErrAbortHandler) // an order that was on its way; nothing is there to take it
+		panic(http.ErrAbortHandler) // the worker is gone: the order gets no answer
 	}
 	if order.Fence < w.fence {
 		w.mu.Unlock()
-		w.refuse(out, "fence")
+		w.writeRefusal(rw, "fence")
 		return order, false
 	}
 	w.fence = order.Fence
-	w.grant(order.UntilMS)
+	w.extendLease(order.UntilMS)
 	return order, true
 }
 
-// grant takes a lease, at most the longest and never a shorter one than there is. It is
-// called with w.mu held.
-func (w *TaskWorker) grant(untilMS int64) {
+// extendLease extends the lease, limited to the longest that is allowed. It never shortens
+// a lease. The caller holds w.mu.
+func (w *TaskWorker) extendLease(untilMS int64) {
 	if w.Lease > 0 {
-		untilMS = min(untilMS, w.clock()+w.Lease.Milliseconds())
+		untilMS = min(untilMS, w.clockMS()+w.Lease.Milliseconds())
 	}
-	if untilMS <= w.until {
+	if untilMS <= w.leaseUntil {
 		return
 	}
-	w.until = untilMS
-	if w.lapse != nil {
-		w.lapse.Stop()
+	w.leaseUntil = untilMS
+	if w.leaseTimer != nil {
+		w.leaseTimer.Stop()
 	}
-	w.lapse = time.AfterFunc(w.untilLapse(), w.lapsed)
+	w.leaseTimer = time.AfterFunc(w.leaseRemaining(), w.expireLease)
 }
 
-func (w *TaskWorker) untilLapse() time.Duration {
-	return time.Duration(float64(w.until-w.clock())/(1-w.Slow)) * time.Millisecond
+// leaseRemaining converts the lease's remaining time from the worker's clock to real time.
+func (w *TaskWorker) leaseRemaining() time.Duration {
+	return time.Duration(float64(w.leaseUntil-w.clockMS())/(1-w.Slow)) * time.Millisecond
 }
 
-// lapsed ends all that runs, unless the lease was renewed meanwhile. A task whose end was
-// not taken note of before may be started elsewhere from then on.
-func (w *TaskWorker) lapsed() {
+// expireLease ends all runs, unless the lease was renewed meanwhile. A task whose end was
+// not acknowledged before may be started elsewhere from then on.
+func (w *TaskWorker) expireLease() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.halted {
 		return
 	}
-	if left := w.untilLapse(); left > 0 {
-		w.lapse = time.AfterFunc(left, w.lapsed)
+	if remaining := w.leaseRemaining(); remaining > 0 {
+		w.leaseTimer = time.AfterFunc(remaining, w.expireLease)
 		return
 	}
-	for index := range w.ends {
-		if !w.ends[index].lapsed {
-			w.ends[index].lapsed = true
-			w.lapses++
+	for i := range w.ends {
+		if !w.ends[i].lapsed {
+			w.ends[i].lapsed = true
+			w.lapsedRuns++
 		}
 	}
 	for task, run := range w.running {
-		w.lapses++
-		w.end(task, run, "lapsed")
+		w.lapsedRuns++
+		w.endRun(task, run, "lapsed")
 	}
 }
 
-// Lapses is how many runs ended as their lease lapsed, or had ended and were not taken
-// note of before.
+// Lapses returns how many runs ended when their lease expired, or had ended and were not
+// acknowledged before.
 func (w *TaskWorker) Lapses() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lapses
+	return w.lapsedRuns
 }
 
-func (w *TaskWorker) refuse(out http.ResponseWriter, reason string) {
-	writeReply(out, http.StatusConflict, map[string]any{"clock_ms": w.clock(), "reason": reason})
+func (w *TaskWorker) writeRefusal(rw http.ResponseWriter, reason string) {
+	writeReply(rw, http.StatusConflict, map[string]any{"clock_ms": w.clockMS(), "reason": reason})
 }
 
-func (w *TaskWorker) serveStart(out http.ResponseWriter, r *http.Request) {
-	order, ok := w.admit(out, r)
+func (w *TaskWorker) serveStart(rw http.ResponseWriter, r *http.Request) {
+	order, ok := w.acceptOrder(rw, r)
 	if !ok {
 		return
 	}
 	defer w.mu.Unlock()
-	if known := w.running[order.Task]; known != nil && known.run == order.Run {
-		writeReply(out, http.StatusOK, map[string]any{"clock_ms": w.clock()})
+	if current := w.running[order.Task]; current != nil && current.number == order.Run {
+		writeReply(rw, http.StatusOK, map[string]any{"clock_ms": w.clockMS()})
 		return
 	}
-	if order.Run <= w.highest[order.Task] || w.running[order.Task] != nil {
-		w.refuse(out, "old")
+	if order.Run <= w.highestRun[order.Task] || w.running[order.Task] != nil {
+		w.writeRefusal(rw, "old")
 		return
 	}
-	if w.until <= w.clock() {
-		w.refuse(out, "late")
+	if w.leaseUntil <= w.clockMS() {
+		w.writeRefusal(rw, "late")
 		return
 	}
 	w.starts[order.Task]++
-	w.Ledger.start(w, order.Task, order.Run)
-	made := &taskRun{run: order.Run, failed: strings.HasPrefix(order.Spec, "fail"), begun: time.Now(), takes: w.runTime(order.Spec)}
+	w.Ledger.recordStart(w, order.Task, order.Run)
+	run := &taskRun{number: order.Run, fails: strings.HasPrefix(order.Spec, "fail"), startedAt: time.Now(), duration: w.runDuration(order.Spec)}
 	if size := gangSize(order.Task, order.Spec); size > 1 && w.Gangs != nil {
-		made.gang = w.Gangs.join(size, gangMember{worker: w, task: order.Task, run: made})
+		run.gang = w.Gangs.join(size, gangMember{worker: w, task: order.Task, run: run})
 	} else {
-		made.timer = time.AfterFunc(made.takes, func() { w.finish(order.Task, made) })
+		run.timer = time.AfterFunc(run.duration, func() { w.finish(order.Task, run) })
 	}
-	w.running[order.Task] = made
+	w.running[order.Task] = run
 	if strings.HasPrefix(order.Spec, "crash") && w.Crash != nil {
 		go w.Crash()
 	}
-	writeReply(out, http.StatusOK, map[string]any{"clock_ms": w.clock()})
+	writeReply(rw, http.StatusOK, map[string]any{"clock_ms": w.clockMS()})
 }
 
-func (w *TaskWorker) runTime(spec string) time.Duration {
+func (w *TaskWorker) runDuration(spec string) time.Duration {
 	if strings.HasPrefix(spec, "long") {
 		return LongRuns * w.RunTime
 	}
@@ -269,74 +271,75 @@
 func (w *TaskWorker) finish(task string, run *taskRun) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	how := "done"
-	if run.failed {
-		how = "failed"
+	outcome := "done"
+	if run.fails {
+		outcome = "failed"
 	}
-	w.end(task, run, how)
+	w.endRun(task, run, outcome)
 }
 
-// endMember ends a task with its gang.
-func (w *TaskWorker) endMember(task string, run *taskRun, how string) {
+// endMember ends a gang task when its gang's run ends.
+func (w *TaskWorker) endMember(task string, run *taskRun, outcome string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.end(task, run, how)
+	w.endRun(task, run, outcome)
 }
 
-// end is called with w.mu held.
-func (w *TaskWorker) end(task string, run *taskRun, how string) {
+// endRun removes a run and records its end, unless the run has ended already. The caller
+// holds w.mu.
+func (w *TaskWorker) endRun(task string, run *taskRun, outcome string) {
 	if w.running[task] != run {
 		return
 	}
-	run.halt()
+	run.cancel()
 	delete(w.running, task)
-	w.highest[task] = max(w.highest[task], run.run)
-	w.number++
-	if how == "done" {
+	w.highestRun[task] = max(w.highestRun[task], run.number)
+	w.lastCursor++
+	if outcome == "done" {
 		w.done[task]++
 	}
-	at := w.Ledger.end(w, task)
-	w.ends = append(w.ends, taskEnd{number: w.number, run: run, row: []any{w.number, task, run.run, how, ""}, at: at})
-	close(w.changed)
-	w.changed = make(chan struct{})
+	seq := w.Ledger.recordEnd(w, task)
+	w.ends = append(w.ends, taskEnd{cursor: w.lastCursor, run: run, row: []any{w.lastCursor, task, run.number, outcome, ""}, seq: seq})
+	close(w.endsChanged)
+	w.endsChanged = make(chan struct{})
 }
 
-func (w *TaskWorker) serveStop(out http.ResponseWriter, r *http.Request) {
-	order, ok := w.admit(out, r)
+func (w *TaskWorker) serveStop(rw http.ResponseWriter, r *http.Request) {
+	order, ok := w.acceptOrder(rw, r)
 	if !ok {
 		return
 	}
 	defer w.mu.Unlock()
-	w.highest[order.Task] = max(w.highest[order.Task], order.Run)
-	if run := w.running[order.Task]; run != nil && run.run == order.Run {
-		w.end(order.Task, run, "stopped")
+	w.highestRun[order.Task] = max(w.highestRun[order.Task], order.Run)
+	if run := w.running[order.Task]; run != nil && run.number == order.Run {
+		w.endRun(order.Task, run, "stopped")
 	}
-	writeReply(out, http.StatusOK, map[string]any{"clock_ms": w.clock()})
+	writeReply(rw, http.StatusOK, map[string]any{"clock_ms": w.clockMS()})
 }
 
-func (w *TaskWorker) serveHold(out http.ResponseWriter, r *http.Request) {
-	order, ok := w.admit(out, r)
+func (w *TaskWorker) serveHold(rw http.ResponseWriter, r *http.Request) {
+	order, ok := w.acceptOrder(rw, r)
 	if !ok {
 		return
 	}
-	if order.AckCursor > w.number {
-		w.stray++
+	if order.AckCursor > w.lastCursor {
+		w.strayAcks++
 	}
-	kept := w.ends[:0]
+	unacknowledged := w.ends[:0]
 	for _, end := range w.ends {
-		if end.number > order.AckCursor {
-			kept = append(kept, end)
+		if end.cursor > order.AckCursor {
+			unacknowledged = append(unacknowledged, end)
 		} else if !end.lapsed {
-			for _, task := range end.doneTasks() {
-				w.Ledger.note(task, end.at)
+			for _, task := range end.completedTasks() {
+				w.Ledger.recordAck(task, end.seq)
 			}
 		}
 	}
-	w.ends = kept
-	if changed := w.changed; len(kept) == 0 && order.WaitMS > 0 {
+	w.ends = unacknowledged
+	if endsChanged := w.endsChanged; len(unacknowledged) == 0 && order.WaitMS > 0 {
 		w.mu.Unlock()
 		select {
-		case <-changed:
+		case <-endsChanged:
 		case <-time.After(time.Duration(order.WaitMS) * time.Millisecond):
 		case <-r.Context().Done():
 		}
@@ -345,14 +348,14 @@
 	defer w.mu.Unlock()
 	running, ended := [][]any{}, [][]any{}
 	for task, run := range w.running {
-		running = append(running, []any{task, run.run, "", run.percent(), 0})
+		running = append(running, []any{task, run.number, "", run.percentDone(), 0})
 	}
 	for _, end := range w.ends {
 		ended = append(ended, end.row)
 	}
-	reply := map[string]any{"clock_ms": w.clock(), "running": running, "ended": ended}
+	reply := map[string]any{"clock_ms": w.clockMS(), "running": running, "ended": ended}
 	if w.BornMS != 0 {
 		reply["born"] = w.BornMS
 	}
-	writeReply(out, http.StatusOK, reply)
+	writeReply(rw, http.StatusOK, reply)
 }
--- a/standin/taskworker_test.go
+++ b/standin/taskworker_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// order gives a worker an order and returns the status and the reason of a refusal.
-func order(t *testing.T, w *TaskWorker, path string, body taskOrder) (int, string) {
+// sendOrder sends an order to a worker and returns the status and the reason of a refusal.
+func sendOrder(t *testing.T, w *TaskWorker, path string, body taskOrder) (int, string) {
 	t.Helper()
 	content, err := json.Marshal(body)
 	if err != nil {
@@ -30,9 +30,10 @@
 	return answer.Code, reply.Reason
 }
 
-// A lease ends by the worker's clock, which may be slow; one that is too long is
-// shortened, one that is there is not, and a start under one that is over is refused.
-func TestTaskWorkerEndsRunsAsTheirLeaseLapses(t *testing.T) {
+// A lease expires by the worker's clock, which may be slow. A lease that is too long is
+// shortened, a later and shorter one has no effect, and a start under an expired lease is
+// refused.
+func TestTaskWorkerEndsRunsWhenLeaseExpires(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		slow  float64
@@ -48,16 +49,16 @@
 				is := is.New(t)
 				w := NewTaskWorker("w", time.Hour)
 				w.Lease, w.Slow = 6*time.Second, c.slow
-				status, _ := order(t, w, "/api/run-start", taskOrder{Task: "a", Run: 1, UntilMS: 1 + c.asked.Milliseconds()})
+				status, _ := sendOrder(t, w, "/api/run-start", taskOrder{Task: "a", Run: 1, UntilMS: 1 + c.asked.Milliseconds()})
 				is.Equal(status, http.StatusOK)
-				status, _ = order(t, w, "/api/hold", taskOrder{UntilMS: 1000}) // a shorter one
+				status, _ = sendOrder(t, w, "/api/hold", taskOrder{UntilMS: 1000}) // a shorter lease
 				is.Equal(status, http.StatusOK)
 				time.Sleep(c.lasts - 10*time.Millisecond)
 				is.Equal(w.Running(), 1)
 				time.Sleep(20 * time.Millisecond)
 				is.Equal(w.Running(), 0)
 				is.Equal(w.Lapses(), 1)
-				status, reason := order(t, w, "/api/run-start", taskOrder{Task: "b", Run: 1})
+				status, reason := sendOrder(t, w, "/api/run-start", taskOrder{Task: "b", Run: 1})
 				is.Equal(status, http.StatusConflict)
 				is.Equal(reason, "late")
 			})
@@ -65,24 +66,25 @@
 	}
 }
 
-func TestTaskWorkerKeepsRunsWhoseLeaseIsRenewed(t *testing.T) {
+func TestTaskWorkerKeepsRunsWithRenewedLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := NewTaskWorker("w", time.Hour)
 		w.Lease = 6 * time.Second
-		order(t, w, "/api/run-start", taskOrder{Task: "a", Run: 1, UntilMS: 6000})
+		sendOrder(t, w, "/api/run-start", taskOrder{Task: "a", Run: 1, UntilMS: 6000})
 		for range 5 {
 			time.Sleep(5 * time.Second)
-			order(t, w, "/api/hold", taskOrder{UntilMS: w.clock() + 6000})
+			sendOrder(t, w, "/api/hold", taskOrder{UntilMS: w.clockMS() + 6000})
 		}
 		is.Equal(w.Running(), 1)
 		w.Halt()
 	})
 }
 
-// An end that was listed before the lease lapsed is nobody's to count on: its task may be
-// started elsewhere. One that was acknowledged under the lease is.
-func TestLedgerCountsOnEndsUnderTheirLeaseAlone(t *testing.T) {
+// An end that was acknowledged before the lease expired is final: a later start of its
+// task is a violation. An end that was only listed by then is not, as its task may be
+// started elsewhere.
+func TestOnlyEndsAcknowledgedUnderLeaseCount(t *testing.T) {
 	for name, c := range map[string]struct {
 		acknowledgedAfter time.Duration
 		faults            int
@@ -93,10 +95,10 @@
 				ledger := NewTaskLedger()
 				first, other := NewTaskWorker("a", time.Second), NewTaskWorker("b", time.Second)
 				first.Ledger, other.Ledger = ledger, ledger
-				order(t, first, "/api/run-start", taskOrder{Task: "t", Run: 1, UntilMS: 6000})
+				sendOrder(t, first, "/api/run-start", taskOrder{Task: "t", Run: 1, UntilMS: 6000})
 				time.Sleep(c.acknowledgedAfter)
-				order(t, first, "/api/hold", taskOrder{AckCursor: 1})
-				order(t, other, "/api/run-start", taskOrder{Task: "t", Run: 2, UntilMS: 60000})
+				sendOrder(t, first, "/api/hold", taskOrder{AckCursor: 1})
+				sendOrder(t, other, "/api/run-start", taskOrder{Task: "t", Run: 2, UntilMS: 60000})
 				is.Equal(len(ledger.Faults()), c.faults)
 				first.Halt()
 				other.Halt()
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -14,26 +14,26 @@
 	"github.com/teaselcleat/teaselcleat/worker"
 )
 
-// Words a job's payload may carry for the stand-in, separated by spaces.
+// Words in a job's payload that control the stand-in, separated by spaces.
 const (
-	PayloadRunMS   = "run_ms=" // how long the task runs; default 50
+	PayloadRunMS   = "run_ms=" // how long the task runs, in ms; default 50
 	PayloadForever = "forever" // the task never ends by itself
-	PayloadFail    = "fail"    // the task fails at its end
+	PayloadFail    = "fail"    // the task ends as failed
 )
 
-const defaultRun = 50 * time.Millisecond
+const defaultRunTime = 50 * time.Millisecond
 
-// WorkerFaults are the ways in which a worker misbehaves.
+// WorkerFaults are the faults that a Worker injects.
 type WorkerFaults struct {
-	Silent       bool          `json:"silent"`        // answers nothing until this is lifted
-	RefuseAll    bool          `json:"refuse_all"`    // has no room for any lease
-	FailAll      bool          `json:"fail_all"`      // every task fails at once
+	Silent       bool          `json:"silent"`        // answers no requests until the fault is cleared
+	RefuseAll    bool          `json:"refuse_all"`    // refuses every lease for lack of capacity
+	FailAll      bool          `json:"fail_all"`      // every task fails immediately
 	RefuseStart  bool          `json:"refuse_start"`  // refuses to start tasks
 	NoCheckpoint bool          `json:"no_checkpoint"` // checkpoints never succeed
-	Checkpoint   time.Duration `json:"checkpoint"`    // time a checkpoint takes
+	Checkpoint   time.Duration `json:"checkpoint"`    // duration of a checkpoint
 }
 
-// Interval is the time in which a run's task was executing on a worker.
+// Interval is a period in which a run's task executed on a worker.
 type Interval struct {
 	Run   string    `json:"run"`
 	Job   string    `json:"job"`
@@ -41,16 +41,17 @@
 	Until time.Time `json:"until"` // zero while executing
 }
 
+// lease is a worker's record of a run's lease and its task.
 type lease struct {
-	task   worker.Task
-	expiry time.Time
-	ends   time.Time // zero if the task does not end by itself
-	fails  bool
-	stop   time.Time // when a checkpoint is done; zero if none was asked for
-	ckptOK bool
+	task         worker.Task
+	expiry       time.Time
+	endsAt       time.Time // zero if the task does not end by itself
+	fails        bool
+	stopAt       time.Time // end of the requested stop, with its checkpoint; zero if no stop was requested
+	checkpointOK bool
 }
 
-// Worker is a machine with accelerators that runs tasks under leases.
+// Worker is a stand-in of a machine with accelerators that runs tasks under leases.
 type Worker struct {
 	mu           sync.Mutex
 	accelerators int
@@ -65,7 +66,7 @@
 // NewWorker returns a healthy worker.
 func NewWorker(accelerators int) *Worker { return NewWorkerAt(accelerators, time.Now) }
 
-// NewWorkerAt returns a healthy worker on a clock of the caller's.
+// NewWorkerAt returns a healthy worker that uses the caller's clock.
 func NewWorkerAt(accelerators int, now func() time.Time) *Worker {
 	w := &Worker{accelerators: accelerators, leases: map[string]*lease{}, router: mux.NewRouter(), now: now}
 	w.router.HandleFunc(workerhttp.PathReserve, w.serveReserve).Methods(http.MethodPost)
@@ -97,57 +98,57 @@
 	w.faults = faults
 }
 
-// History returns when which run's task executed here.
+// History returns the periods in which tasks executed on the worker.
 func (w *Worker) History() []Interval {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle()
+	w.advance()
 	return append([]Interval(nil), w.history...)
 }
 
-// Holds reports whether the run has a lease here.
+// Holds reports whether the run has a lease on the worker.
 func (w *Worker) Holds(run string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle()
+	w.advance()
 	return w.leases[run] != nil
 }
 
-// settle brings every lease up to the present: expiries, task ends, checkpoints.
-func (w *Worker) settle() {
+// advance applies all task ends, checkpoints and lease expiries that are due.
+func (w *Worker) advance() {
 	now := w.now()
-	for run, held := range w.leases {
-		w.settleTask(held, now)
-		if now.After(held.expiry) {
-			w.stopExecuting(run, held.expiry)
+	for run, l := range w.leases {
+		w.advanceTask(l, now)
+		if now.After(l.expiry) {
+			w.closeInterval(run, l.expiry)
 			delete(w.leases, run)
 		}
 	}
 }
 
-func (w *Worker) settleTask(held *lease, now time.Time) {
-	if held.task.Phase != worker.TaskRunning {
+func (w *Worker) advanceTask(l *lease, now time.Time) {
+	if l.task.Phase != worker.TaskRunning {
 		return
 	}
-	limit := held.expiry
-	if !held.ends.IsZero() && held.ends.Before(limit) && !now.Before(held.ends) && (held.stop.IsZero() || held.ends.Before(held.stop)) {
-		held.task.Phase = worker.TaskFinished
-		if held.fails {
-			held.task.Phase = worker.TaskFailed
+	limit := l.expiry
+	if !l.endsAt.IsZero() && l.endsAt.Before(limit) && !now.Before(l.endsAt) && (l.stopAt.IsZero() || l.endsAt.Before(l.stopAt)) {
+		l.task.Phase = worker.TaskFinished
+		if l.fails {
+			l.task.Phase = worker.TaskFailed
 		}
-		w.stopExecuting(held.task.Run, held.ends)
+		w.closeInterval(l.task.Run, l.endsAt)
 		return
 	}
-	if !held.stop.IsZero() && !now.Before(held.stop) {
-		held.task.Phase = worker.TaskStopped
-		if held.ckptOK {
-			held.task.Phase = worker.TaskCheckpointed
+	if !l.stopAt.IsZero() && !now.Before(l.stopAt) {
+		l.task.Phase = worker.TaskStopped
+		if l.checkpointOK {
+			l.task.Phase = worker.TaskCheckpointed
 		}
-		w.stopExecuting(held.task.Run, held.stop)
+		w.closeInterval(l.task.Run, l.stopAt)
 	}
 }
 
-func (w *Worker) stopExecuting(run string, at time.Time) {
+func (w *Worker) closeInterval(run string, at time.Time) {
 	for i := range w.history {
 		if w.history[i].Run == run && w.history[i].Until.IsZero() {
 			w.history[i].Until = at
@@ -155,43 +156,43 @@
 	}
 }
 
-// admit checks a caller's term; a later term makes earlier ones stale for good.
-func (w *Worker) admit(term int64) error {
+// acceptTerm checks a caller's term and records it; earlier terms are stale from then on.
+func (w *Worker) acceptTerm(term int64) error {
 	if term < w.term {
 		return worker.ErrStaleTerm
 	}
 	w.term = term
-	w.settle()
+	w.advance()
 	return nil
 }
 
-// leased checks a caller's term and returns the lease that it orders about. The
-// caller holds the lock.
-func (w *Worker) leased(order worker.Order) (*lease, error) {
-	if err := w.admit(order.Term); err != nil {
+// findLease checks the order's term and returns the lease of its run. The caller holds
+// w.mu.
+func (w *Worker) findLease(order worker.Order) (*lease, error) {
+	if err := w.acceptTerm(order.Term); err != nil {
 		return nil, err
 	}
-	held := w.leases[order.Run]
-	if held == nil {
+	l := w.leases[order.Run]
+	if l == nil {
 		return nil, worker.ErrNoLease
 	}
-	return held, nil
+	return l, nil
 }
 
-// Reserve takes or renews a lease.
+// Reserve creates a lease, or renews it if the run has one.
 func (w *Worker) Reserve(reserve worker.Reserve) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.admit(reserve.Term); err != nil {
+	if err := w.acceptTerm(reserve.Term); err != nil {
 		return err
 	}
-	if held := w.leases[reserve.Run]; held != nil {
-		held.expiry = w.now().Add(reserve.TTL)
+	if l := w.leases[reserve.Run]; l != nil {
+		l.expiry = w.now().Add(reserve.TTL)
 		return nil
 	}
 	used := 0
-	for _, held := range w.leases {
-		used += held.task.Accelerators
+	for _, l := range w.leases {
+		used += l.task.Accelerators
 	}
 	if w.faults.RefuseAll || used+reserve.Accelerators > w.accelerators {
 		return worker.ErrNoRoom
@@ -203,36 +204,37 @@
 	return nil
 }
 
-// Start starts a leased run's task.
+// Start starts the task of a leased run. It does nothing if the task was started before.
 func (w *Worker) Start(order worker.Order) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	held, err := w.leased(order)
+	l, err := w.findLease(order)
 	if err != nil {
 		return err
 	}
-	if held.task.Phase != worker.TaskReserved {
+	if l.task.Phase != worker.TaskReserved {
 		return nil
 	}
-	if held.expiry.Sub(w.now()) < order.MinLease {
+	if l.expiry.Sub(w.now()) < order.MinLease {
 		return worker.ErrNoLease
 	}
 	if w.faults.RefuseStart {
 		return worker.ErrNoRoom
 	}
 	now := w.now()
-	held.task.Phase = worker.TaskRunning
-	held.ends, held.fails = ending(order.Payload, now)
+	l.task.Phase = worker.TaskRunning
+	l.endsAt, l.fails = parsePayload(order.Payload, now)
 	if w.faults.FailAll {
-		held.ends = now
-		held.fails = true
+		l.endsAt = now
+		l.fails = true
 	}
-	w.history = append(w.history, Interval{Run: order.Run, Job: held.task.Job, From: now})
+	w.history = append(w.history, Interval{Run: order.Run, Job: l.task.Job, From: now})
 	return nil
 }
 
-func ending(payload string, now time.Time) (ends time.Time, fails bool) {
-	ends = now.Add(defaultRun)
+// parsePayload returns when a task ends and whether it fails, from the words of its payload.
+func parsePayload(payload string, now time.Time) (endsAt time.Time, fails bool) {
+	endsAt = now.Add(defaultRunTime)
 	for _, word := range strings.Fields(payload) {
 		switch {
 		case word == PayloadForever:
@@ -241,62 +243,63 @@
 			fails = true
 		case strings.HasPrefix(word, PayloadRunMS):
 			if ms, err := strconv.Atoi(strings.TrimPrefix(word, PayloadRunMS)); err == nil {
-				ends = now.Add(time.Duration(ms) * time.Millisecond)
+				endsAt = now.Add(time.Duration(ms) * time.Millisecond)
 			}
 		}
 	}
-	return ends, fails
+	return endsAt, fails
 }
 
-// Stop ends a task, with a checkpoint if asked for and possible in time.
+// Stop ends a task, with a checkpoint if the order requests one and it fits in the order's
+// time.
 func (w *Worker) Stop(order worker.Order) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	held, err := w.leased(order)
+	l, err := w.findLease(order)
 	if err != nil {
 		return err
 	}
-	if held.task.Phase != worker.TaskRunning {
+	if l.task.Phase != worker.TaskRunning {
 		return nil
 	}
 	now := w.now()
-	if held.stop.IsZero() && order.Checkpoint {
-		held.ckptOK = !w.faults.NoCheckpoint && w.faults.Checkpoint <= order.Within
-		held.stop = now.Add(min(w.faults.Checkpoint, order.Within))
-		w.settle()
+	if l.stopAt.IsZero() && order.Checkpoint {
+		l.checkpointOK = !w.faults.NoCheckpoint && w.faults.Checkpoint <= order.Within
+		l.stopAt = now.Add(min(w.faults.Checkpoint, order.Within))
+		w.advance()
 		return nil
 	}
 	if !order.Checkpoint {
-		held.stop = now
-		held.ckptOK = false
-		w.settle()
+		l.stopAt = now
+		l.checkpointOK = false
+		w.advance()
 	}
 	return nil
 }
 
-// Release gives up a lease and stops its task at once.
+// Release drops a lease and stops its task immediately.
 func (w *Worker) Release(order worker.Order) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.admit(order.Term); err != nil {
+	if err := w.acceptTerm(order.Term); err != nil {
 		return err
 	}
-	w.stopExecuting(order.Run, w.now())
+	w.closeInterval(order.Run, w.now())
 	delete(w.leases, order.Run)
 	return nil
 }
 
-// Renew extends leases and returns the state.
+// Renew extends leases and returns the worker's state.
 func (w *Worker) Renew(renew worker.Renew) (worker.State, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.admit(renew.Term); err != nil {
+	if err := w.acceptTerm(renew.Term); err != nil {
 		return worker.State{}, err
 	}
 	expiry := w.now().Add(renew.TTL)
 	for _, run := range renew.Runs {
-		if held := w.leases[run]; held != nil {
-			held.expiry = expiry
+		if l := w.leases[run]; l != nil {
+			l.expiry = expiry
 		}
 	}
 	return w.state(), nil
@@ -305,9 +308,9 @@
 func (w *Worker) state() worker.State {
 	state := worker.State{Term: w.term}
 	used := 0
-	for _, held := range w.leases {
-		state.Tasks = append(state.Tasks, held.task)
-		used += held.task.Accelerators
+	for _, l := range w.leases {
+		state.Tasks = append(state.Tasks, l.task)
+		used += l.task.Accelerators
 	}
 	sort.Slice(state.Tasks, func(i, j int) bool { return state.Tasks[i].Run < state.Tasks[j].Run })
 	state.Usage = float64(used) / float64(w.accelerators)
@@ -316,48 +319,48 @@
 
 func (w *Worker) serveReserve(rw http.ResponseWriter, r *http.Request) {
 	var reserve worker.Reserve
-	if decode(rw, r, &reserve) {
-		reply(rw, w.Reserve(reserve), nil)
+	if readJSON(rw, r, &reserve) {
+		writeResult(rw, w.Reserve(reserve), nil)
 	}
 }
 
 func (w *Worker) serveRenew(rw http.ResponseWriter, r *http.Request) {
 	var renew worker.Renew
-	if decode(rw, r, &renew) {
+	if readJSON(rw, r, &renew) {
 		state, err := w.Renew(renew)
-		reply(rw, err, state)
+		writeResult(rw, err, state)
 	}
 }
 
 func (w *Worker) serveOrder(apply func(worker.Order) error) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		var order worker.Order
-		if decode(rw, r, &order) {
-			reply(rw, apply(order), nil)
+		if readJSON(rw, r, &order) {
+			writeResult(rw, apply(order), nil)
 		}
 	}
 }
 
-func reply(rw http.ResponseWriter, err error, answer any) {
+func writeResult(rw http.ResponseWriter, err error, answer any) {
 	switch err {
 	case nil:
-		encode(rw, http.StatusOK, answer)
+		writeJSON(rw, http.StatusOK, answer)
 	case worker.ErrStaleTerm:
-		encode(rw, http.StatusConflict, workerhttp.Refusal{Reason: workerhttp.RefusalStaleTerm})
+		writeJSON(rw, http.StatusConflict, workerhttp.Refusal{Reason: workerhttp.RefusalStaleTerm})
 	case worker.ErrNoLease:
-		encode(rw, http.StatusConflict, workerhttp.Refusal{Reason: workerhttp.RefusalNoLease})
+		writeJSON(rw, http.StatusConflict, workerhttp.Refusal{Reason: workerhttp.RefusalNoLease})
 	default:
-		encode(rw, http.StatusConflict, workerhttp.Refusal{Reason: workerhttp.RefusalNoRoom})
+		writeJSON(rw, http.StatusConflict, workerhttp.Refusal{Reason: workerhttp.RefusalNoRoom})
 	}
 }
 
 func (w *Worker) serveControl(rw http.ResponseWriter, r *http.Request) {
 	var faults WorkerFaults
-	if decode(rw, r, &faults) {
+	if readJSON(rw, r, &faults) {
 		w.SetFaults(faults)
 	}
 }
 
 func (w *Worker) serveHistory(rw http.ResponseWriter, _ *http.Request) {
-	encode(rw, http.StatusOK, w.History())
+	writeJSON(rw, http.StatusOK, w.History())
 }
