--- a/internal/knownred/check.go
+++ b/internal/knownred/check.go
@@ -8,17 +8,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// goTool runs the go command with some arguments. ok tells whether it succeeded.
+// goTool runs the go command with the arguments. ok reports whether it succeeded.
 type goTool func(args ...string) (output string, ok bool)
 
-// checker runs all tests and holds the list against what they do.
+// checker runs all tests and compares their results with the list of known failures.
 type checker struct {
 	run goTool
 	out io.Writer
 }
 
-// check runs every test. Those that are not listed must pass; those that are must
-// exist and fail, so that none stays on the list once its fault is mended.
+// check runs every test. Tests that are not listed must pass. Listed tests must exist
+// and fail, so that a test leaves the list once its fault is fixed.
 func (c *checker) check(list []entry) error {
 	packages, err := c.packages("./...")
 	if err != nil {
@@ -28,7 +28,7 @@
 	for _, e := range list {
 		found, err := c.packages(e.pkg)
 		if err != nil || len(found) != 1 {
-			return eris.Errorf("%s is listed in %s, which is no package", e.test, e.pkg)
+			return eris.Errorf("%s is listed in %s, which is not a package", e.test, e.pkg)
 		}
 		listedByPackage[found[0]] = append(listedByPackage[found[0]], e)
 	}
@@ -55,8 +55,8 @@
 	return strings.Fields(output), nil
 }
 
-// runUnlisted runs all tests that are not listed. Packages with listed tests are run
-// apart, since a name on the list stands for one test of one package.
+// runUnlisted runs all tests that are not listed. Packages with listed tests run
+// separately, since an entry skips a test in its own package only.
 func (c *checker) runUnlisted(packages []string, listedByPackage map[string][]entry) bool {
 	args := []string{"test", "-count=1"}
 	for _, pkg := range packages {
@@ -84,21 +84,21 @@
 	return ok
 }
 
-// runListed runs a listed test and returns what is wrong with its place on the
-// list; empty if nothing is.
+// runListed runs a listed test. It returns why the test should not be listed, or an
+// empty string if it exists and fails.
 func (c *checker) runListed(pkg string, e entry) string {
 	pattern := "^" + e.test + "$"
 	output, ok := c.run("test", "-list", pattern, pkg)
 	if !ok || !strings.Contains("\n"+output, "\n"+e.test+"\n") {
-		return "is listed and does not exist"
+		return "is listed but does not exist"
 	}
 	output, ok = c.run("test", "-count=1", "-run", pattern, pkg)
 	if ok {
-		return "is listed and passes: take it off the list"
+		return "is listed but passes: remove it from the list"
 	}
 	if !strings.Contains("\n"+output, "\n--- FAIL: "+e.test+" ") {
 		fmt.Fprint(c.out, output)
-		return "is listed and did not fail as a test does"
+		return "is listed but its run reported no test failure"
 	}
 	fmt.Fprintf(c.out, "known red: %s %s: %s (%s; %s)\n", e.pkg, e.test, e.cause, e.issue, e.seen)
 	return ""
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -36,10 +36,10 @@
 	}
 }
 
-// fakeModule answers for the go command: tests by package, and whether each passes.
+// fakeModule is a fake of the go command on a module with the given tests.
 type fakeModule struct {
-	tests map[string]map[string]bool
-	ran   map[string]bool // "package test"
+	tests map[string]map[string]bool // whether each test passes, by package
+	ran   map[string]bool            // by "package test"
 }
 
 func (m *fakeModule) run(args ...string) (string, bool) {
@@ -100,7 +100,7 @@
 		"m/a": {"TestOne": false, "TestTwo": true}, "m/b": {"TestOne": true}}, goodLine)
 	is.NoErr(err)
 	is.True(strings.Contains(out, "known red: ./a TestOne: a cause (issue 7"))
-	is.Equal(len(module.ran), 3) // the same name in another package is run
+	is.Equal(len(module.ran), 3) // the test of the same name in another package runs
 }
 
 func TestCheckFailsUnlessExactlyListedTestsFail(t *testing.T) {
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// maxEntries bounds the list: more than three known faults are to be mended
-	// before anything else.
+	// maxEntries bounds the list: with more than three known faults, fixing them
+	// takes precedence over any other work.
 	maxEntries = 3
-	// fieldSeparator stands between the fields of a line.
+	// fieldSeparator separates the fields of a line.
 	fieldSeparator = " | "
 )
 
-// entry is a test that fails for a fault that is known and not mended yet.
+// entry is a test that fails because of a known fault that is not fixed yet.
 type entry struct {
-	pkg   string // import path, or a path that begins with ./
-	test  string // a top-level test
+	pkg   string // import path, or relative path that begins with ./
+	test  string // name of a top-level test
 	cause string
-	seen  string // command, seed and what was seen
+	seen  string // command, seed and observed failure
 	issue string
 }
 
@@ -29,8 +29,8 @@
 	issueName = regexp.MustCompile(`^issue \d+$`)
 )
 
-// parseList reads the lines "PACKAGE TEST | cause | command, seed, what was seen |
-// issue N". Empty lines are passed over.
+// parseList parses lines of the form "PACKAGE TEST | cause | command, seed, observed
+// failure | issue N". Empty lines are ignored.
 func parseList(text string) ([]entry, error) {
 	var list []entry
 	seen := map[string]bool{}
@@ -43,7 +43,7 @@
 			return nil, eris.Wrapf(err, "line %d", i+1)
 		}
 		if seen[e.pkg+" "+e.test] {
-			return nil, eris.Errorf("line %d: %s stands twice", i+1, e.test)
+			return nil, eris.Errorf("line %d: %s is listed twice", i+1, e.test)
 		}
 		seen[e.pkg+" "+e.test] = true
 		list = append(list, e)
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred runs all tests of the module and passes over just those that a
-// file lists as failing for a known fault. It prints these with their causes, and
-// fails if one of them passes or does not exist. It serves CI and is not shipped.
+// Command knownred runs all tests of the module and tolerates failures of exactly the
+// tests that a file lists with a known fault. It prints these with their causes, and
+// fails if one of them passes or does not exist. It is for CI and is not shipped.
 package main
 
 import (
--- a/internal/prooftest/prooftest.go
+++ b/internal/prooftest/prooftest.go
@@ -1,5 +1,5 @@
-// Package prooftest owns what property tests share: fixed seeds, and finding
-// out whether a property notices a mechanism that was taken out.
+// Package prooftest provides shared helpers of property tests: fixed seeds, and a
+// check that a property fails when a mechanism that it depends on is disabled.
 package prooftest
 
 import (
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// defaultFlags are set unless given on the command line, so that every run of the
+// defaultFlags apply unless given on the command line, so that every run of the
 // tests tries the same cases.
 var defaultFlags = map[string]string{
 	"rapid.seed":       "20261202",
@@ -18,8 +18,8 @@
 	"rapid.nofailfile": "true",
 }
 
-// Main runs a package's tests with fixed seeds and properties of about so many
-// steps. Flags given by hand win.
+// Main runs a package's tests with fixed seeds and about the given number of steps
+// in each property. Flags on the command line take precedence.
 func Main(m *testing.M, steps string) {
 	flag.Parse()
 	setDefault("rapid.steps", steps)
@@ -41,13 +41,13 @@
 	}
 }
 
-// failureRecorder stands in for testing.TB where a property is expected to fail.
+// failureRecorder replaces testing.TB for a property that is expected to fail.
 type failureRecorder struct {
 	testing.TB
 	failed bool
 }
 
-// The methods that rapid calls.
+// Methods of testing.TB that rapid calls.
 
 func (r *failureRecorder) Helper()               {}
 func (r *failureRecorder) Name() string          { return "expected to fail" }
@@ -58,10 +58,10 @@
 func (r *failureRecorder) Fail()                 { r.failed = true }
 func (r *failureRecorder) Failed() bool          { return r.failed }
 
-// violationChecks is how many cases are tried for a violation.
+// violationChecks is the number of cases that Violates tries.
 const violationChecks = "5000"
 
-// Violates reports whether a property fails.
+// Violates reports whether a property fails in any of the cases tried.
 func Violates(property func(*rapid.T)) (failed bool) {
 	defer overrideFlag("rapid.shrinktime", "0s")()
 	defer overrideFlag("rapid.checks", violationChecks)()
@@ -76,7 +76,7 @@
 	return r.failed
 }
 
-// overrideFlag sets a flag and returns what sets it back.
+// overrideFlag sets a flag and returns a function that restores it.
 func overrideFlag(name, value string) func() {
 	previous := flag.Lookup(name).Value.String()
 	setFlag(name, value)
--- a/replay/bench_test.go
+++ b/replay/bench_test.go
@@ -7,11 +7,11 @@
 	"github.com/teaselcleat/teaselcleat/scheduler"
 )
 
-// benchSeeds are the traces a policy is judged by. One trace alone moves by a
-// quarter with any small change of order.
+// benchSeeds are the seeds of the traces by which policies are compared. The
+// figures of a single trace vary by a quarter with any small change of the order.
 var benchSeeds = []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 
-// totals sums up what two policies did over several traces.
+// totals sums up a policy's figures over several traces.
 type totals struct {
 	missed, wait, fragmentation, completion, urgent float64
 	violations                                      int
@@ -30,9 +30,9 @@
 	}
 }
 
-// withoutFailingWorkers drops the workers that fail everything. Under the baseline these end
-// a large part of the jobs early and so empty the cluster, which flatters its
-// waits and its fragmentation.
+// withoutFailingWorkers removes the events of workers that fail every task. Under
+// the baseline policy these workers end a large part of the jobs early and empty
+// the cluster, which makes its waits and its fragmentation look better.
 func withoutFailingWorkers(events []Event) []Event {
 	var remaining []Event
 	for _, event := range events {
@@ -43,8 +43,8 @@
 	return remaining
 }
 
-// BenchmarkPolicy reports the policy's figures as shares of the baseline's, over
-// eight traces of each user's kind, as generated and without failing workers.
+// BenchmarkPolicy reports the targets policy's figures as fractions of the baseline's,
+// over eight traces of each user, as generated and without failing workers.
 func BenchmarkPolicy(b *testing.B) {
 	for _, user := range []struct {
 		name, urgent string
--- a/replay/fragmentation.go
+++ b/replay/fragmentation.go
@@ -2,9 +2,9 @@
 
 import "github.com/teaselcleat/teaselcleat/structs"
 
-// copiesInRack is how many disjoint copies of a shape fit the free accelerators
-// of one rack's workers: the most copies k for which the workers, each giving
-// at most one member to a copy, have k times the members.
+// copiesInRack returns how many disjoint copies of a shape fit into the free
+// accelerators of one rack's workers. This is the largest k for which the workers
+// can hold k times the shape's members, with at most one member of a copy on each.
 func copiesInRack(free []int, shape structs.Shape) int {
 	slots := 0
 	for _, workerFree := range free {
@@ -22,6 +22,7 @@
 	return 0
 }
 
+// copiesInRacks returns how many disjoint copies of a shape fit, each within one rack.
 func copiesInRacks(racks [][]int, shape structs.Shape) int {
 	total := 0
 	for _, free := range racks {
@@ -30,8 +31,8 @@
 	return total
 }
 
-// packRacks is the best arrangement of as many free accelerators: wholly free
-// workers, racks filled in order.
+// packRacks returns the best arrangement of a number of free accelerators: wholly
+// free workers, racks filled in order.
 func (i Inventory) packRacks(free int) [][]int {
 	var racks [][]int
 	for free > 0 {
@@ -46,9 +47,9 @@
 	return racks
 }
 
-// fragmentation of a shape is one less the share of its copies that fit now of
-// those that would fit if the free accelerators were packed best. ok is false
-// if none would fit.
+// fragmentation returns 1 minus the ratio of a shape's copies that fit now to those
+// that would fit if the free accelerators were packed best. ok is false if none
+// would fit.
 func (i Inventory) fragmentation(racks [][]int, shape structs.Shape) (value float64, ok bool) {
 	total := 0
 	for _, free := range racks {
--- a/replay/generate_test.go
+++ b/replay/generate_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-var update = flag.Bool("update", false, "write the checked-in traces anew")
+var update = flag.Bool("update", false, "rewrite the checked-in traces")
 
 // Seeds of the checked-in traces.
 const (
@@ -25,18 +25,18 @@
 	hour   = 3600.0
 )
 
-// jobKind is a kind of job a generated trace draws from.
+// jobKind describes a kind of job in a generated trace.
 type jobKind struct {
 	class        string
 	members      int
 	accelerators int
 	adjacent     bool
 	median       float64 // seconds
-	sigma        float64 // of the logarithm
+	sigma        float64 // standard deviation of the run time's logarithm
 	weight       int
 }
 
-// generator draws one trace from a seed.
+// generator generates one trace from a seed.
 type generator struct {
 	rng        *rand.Rand
 	workspaces []string
@@ -52,8 +52,9 @@
 	return median * math.Exp(sigma*g.rng.NormFloat64())
 }
 
-// submit adds a job at a time in seconds. One in thirty never ends by itself
-// and is cancelled an hour later at the latest; declared times are often far off.
+// submit adds a job at a time in seconds. One in 40 of the jobs with a median over
+// 10 minutes never ends by itself and is cancelled 3 to 4 hours after its
+// submission. Declared times are often far off.
 func (g *generator) submit(at float64, k jobKind, workspace string) string {
 	g.jobs++
 	name := fmt.Sprintf("job-%04d", g.jobs)
@@ -91,7 +92,7 @@
 	return kinds[0]
 }
 
-// submitRandomly submits jobs at random times of an interval.
+// submitRandomly submits a number of jobs at random times in an interval.
 func (g *generator) submitRandomly(from, to float64, count int, kinds []jobKind) []string {
 	var names []string
 	for range count {
@@ -100,6 +101,7 @@
 	return names
 }
 
+// addWorkerEvents adds a pair of events of one random worker.
 func (g *generator) addWorkerEvents(from, to float64, down, up EventName) {
 	name := fmt.Sprintf("w%d", g.rng.IntN(50))
 	g.add(Event{AtMS: toMS(from), Event: down, Worker: name})
@@ -111,10 +113,9 @@
 	return g.events
 }
 
-// merrimack is a night from 18:00 and the morning after it, 16 hours: wear
-// models for the 06:00 meeting in bursts, surge checks with a storm at 02:00,
-// reconciliations, two bad workers, a rack that is lost, a wave of
-// cancellations and an outage of the log.
+// merrimack generates 16 hours from 18:00: bursts of wear models for a meeting at
+// 06:00, surge checks with a peak at 02:00, reconciliations, two workers that fail
+// every task, the loss of a rack, a wave of cancellations and a log outage.
 func merrimack(seed uint64) []Event {
 	g := newGenerator(seed, "manchester", "lawrence", "lowell", "nashua")
 	wear := []jobKind{
@@ -136,12 +137,12 @@
 	g.submitRandomly(5*hour, 6.5*hour, 20, wear)
 	g.submitRandomly(0, 15*hour, 60, flow)
 	g.submitRandomly(0, 16*hour, 250, surge)
-	g.submitRandomly(8*hour, 8.4*hour, 300, surge) // the storm
+	g.submitRandomly(8*hour, 8.4*hour, 300, surge) // the peak at 02:00
 	g.submitRandomly(12*hour, 15*hour, 30, wear)
-	g.submit(4*hour, jobKind{"impeller-wear", 9, 8, true, hour, 0.3, 1}, "lowell") // no rack holds it
+	g.submit(4*hour, jobKind{"impeller-wear", 9, 8, true, hour, 0.3, 1}, "lowell") // fits in no rack
 	g.addWorkerEvents(1*hour, 9*hour, EventWorkerBad, EventWorkerGood)
 	g.addWorkerEvents(4*hour, 12*hour, EventWorkerBad, EventWorkerGood)
-	for n := 16; n < 24; n++ { // a rack
+	for n := 16; n < 24; n++ { // all workers of a rack
 		g.add(Event{AtMS: toMS(6 * hour), Event: EventWorkerDown, Worker: fmt.Sprintf("w%d", n)})
 		g.add(Event{AtMS: toMS(6.7 * hour), Event: EventWorkerUp, Worker: fmt.Sprintf("w%d", n)})
 	}
@@ -151,9 +152,9 @@
 	return g.sorted()
 }
 
-// authority is a day of 24 hours from 06:00: large surveys through the morning,
-// title searches in counter hours, royalty reassessments, a bad worker, two
-// losses, withdrawn filings and an outage of the log.
+// authority generates 24 hours from 06:00: large surveys through the morning, title
+// searches in office hours, royalty reassessments, a worker that fails every task,
+// two lost workers, a wave of cancellations and a log outage.
 func authority(seed uint64) []Event {
 	g := newGenerator(seed, "western", "ashanti", "eastern", "districts")
 	survey := []jobKind{
@@ -174,7 +175,7 @@
 	g.submitRandomly(10*hour, 20*hour, 60, survey)
 	g.submitRandomly(0, 22*hour, 120, royalty)
 	g.submitRandomly(2*hour, 11*hour, 700, search)
-	g.submitRandomly(4*hour, 4.3*hour, 150, search) // market day
+	g.submitRandomly(4*hour, 4.3*hour, 150, search) // peak of a market day
 	g.submit(5*hour, jobKind{"boundary-survey", 7, 8, true, hour, 0.3, 1}, "western")
 	g.addWorkerEvents(2*hour, 14*hour, EventWorkerBad, EventWorkerGood)
 	g.addWorkerEvents(6*hour, 8*hour, EventWorkerDown, EventWorkerUp)
@@ -184,7 +185,7 @@
 	return g.sorted()
 }
 
-// The checked-in traces are what the generators write.
+// The checked-in traces equal the output of the generators; -update rewrites them.
 func TestCheckedInTracesMatchGenerators(t *testing.T) {
 	is := is.New(t)
 	for name, events := range map[string][]Event{"merrimack": merrimack(merrimackSeed), "authority": authority(authoritySeed)} {
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -10,28 +10,27 @@
 	"github.com/teaselcleat/teaselcleat/targets"
 )
 
-// What the replay takes for granted of the outside, for every policy alike.
+// Assumptions of the replay about the cluster, equal for every policy.
 const (
-	// checkpointDuration is how long a run goes on holding its accelerators when it
-	// is stopped for others.
+	// checkpointDuration is how long a preempted run still holds its accelerators.
 	checkpointDuration = 2 * scheduler.Second
-	// restartDuration is added to a run that continues from a checkpoint.
+	// restartDuration is added to the duration of a run that resumes from a checkpoint.
 	restartDuration = 30 * scheduler.Second
-	// failDelay is how long a task runs on a worker that fails everything.
+	// failDelay is how long a task runs on a worker that fails every task.
 	failDelay = 5 * scheduler.Second
-	// maxReclaimDelay is how long work that its workspace's guarantee covers may
-	// wait before it counts as a violation.
+	// maxReclaimDelay is how long a job that its workspace's guarantee covers may
+	// wait before it counts as a violation of the guarantee.
 	maxReclaimDelay = scheduler.Minute
-	// maxDrainTime is how long the replay goes on after the last event.
+	// maxDrainTime bounds how long the replay continues after the last event.
 	maxDrainTime        = 24 * 60 * scheduler.Minute
 	busyTick            = scheduler.Second
 	idleTick            = 10 * scheduler.Second
 	sampleInterval      = scheduler.Minute
 	neverEnds           = scheduler.Time(1) << 60
-	defaultFinishWithin = 24 * time.Hour // target of a class that the settings do not name
+	defaultFinishWithin = 24 * time.Hour // for a class that the settings do not name
 )
 
-// replayer is one replay under way.
+// replayer is the state of a running replay.
 type replayer struct {
 	setup             *Setup
 	policy            scheduler.Policy
@@ -45,11 +44,11 @@
 	usedByWorker      map[string]int // accelerators in use, by worker
 	usedByWorkspace   map[string]int // accelerators in use, by workspace
 	logDown           bool
-	waitingGuaranteed map[*jobRecord]bool // entitled jobs not yet started
+	waitingGuaranteed map[*jobRecord]bool // jobs covered by a guarantee that have not started
 	metrics           metrics
 }
 
-// Run replays a trace under the named policy and returns what was measured.
+// Run replays a trace under the named policy and returns the results.
 func Run(setup *Setup, events []Event, policyName string) (*Report, error) {
 	policy, err := scheduler.Open(policyName, scheduler.Config{Workers: setup.Inventory.Specs(), Targets: setup.Targets})
 	if err != nil {
@@ -67,7 +66,7 @@
 	return r.report(), nil
 }
 
-// advanceTo moves virtual time on, through ticks, samples and ends of runs.
+// advanceTo advances virtual time, with all ticks, samples and ends of runs on the way.
 func (r *replayer) advanceTo(until scheduler.Time) {
 	for {
 		next := r.nextTime(until)
@@ -83,7 +82,7 @@
 	}
 }
 
-// nextTime is the next time at which something is due, at most one past to.
+// nextTime returns the time of the next tick or end of a run, at most until+1.
 func (r *replayer) nextTime(until scheduler.Time) scheduler.Time {
 	tick := idleTick
 	if r.policy.Queued() > 0 {
@@ -98,6 +97,7 @@
 
 func (r *replayer) endDue() bool { return len(r.ends) > 0 && r.ends[0].at <= r.now }
 
+// processDue ends the runs that are due, ticks the policy and samples fragmentation.
 func (r *replayer) processDue() {
 	for r.endDue() {
 		end := heap.Pop(&r.ends).(plannedEnd)
@@ -113,18 +113,19 @@
 	}
 }
 
-// runToCompletion goes on after the last event until nothing can change any more.
+// runToCompletion continues after the last event until nothing can change any more.
 func (r *replayer) runToCompletion() {
 	limit := r.now + maxDrainTime
 	for r.now < limit && (len(r.ends) > 0 || r.policy.Queued() > 0) {
 		if len(r.ends) == 0 || r.ends[0].at >= neverEnds {
-			limit = min(limit, r.now+10*scheduler.Minute) // only work that never ends is left
+			limit = min(limit, r.now+10*scheduler.Minute) // the remaining runs never end
 		}
 		r.advanceTo(min(r.now+scheduler.Minute, limit))
 	}
 }
 
-// stepPolicy gives an event to the policy, measures its time and carries out what it says.
+// stepPolicy passes an event to the policy, measures the decision's duration and applies
+// the actions.
 func (r *replayer) stepPolicy(event scheduler.Event) {
 	start := time.Now()
 	actions := r.policy.Step(event, r.now)
@@ -165,7 +166,7 @@
 
 func (r *replayer) submit(event Event) {
 	if r.jobs[event.Job] != nil {
-		return // a retry of a key that is known
+		return // a retry of an earlier submission
 	}
 	class, ok := r.setup.Targets.Classes[event.Class]
 	if !ok {
@@ -176,7 +177,7 @@
 	r.jobs[event.Job] = job
 	r.submitted = append(r.submitted, job)
 	if r.logDown || event.Shape().Validate() != nil {
-		job.phase = jobRefused // as the instances do: nothing durable could be said of it
+		job.phase = jobRefused // as the instances do, which cannot record a job durably without the log
 		job.endedAt = r.now
 		return
 	}
@@ -187,8 +188,8 @@
 	}})
 }
 
-// markGuaranteed marks a job that its workspace's guarantee covers beside all
-// that the workspace already uses or waits for.
+// markGuaranteed marks a job if its workspace's guarantee covers it in addition to
+// all that the workspace already uses or has queued.
 func (r *replayer) markGuaranteed(job *jobRecord) {
 	total := 0
 	covers := false
@@ -198,7 +199,7 @@
 	}
 	wanted := job.event.Shape().Total() + r.usedByWorkspace[job.event.Workspace]
 	for _, other := range r.submitted {
-		queued := other != job && other.phase == jobQueued // also one that was stopped for others
+		queued := other != job && other.phase == jobQueued // including preempted jobs
 		if queued && other.event.Workspace == job.event.Workspace {
 			wanted += other.event.Shape().Total()
 		}
@@ -209,6 +210,7 @@
 	}
 }
 
+// checkGuarantees marks the waiting jobs whose guarantee is violated.
 func (r *replayer) checkGuarantees() {
 	for job := range r.waitingGuaranteed {
 		if !job.guaranteeViolated && r.now-job.submittedAt > maxReclaimDelay {
@@ -274,7 +276,8 @@
 	r.scheduleEnd(run)
 }
 
-// checkPlacement compares a placement with the replay's own books.
+// checkPlacement checks a placement against the replay's own records: gangs must be whole
+// and fit, and no job may run twice.
 func (r *replayer) checkPlacement(job *jobRecord, place scheduler.Place) {
 	distinct := map[string]bool{}
 	whole := len(place.Members) == job.event.Members
@@ -291,7 +294,8 @@
 	}
 }
 
-// scheduleEnd sets a run's natural end.
+// scheduleEnd schedules the end of a run that is not stopped: its recorded duration, or an
+// early failure on a failing worker.
 func (r *replayer) scheduleEnd(run *activeRun) {
 	at := neverEnds
 	if actual := scheduler.Time(run.job.event.ActualS * 1000); actual > 0 {
@@ -354,7 +358,7 @@
 	r.stepPolicy(scheduler.RunEnded{Run: run.id, Result: run.result, Worker: run.failedWorker})
 }
 
-// guaranteedShapes are the declared shapes, each once, in order.
+// guaranteedShapes returns the distinct shapes of all guarantees, ordered by size.
 func (r *replayer) guaranteedShapes() []structs.Shape {
 	seen := map[structs.Shape]bool{}
 	var shapes []structs.Shape
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -26,6 +26,8 @@
 	return setup, events
 }
 
+// Replays are deterministic, lose or double no job, start no partial gang and violate no
+// guarantee.
 func TestReplayIsDeterministicWithoutViolations(t *testing.T) {
 	for _, name := range []string{"merrimack", "authority"} {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +39,7 @@
 			is.Equal(first.Jobs, first.Finished+first.Refused+first.Cancelled+first.Unfinished+first.Lost)
 			second, err := Run(setup, events, scheduler.PolicyTargets)
 			is.NoErr(err)
-			first.DecisionP99, second.DecisionP99 = 0, 0 // the only figure that is measured and not computed
+			first.DecisionP99, second.DecisionP99 = 0, 0 // the only figure that depends on real time
 			is.Equal(first.Line(), second.Line())
 			baseline, err := Run(setup, events, scheduler.PolicyBaseline)
 			is.NoErr(err)
@@ -69,10 +71,10 @@
 	shape := structs.Shape{Members: 4, Accelerators: 8, Adjacent: true}
 	value, ok := inventory.fragmentation([][]int{{8, 8, 0, 0}, {8, 8, 0, 0}}, shape)
 	is.True(ok)
-	is.Equal(value, 1.0) // 32 free accelerators would hold one, scattered they hold none
+	is.Equal(value, 1.0) // 32 free accelerators hold one copy if packed, none if scattered
 	value, _ = inventory.fragmentation([][]int{{8, 8, 8, 8}, {0, 0, 0, 0}}, shape)
 	is.Equal(value, 0.0)
-	is.Equal(copiesInRack([]int{8, 8, 4, 4}, structs.Shape{Members: 2, Accelerators: 4}), 3) // members of one copy on distinct workers
+	is.Equal(copiesInRack([]int{8, 8, 4, 4}, structs.Shape{Members: 2, Accelerators: 4}), 3) // members of a copy are on distinct workers
 	_, ok = inventory.fragmentation([][]int{{8, 0, 0, 0}, {0, 0, 0, 0}}, shape)
 	is.True(!ok)
 }
--- a/replay/report.go
+++ b/replay/report.go
@@ -9,7 +9,8 @@
 	"github.com/teaselcleat/teaselcleat/scheduler"
 )
 
-// minLargeMembers and minLargeAccelerators bound the gangs whose waits are reported apart.
+// minLargeMembers and minLargeAccelerators are the smallest members and accelerators per
+// member of the gangs whose waits are reported separately.
 const (
 	minLargeMembers      = 4
 	minLargeAccelerators = 8
@@ -27,7 +28,7 @@
 
 func (m *metrics) addDecision(d time.Duration) { m.decisions = append(m.decisions, d) }
 
-// ClassReport is what was measured of one class.
+// ClassReport holds the results of one class.
 type ClassReport struct {
 	Name            string
 	Jobs            int
@@ -39,7 +40,7 @@
 	FinishWithinSec float64
 }
 
-// Report is what a replay measured. Times are in seconds unless named otherwise.
+// Report holds the results of a replay. Times are in seconds, unless the type says otherwise.
 type Report struct {
 	Jobs, Finished, Refused, Cancelled, Unfinished, Lost int
 	Doubled, PartialGangs, GuaranteeViolations           int
@@ -53,7 +54,7 @@
 	Classes                                              []ClassReport
 }
 
-// Line is the last line of a replay's output.
+// Line formats the results as the last line of a replay's output.
 func (r *Report) Line() string {
 	return fmt.Sprintf("jobs=%d finished=%d refused=%d cancelled=%d unfinished=%d lost=%d doubled=%d partial_gangs=%d guarantee_violations=%d "+
 		"completion_p50_s=%.1f completion_p99_s=%.1f targets_met=%d targets_missed=%d fragmentation_mean=%.4f fragmentation_max=%.4f "+
@@ -63,14 +64,14 @@
 		r.Preemptions, r.Decisions, r.DecisionP99.Microseconds())
 }
 
-// Line is one class's figures.
+// Line formats the results of the class as one line of output.
 func (c ClassReport) Line() string {
 	return fmt.Sprintf("class=%s jobs=%d targets_met=%d targets_missed=%d completion_p50_s=%.1f completion_p99_s=%.1f wait_p99_s=%.1f finish_within_s=%.0f",
 		c.Name, c.Jobs, c.Met, c.Missed, c.CompletionP50S, c.CompletionP99S, c.WaitP99S, c.FinishWithinSec)
 }
 
-// targetOutcome says whether a job counts for its target, and whether it met it. A job
-// that was cancelled does not count, nor one that has time left at the end.
+// targetOutcome returns whether a job counts towards its class's target, and whether it
+// met the target. Cancelled jobs do not count, nor do unfinished jobs with time left.
 func (r *replayer) targetOutcome(job *jobRecord) (counts, met bool) {
 	switch job.phase {
 	case jobFinished:
@@ -128,6 +129,7 @@
 	}
 }
 
+// completionTimes returns the times from submission to end of the finished jobs, in seconds.
 func (r *replayer) completionTimes(match func(*jobRecord) bool) []float64 {
 	var seconds []float64
 	for _, job := range r.submitted {
@@ -138,8 +140,8 @@
 	return seconds
 }
 
-// waitTimes are the times to the first start; a job that never started and was not
-// withdrawn has waited until the end.
+// waitTimes returns the times from submission to the first start, in seconds. A queued
+// job that never started has waited until the end of the replay.
 func (r *replayer) waitTimes(match func(*jobRecord) bool) []float64 {
 	var seconds []float64
 	for _, job := range r.submitted {
@@ -187,6 +189,7 @@
 	}
 }
 
+// percentile returns the value at quantile q, by nearest rank. It sorts the values.
 func percentile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/replay/setup.go
+++ b/replay/setup.go
@@ -15,14 +15,14 @@
 
 const sectionInventory = "inventory"
 
-// Limits of an inventory.
+// Limits of an Inventory.
 const (
 	maxWorkers        = 100_000
 	maxWorkersPerRack = 1000
 )
 
-// Inventory describes the workers of a replay: racks are filled in order, and
-// racks go to the availability zones in turn.
+// Inventory describes the workers of a replay. Racks are filled in order and are
+// assigned to the availability zones in turn.
 type Inventory struct {
 	Workers               int
 	AcceleratorsPerWorker int
@@ -30,14 +30,14 @@
 	AvailabilityZones     []string
 }
 
-// Setup is a checked replay settings file.
+// Setup is a validated replay settings file.
 type Setup struct {
 	Inventory Inventory
 	Targets   *targets.Targets
 }
 
-// ParseSetup reads an [inventory] section beside the operators' sections. A
-// *targets.FaultsError names every fault.
+// ParseSetup parses replay settings: the operators' sections and an [inventory]
+// section. A *targets.FaultsError lists every fault.
 func ParseSetup(data []byte) (*Setup, error) {
 	file, err := ini.LoadSources(targets.LoadOptions(), data)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return list
 }
 
-// Specs lists the workers, named w0 and up.
+// Specs returns the workers, with IDs from w0 up.
 func (i Inventory) Specs() []scheduler.WorkerSpec {
 	specs := make([]scheduler.WorkerSpec, 0, i.Workers)
 	for n := range i.Workers {
--- a/replay/state.go
+++ b/replay/state.go
@@ -16,7 +16,7 @@
 	jobCancelled
 )
 
-// jobRecord is what the replay keeps of a job, apart from the policy's own books.
+// jobRecord is the replay's own record of a job, independent of the policy's state.
 type jobRecord struct {
 	event             Event
 	class             targets.Class
@@ -25,26 +25,26 @@
 	submittedAt       scheduler.Time
 	startedAt         scheduler.Time // first start; -1 before it
 	endedAt           scheduler.Time
-	progress          scheduler.Time // kept by checkpoints
-	freshStarts       int            // runs begun anew, not from a checkpoint
-	guaranteed        bool           // its workspace's guarantee covered it when it came
+	progress          scheduler.Time // saved in checkpoints
+	freshStarts       int            // runs that did not resume from a checkpoint
+	guaranteed        bool           // its workspace's guarantee covered it at submission
 	guaranteeViolated bool
 }
 
-// activeRun is one run.
+// activeRun is a run of a job that has not ended yet.
 type activeRun struct {
 	id              string
 	job             *jobRecord
 	members         []structs.Member
 	startedAt       scheduler.Time
-	restartOverhead scheduler.Time // restart time
+	restartOverhead scheduler.Time // time to restart from a checkpoint
 	result          scheduler.Result
 	failedWorker    string
 	endsAt          scheduler.Time
-	endVersion      int // of its end in the queue; older ends are void
+	endVersion      int // version of the valid plannedEnd; older ones are ignored
 }
 
-// plannedEnd is the planned end of a run.
+// plannedEnd is a scheduled end of a run in the endQueue.
 type plannedEnd struct {
 	at      scheduler.Time
 	seq     int
@@ -52,6 +52,7 @@
 	version int
 }
 
+// endQueue is a heap of planned ends by time, then by order of scheduling.
 type endQueue []plannedEnd
 
 func (e endQueue) Len() int { return len(e) }
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -1,7 +1,7 @@
-// Package replay owns the replay of recorded traces: a trace reader, virtual
-// time and the measures. It drives the same decision code that serves; it is no
-// simulator of the cluster. A run takes its recorded time, a failing worker
-// fails what it starts, and a stop for others costs a fixed time.
+// Package replay replays recorded traces in virtual time and reports metrics of a
+// scheduling policy. It drives the same decision code that runs in production; it
+// does not simulate the cluster. A run takes its recorded time, a failing worker
+// fails every task that it starts, and a preemption takes a fixed time.
 package replay
 
 import (
@@ -44,16 +44,16 @@
 	Accelerators int       `json:"accelerators,omitempty"`
 	Adjacent     bool      `json:"adjacent,omitempty"`
 	DeclaredS    float64   `json:"declared_s,omitempty"`
-	ActualS      float64   `json:"actual_s,omitempty"` // 0 means that it never ends by itself
+	ActualS      float64   `json:"actual_s,omitempty"` // 0 if the job never ends by itself
 	Worker       string    `json:"worker,omitempty"`
 }
 
-// Shape is the gang shape of a submit event.
+// Shape returns the gang shape of a submit event.
 func (e Event) Shape() structs.Shape {
 	return structs.Shape{Members: e.Members, Accelerators: e.Accelerators, Adjacent: e.Adjacent}
 }
 
-// allowedFields lists the fields of each kind of event, besides at_ms and event.
+// allowedFields lists the permitted fields of each kind of event, besides at_ms and event.
 var allowedFields = map[EventName][]string{
 	EventSubmit:     {"job", "workspace", "class", "members", "accelerators", "adjacent", "declared_s", "actual_s"},
 	EventCancel:     {"job"},
@@ -65,7 +65,8 @@
 	EventAppendUp:   {},
 }
 
-// Read reads a whole trace of JSON lines in order of time. An error names the line.
+// Read reads a whole trace of JSON lines, which must be in order of time. Errors name the
+// line.
 func Read(source io.Reader) ([]Event, error) {
 	scanner := bufio.NewScanner(source)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
@@ -105,6 +106,7 @@
 	return event, event.validate()
 }
 
+// checkFields returns an error if a line has no at_ms or has a field that is not permitted.
 func checkFields(line []byte, fields []string) error {
 	var present map[string]json.RawMessage
 	if err := json.Unmarshal(line, &present); err != nil {
