--- a/internal/knownred/check.go
+++ b/internal/knownred/check.go
@@ -100,6 +100,6 @@
 		fmt.Fprint(c.out, output)
 		return "is listed but its run reported no test failure"
 	}
-	fmt.Fprintf(c.out, "known red: %s %s: %s (%s; %s)\n", e.pkg, e.test, e.cause, e.issue, e.seen)
+	fmt.Fprintf(c.out, "known red: %s %s: %s (%s; %s)\n", e.pkg, e.test, e.cause, e.issue, e.observed)
 	return ""
 }
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -14,7 +14,7 @@
 	is := is.New(t)
 	list, err := parseList(goodLine + "\n\n")
 	is.NoErr(err)
-	is.Equal(list, []entry{{pkg: "./a", test: "TestOne", cause: "a cause", seen: "go test ./a, seed 1, lost one", issue: "issue 7"}})
+	is.Equal(list, []entry{{pkg: "./a", test: "TestOne", cause: "a cause", observed: "go test ./a, seed 1, lost one", issue: "issue 7"}})
 }
 
 func TestParseListRejectsInvalidLists(t *testing.T) {
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -17,11 +17,11 @@
 
 // entry is a test that fails because of a known fault that is not fixed yet.
 type entry struct {
-	pkg   string // import path, or relative path that begins with ./
-	test  string // name of a top-level test
-	cause string
-	seen  string // command, seed and observed failure
-	issue string
+	pkg      string // import path, or relative path that begins with ./
+	test     string // name of a top-level test
+	cause    string
+	observed string // command, seed and observed failure
+	issue    string
 }
 
 var (
@@ -72,5 +72,5 @@
 	if !issueName.MatchString(fields[3]) {
 		return entry{}, eris.Errorf("%q does not name an issue", fields[3])
 	}
-	return entry{pkg: names[0], test: names[1], cause: fields[1], seen: fields[2], issue: fields[3]}, nil
+	return entry{pkg: names[0], test: names[1], cause: fields[1], observed: fields[2], issue: fields[3]}, nil
 }
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -253,11 +253,11 @@
 	}
 }
 
-func (r *replayer) place(place scheduler.Place) {
-	job := r.jobs[place.Job]
-	r.checkPlacement(job, place)
-	run := &activeRun{id: place.Run, job: job, members: place.Members, startedAt: r.now, result: scheduler.RunFinished}
-	if place.Resume {
+func (r *replayer) place(action scheduler.Place) {
+	job := r.jobs[action.Job]
+	r.checkPlacement(job, action)
+	run := &activeRun{id: action.Run, job: job, members: action.Members, startedAt: r.now, result: scheduler.RunFinished}
+	if action.Resume {
 		run.restartOverhead = restartDuration
 	} else {
 		job.progress = 0
@@ -268,8 +268,8 @@
 		job.startedAt = r.now
 	}
 	delete(r.waitingGuaranteed, job)
-	r.runs[place.Run] = run
-	for _, m := range place.Members {
+	r.runs[action.Run] = run
+	for _, m := range action.Members {
 		r.usedByWorker[m.Worker] += m.Accelerators
 		r.usedByWorkspace[job.event.Workspace] += m.Accelerators
 	}
@@ -287,10 +287,10 @@
 		distinct[m.Worker] = true
 	}
 	if !whole {
-		r.metrics.partial++
+		r.metrics.partialGangs++
 	}
 	if job.phase == jobRunning || (!job.class.Idempotent && job.freshStarts > 0 && !place.Resume) {
-		r.metrics.doubled++
+		r.metrics.doubledRuns++
 	}
 }
 
@@ -318,8 +318,8 @@
 	heap.Push(&r.ends, plannedEnd{at: at, seq: r.lastSeq, run: run, version: run.endVersion})
 }
 
-func (r *replayer) preempt(preempt scheduler.Preempt) {
-	run := r.runs[preempt.Run]
+func (r *replayer) preempt(action scheduler.Preempt) {
+	run := r.runs[action.Run]
 	if run == nil || run.endsAt <= r.now+checkpointDuration {
 		return
 	}
@@ -327,13 +327,13 @@
 	r.pushEnd(run, r.now+checkpointDuration)
 }
 
-func (r *replayer) abort(abort scheduler.Abort) {
-	run := r.runs[abort.Run]
+func (r *replayer) abort(action scheduler.Abort) {
+	run := r.runs[action.Run]
 	if run == nil {
 		return
 	}
 	run.result = scheduler.RunLost
-	if abort.Reason == structs.ReasonCancelled {
+	if action.Reason == structs.ReasonCancelled {
 		run.result = scheduler.RunAborted
 	}
 	r.pushEnd(run, r.now)
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -49,7 +49,7 @@
 }
 
 func TestTraceErrorsNameLine(t *testing.T) {
-	for _, c := range []struct{ name, trace, says string }{
+	for _, c := range []struct{ name, trace, want string }{
 		{"unknown event", `{"at_ms":1,"event":"explode"}`, `line 1: unknown event "explode"`},
 		{"unknown field", "{\"at_ms\":1,\"event\":\"append_down\"}\n{\"at_ms\":2,\"event\":\"cancel\",\"job\":\"a\",\"why\":1}", "line 2:"},
 		{"field of another event", `{"at_ms":1,"event":"cancel","job":"a","worker":"w0"}`, `line 1: field "worker"`},
@@ -58,8 +58,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Read(strings.NewReader(c.trace))
-			if err == nil || !strings.Contains(err.Error(), c.says) {
-				t.Fatalf("error %v does not say %q", err, c.says)
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Fatalf("error %v does not contain %q", err, c.want)
 			}
 		})
 	}
--- a/replay/report.go
+++ b/replay/report.go
@@ -22,8 +22,8 @@
 	fragmentation []float64
 	decisions     []time.Duration
 	preemptions   int
-	partial       int
-	doubled       int
+	partialGangs  int
+	doubledRuns   int
 }
 
 func (m *metrics) addDecision(d time.Duration) { m.decisions = append(m.decisions, d) }
@@ -85,7 +85,7 @@
 }
 
 func (r *replayer) report() *Report {
-	report := &Report{Jobs: len(r.submitted), Doubled: r.metrics.doubled, PartialGangs: r.metrics.partial,
+	report := &Report{Jobs: len(r.submitted), Doubled: r.metrics.doubledRuns, PartialGangs: r.metrics.partialGangs,
 		Preemptions: r.metrics.preemptions, Decisions: len(r.metrics.decisions)}
 	queued := 0
 	for _, job := range r.submitted {
--- a/standin/gangs_test.go
+++ b/standin/gangs_test.go
@@ -29,7 +29,7 @@
 		second time.Duration // start of the second task after the first; 0 for never
 		stop   bool          // the first task is stopped half way
 		halt   bool          // the first task's worker halts half way
-		ends   [2][]string   // outcomes on both workers
+		want   [2][]string   // outcomes on both workers
 	}{
 		{"both there", 2 * time.Second, false, false, [2][]string{{"done"}, {"done"}}},
 		{"one never comes", 0, false, false, [2][]string{{"alone"}, nil}},
@@ -63,7 +63,7 @@
 				}
 				time.Sleep(2 * wait)
 				for i, worker := range workers {
-					is.Equal(worker.endOutcomes(), c.ends[i])
+					is.Equal(worker.endOutcomes(), c.want[i])
 					worker.Halt()
 				}
 			})
--- a/standin/keyedstore.go
+++ b/standin/keyedstore.go
@@ -83,7 +83,7 @@
 	defer s.mu.Unlock()
 	s.faults = faults
 	for _, part := range s.parts {
-		part.trim(faults.Keep)
+		part.dropOldest(faults.Keep)
 	}
 }
 
@@ -112,7 +112,7 @@
 	defer s.mu.Unlock()
 	part := s.part(topic, "0")
 	part.add([]storeRecord{{key, value}})
-	part.trim(s.faults.Keep)
+	part.dropOldest(s.faults.Keep)
 }
 
 func (s *KeyedStore) part(topic, partNumber string) *storePart {
@@ -142,7 +142,7 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *storePart) trim(keep int) {
+func (p *storePart) dropOldest(keep int) {
 	if excess := len(p.records) - keep; keep > 0 && excess > 0 {
 		p.records = append([]storeRecord(nil), p.records[excess:]...)
 		p.firstOffset += int64(excess)
@@ -187,7 +187,7 @@
 	}
 	offset := part.end()
 	part.add(s.translateAddresses(splitRecords(body)))
-	part.trim(s.faults.Keep)
+	part.dropOldest(s.faults.Keep)
 	return http.StatusOK, map[string]any{"offset": offset, "end": part.end()}
 }
 
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -80,7 +80,7 @@
 	}
 	p.faults = faults
 	for _, s := range p.streams {
-		p.trim(s)
+		p.dropOldest(s)
 	}
 }
 
@@ -100,7 +100,7 @@
 	return s
 }
 
-func (p *Platform) trim(s *stream) {
+func (p *Platform) dropOldest(s *stream) {
 	excess := len(s.records) - p.faults.Retain
 	if p.faults.Retain <= 0 || excess <= 0 {
 		return
@@ -121,7 +121,7 @@
 	first := s.firstOffset + int64(len(s.records))
 	s.records = append(s.records, records...)
 	p.appends++
-	p.trim(s)
+	p.dropOldest(s)
 	close(s.changed)
 	s.changed = make(chan struct{})
 	if p.faults.LoseAnswers > 0 {
--- a/standin/proxy_test.go
+++ b/standin/proxy_test.go
@@ -67,7 +67,7 @@
 			go func() { answered <- exchange(conn) }()
 			select {
 			case <-answered:
-				t.Fatal("the bytes were carried")
+				t.Fatal("bytes were forwarded while blocked")
 			case <-time.After(50 * time.Millisecond):
 			}
 			p.SetFaults(ProxyFaults{})
--- a/standin/taskworker_test.go
+++ b/standin/taskworker_test.go
@@ -35,10 +35,10 @@
 // refused.
 func TestTaskWorkerEndsRunsWhenLeaseExpires(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		slow  float64
-		asked time.Duration
-		lasts time.Duration
+		name      string
+		slow      float64
+		requested time.Duration
+		want      time.Duration
 	}{
 		{"as asked", 0, 4 * time.Second, 4 * time.Second},
 		{"shortened", 0, time.Minute, 6 * time.Second},
@@ -49,11 +49,11 @@
 				is := is.New(t)
 				w := NewTaskWorker("w", time.Hour)
 				w.Lease, w.Slow = 6*time.Second, c.slow
-				status, _ := sendOrder(t, w, "/api/run-start", taskOrder{Task: "a", Run: 1, UntilMS: 1 + c.asked.Milliseconds()})
+				status, _ := sendOrder(t, w, "/api/run-start", taskOrder{Task: "a", Run: 1, UntilMS: 1 + c.requested.Milliseconds()})
 				is.Equal(status, http.StatusOK)
 				status, _ = sendOrder(t, w, "/api/hold", taskOrder{UntilMS: 1000}) // a shorter lease
 				is.Equal(status, http.StatusOK)
-				time.Sleep(c.lasts - 10*time.Millisecond)
+				time.Sleep(c.want - 10*time.Millisecond)
 				is.Equal(w.Running(), 1)
 				time.Sleep(20 * time.Millisecond)
 				is.Equal(w.Running(), 0)
@@ -87,7 +87,7 @@
 func TestOnlyEndsAcknowledgedUnderLeaseCount(t *testing.T) {
 	for name, c := range map[string]struct {
 		acknowledgedAfter time.Duration
-		faults            int
+		violations        int
 	}{"under the lease": {5 * time.Second, 1}, "after it lapsed": {7 * time.Second, 0}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -99,7 +99,7 @@
 				time.Sleep(c.acknowledgedAfter)
 				sendOrder(t, first, "/api/hold", taskOrder{AckCursor: 1})
 				sendOrder(t, other, "/api/run-start", taskOrder{Task: "t", Run: 2, UntilMS: 60000})
-				is.Equal(len(ledger.Faults()), c.faults)
+				is.Equal(len(ledger.Faults()), c.violations)
 				first.Halt()
 				other.Halt()
 			})
