--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// mostEntries bounds the list: more than three known faults are to be mended
-	// before anything else.
-	mostEntries = 3
-	// fieldSeparator stands between the fields of a line.
+	// maxEntries bounds the list: with more than three known faults, fixing them
+	// takes precedence over any other work.
+	maxEntries = 3
+	// fieldSeparator separates the fields of a line.
 	fieldSeparator = " | "
 )
 
-// entry is a test that fails for a fault that is known and not mended yet.
+// entry is a test that fails because of a known fault that is not fixed yet.
 type entry struct {
-	pkg   string // import path, or a path that begins with ./
-	test  string // a top-level test
-	cause string
-	seen  string // command, seed and what was seen
-	issue string
+	pkg      string // import path, or relative path that begins with ./
+	test     string // name of a top-level test
+	cause    string
+	observed string // command, seed and observed failure
+	issue    string
 }
 
 var (
@@ -29,27 +29,27 @@
 	issueName = regexp.MustCompile(`^issue \d+$`)
 )
 
-// parseList reads the lines "PACKAGE TEST | cause | command, seed, what was seen |
-// issue N". Empty lines are passed over.
+// parseList parses lines of the form "PACKAGE TEST | cause | command, seed, observed
+// failure | issue N". Empty lines are ignored.
 func parseList(text string) ([]entry, error) {
 	var list []entry
-	known := map[string]bool{}
-	for number, line := range strings.Split(text, "\n") {
+	seen := map[string]bool{}
+	for i, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
 			continue
 		}
-		made, err := parseEntry(line)
+		e, err := parseEntry(line)
 		if err != nil {
-			return nil, eris.Wrapf(err, "line %d", number+1)
+			return nil, eris.Wrapf(err, "line %d", i+1)
 		}
-		if known[made.pkg+" "+made.test] {
-			return nil, eris.Errorf("line %d: %s stands twice", number+1, made.test)
+		if seen[e.pkg+" "+e.test] {
+			return nil, eris.Errorf("line %d: %s is listed twice", i+1, e.test)
 		}
-		known[made.pkg+" "+made.test] = true
-		list = append(list, made)
+		seen[e.pkg+" "+e.test] = true
+		list = append(list, e)
 	}
-	if len(list) > mostEntries {
-		return nil, eris.Errorf("%d tests are listed, %d are allowed", len(list), mostEntries)
+	if len(list) > maxEntries {
+		return nil, eris.Errorf("%d tests are listed, %d are allowed", len(list), maxEntries)
 	}
 	return list, nil
 }
@@ -59,10 +59,10 @@
 	if len(fields) != 4 {
 		return entry{}, eris.Errorf("%d fields where four are expected", len(fields))
 	}
-	for index := range fields {
-		fields[index] = strings.TrimSpace(fields[index])
-		if fields[index] == "" {
-			return entry{}, eris.Errorf("field %d is empty", index+1)
+	for i := range fields {
+		fields[i] = strings.TrimSpace(fields[i])
+		if fields[i] == "" {
+			return entry{}, eris.Errorf("field %d is empty", i+1)
 		}
 	}
 	names := strings.Fields(fields[0])
@@ -72,5 +72,5 @@
 	if !issueName.MatchString(fields[3]) {
 		return entry{}, eris.Errorf("%q does not name an issue", fields[3])
 	}
-	return entry{pkg: names[0], test: names[1], cause: fields[1], seen: fields[2], issue: fields[3]}, nil
+	return entry{pkg: names[0], test: names[1], cause: fields[1], observed: fields[2], issue: fields[3]}, nil
 }
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred runs all tests of the module and passes over just those that a
-// file lists as failing for a known fault. It prints these with their causes, and
-// fails if one of them passes or does not exist. It serves CI and is not shipped.
+// Command knownred runs all tests of the module and tolerates failures of exactly the
+// tests that a file lists with a known fault. It prints these with their causes, and
+// fails if one of them passes or does not exist. It is for CI and is not shipped.
 package main
 
 import (
@@ -24,8 +24,8 @@
 	if err != nil {
 		logrus.WithError(err).Fatal("list_faulty")
 	}
-	check := &checker{run: runGo, out: os.Stdout}
-	if err := check.check(list); err != nil {
+	c := &checker{run: runGo, out: os.Stdout}
+	if err := c.check(list); err != nil {
 		logrus.WithError(err).Fatal("check_failed")
 	}
 }
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -11,7 +11,7 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-func load(t *testing.T, name string) (*Setup, []Event) {
+func loadReplay(t *testing.T, name string) (*Setup, []Event) {
 	t.Helper()
 	is := is.New(t)
 	data, err := os.ReadFile("testdata/" + name + ".ini")
@@ -26,18 +26,20 @@
 	return setup, events
 }
 
-func TestWhatMustBeZeroIsZeroAndReplaysAreTheSame(t *testing.T) {
+// Replays are deterministic, lose or double no job, start no partial gang and violate no
+// guarantee.
+func TestReplayIsDeterministicWithoutViolations(t *testing.T) {
 	for _, name := range []string{"merrimack", "authority"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			setup, events := load(t, name)
+			setup, events := loadReplay(t, name)
 			first, err := Run(setup, events, scheduler.PolicyTargets)
 			is.NoErr(err)
 			is.Equal(first.Lost+first.Doubled+first.PartialGangs+first.GuaranteeViolations, 0)
 			is.Equal(first.Jobs, first.Finished+first.Refused+first.Cancelled+first.Unfinished+first.Lost)
 			second, err := Run(setup, events, scheduler.PolicyTargets)
 			is.NoErr(err)
-			first.DecisionP99, second.DecisionP99 = 0, 0 // the only figure that is measured and not computed
+			first.DecisionP99, second.DecisionP99 = 0, 0 // the only figure that depends on real time
 			is.Equal(first.Line(), second.Line())
 			baseline, err := Run(setup, events, scheduler.PolicyBaseline)
 			is.NoErr(err)
@@ -46,8 +48,8 @@
 	}
 }
 
-func TestTraceFaultsNameTheLine(t *testing.T) {
-	for _, c := range []struct{ name, trace, says string }{
+func TestTraceErrorsNameLine(t *testing.T) {
+	for _, c := range []struct{ name, trace, want string }{
 		{"unknown event", `{"at_ms":1,"event":"explode"}`, `line 1: unknown event "explode"`},
 		{"unknown field", "{\"at_ms\":1,\"event\":\"append_down\"}\n{\"at_ms\":2,\"event\":\"cancel\",\"job\":\"a\",\"why\":1}", "line 2:"},
 		{"field of another event", `{"at_ms":1,"event":"cancel","job":"a","worker":"w0"}`, `line 1: field "worker"`},
@@ -56,8 +58,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Read(strings.NewReader(c.trace))
-			if err == nil || !strings.Contains(err.Error(), c.says) {
-				t.Fatalf("error %v does not say %q", err, c.says)
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Fatalf("error %v does not contain %q", err, c.want)
 			}
 		})
 	}
@@ -69,10 +71,10 @@
 	shape := structs.Shape{Members: 4, Accelerators: 8, Adjacent: true}
 	value, ok := inventory.fragmentation([][]int{{8, 8, 0, 0}, {8, 8, 0, 0}}, shape)
 	is.True(ok)
-	is.Equal(value, 1.0) // 32 free accelerators would hold one, scattered they hold none
+	is.Equal(value, 1.0) // 32 free accelerators hold one copy if packed, none if scattered
 	value, _ = inventory.fragmentation([][]int{{8, 8, 8, 8}, {0, 0, 0, 0}}, shape)
 	is.Equal(value, 0.0)
-	is.Equal(fitsInRack([]int{8, 8, 4, 4}, structs.Shape{Members: 2, Accelerators: 4}), 3) // members of one copy on distinct workers
+	is.Equal(copiesInRack([]int{8, 8, 4, 4}, structs.Shape{Members: 2, Accelerators: 4}), 3) // members of a copy are on distinct workers
 	_, ok = inventory.fragmentation([][]int{{8, 0, 0, 0}, {0, 0, 0, 0}}, shape)
 	is.True(!ok)
 }
--- a/replay/setup.go
+++ b/replay/setup.go
@@ -15,14 +15,14 @@
 
 const sectionInventory = "inventory"
 
-// Limits of an inventory.
+// Limits of an Inventory.
 const (
 	maxWorkers        = 100_000
 	maxWorkersPerRack = 1000
 )
 
-// Inventory describes the workers of a replay: racks are filled in order, and
-// racks go to the availability zones in turn.
+// Inventory describes the workers of a replay. Racks are filled in order and are
+// assigned to the availability zones in turn.
 type Inventory struct {
 	Workers               int
 	AcceleratorsPerWorker int
@@ -30,22 +30,22 @@
 	AvailabilityZones     []string
 }
 
-// Setup is a checked replay settings file.
+// Setup is a validated replay settings file.
 type Setup struct {
 	Inventory Inventory
 	Targets   *targets.Targets
 }
 
-// ParseSetup reads an [inventory] section beside the operators' sections. A
-// *targets.FaultsError names every fault.
+// ParseSetup parses replay settings: the operators' sections and an [inventory]
+// section. A *targets.FaultsError lists every fault.
 func ParseSetup(data []byte) (*Setup, error) {
 	file, err := ini.LoadSources(targets.LoadOptions(), data)
 	if err != nil {
 		return nil, eris.Wrap(err, "settings are not INI")
 	}
 	parsed, faults := targets.FromFile(file, map[string]bool{sectionInventory: true})
-	inventory, more := readInventory(file)
-	if faults = append(faults, more...); len(faults) > 0 {
+	inventory, inventoryFaults := readInventory(file)
+	if faults = append(faults, inventoryFaults...); len(faults) > 0 {
 		return nil, &targets.FaultsError{Faults: faults}
 	}
 	return &Setup{Inventory: inventory, Targets: parsed}, nil
@@ -67,9 +67,9 @@
 	}
 	section := file.Section(sectionInventory)
 	for _, key := range section.Keys() {
-		number, known := numbers[key.Name()]
+		number, ok := numbers[key.Name()]
 		switch {
-		case known:
+		case ok:
 			value, err := strconv.Atoi(key.String())
 			if err != nil || value < 1 || value > number.high {
 				fault(key.Name(), fmt.Sprintf("must be a whole number from 1 to %d", number.high))
@@ -99,7 +99,7 @@
 	return list
 }
 
-// Specs lists the workers, named w0 and up.
+// Specs returns the workers, with IDs from w0 up.
 func (i Inventory) Specs() []scheduler.WorkerSpec {
 	specs := make([]scheduler.WorkerSpec, 0, i.Workers)
 	for n := range i.Workers {
