--- a/hlc/hlc.go
+++ b/hlc/hlc.go
@@ -1,5 +1,5 @@
-// Package hlc owns the hybrid logical clock that orders events of all
-// processes: wall milliseconds and a counter that never run backwards.
+// Package hlc implements the hybrid logical clock that orders the events of all
+// processes: wall-clock milliseconds and a counter, which never go backwards.
 package hlc
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Stamp is one reading. Stamps compare first by WallMS, then by Counter.
+// Stamp is a reading of a clock. Stamps compare first by WallMS, then by Counter.
 type Stamp struct {
 	WallMS  int64  `json:"wall_ms"`
 	Counter uint32 `json:"counter"`
@@ -21,20 +21,20 @@
 	return s.Counter < other.Counter
 }
 
-// Clock gives stamps that exceed every stamp it gave or saw. It is safe for
-// concurrent use.
+// Clock issues stamps later than every stamp that it issued or observed before. It
+// is safe for concurrent use.
 type Clock struct {
 	mu   sync.Mutex
 	last Stamp
 	now  func() time.Time
 }
 
-// New returns a clock over the given wall clock.
+// New returns a clock that reads wall time from now.
 func New(now func() time.Time) *Clock {
 	return &Clock{now: now}
 }
 
-// Now returns a stamp later than all before it.
+// Now returns a stamp later than all earlier ones.
 func (c *Clock) Now() Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,11 +47,11 @@
 	return c.last
 }
 
-// Observe takes in a stamp from another process, so that later readings exceed it.
-func (c *Clock) Observe(seen Stamp) {
+// Observe merges a stamp of another process, so that later stamps exceed it.
+func (c *Clock) Observe(stamp Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.last.Before(seen) {
-		c.last = seen
+	if c.last.Before(stamp) {
+		c.last = stamp
 	}
 }
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -1,5 +1,5 @@
-// Package instance owns one entry instance: it joins the decisions of the pure
-// packages to the outside by duties, one goroutine each.
+// Package instance implements an entry instance. Its duties, one goroutine each,
+// perform the I/O for the decisions that the pure packages make.
 package instance
 
 import (
@@ -28,41 +28,42 @@
 	"github.com/teaselcleat/teaselcleat/worker"
 )
 
-// lostAfter is how long an instance is silent before its claims count as held by nobody.
+// lostAfter is the time without a message after which an instance counts as lost, so
+// that its open claims may be closed.
 const lostAfter = 15 * time.Second
 
-// Instance is one entry instance. It implements service.Service.
+// Instance is an entry instance. It implements service.Service.
 type Instance struct {
-	settings *settings.Settings
-	boot     int64
-	holder   string
-	log      *logrus.Entry
-	events   *timeline.Recorder
-	registry metrics.Registry
-	now      func() time.Time
-	started  time.Time
-
-	platformLog logstream.Log
-	list        membership.InstanceList
-	runner      upstream.Runner
-	workers     worker.Client
+	settings  *settings.Settings
+	boot      int64
+	identity  string
+	log       *logrus.Entry
+	events    *timeline.Recorder
+	registry  metrics.Registry
+	now       func() time.Time
+	startedAt time.Time
+
+	platformLog  logstream.Log
+	instanceList membership.InstanceList
+	runner       upstream.Runner
+	workerClient worker.Client
 
 	replica       *replica.Replica
 	ledgerWriter  *logstream.Writer
 	refusalWriter *logstream.Writer
-	ledgerTail    *logstream.Tailer
-	targetsTail   *logstream.Tailer
+	ledgerTailer  *logstream.Tailer
+	targetsTailer *logstream.Tailer
 	link          *peers.Link
-	bridge        *bridge
-	roster        *roster
-	dispatch      *dispatcher
+	peerSync      *peerSync
+	listPoller    *listPoller
+	slots         *slotAllocator
 	placer        *placer
-	refusals      *refusalBook
+	refusals      *refusalLog
 
-	restored    atomic.Bool  // the newest snapshot was looked for
-	snapshotAge atomic.Int64 // milliseconds, if started from a peer's snapshot
-	draining    atomic.Bool
-	inFlight    atomic.Int64
+	restored      atomic.Bool  // a snapshot was restored at start, or none exists
+	snapshotAgeMS atomic.Int64 // age of the snapshot of a peer that was restored at start; 0 if none was
+	draining      atomic.Bool
+	inFlight      atomic.Int64
 
 	kernel       *kernel.Kernel
 	httpListener net.Listener
@@ -70,22 +71,22 @@
 	server       *http.Server
 }
 
-// New builds an instance from checked settings and opens its two listeners. The
+// New builds an instance from validated settings and opens its two listeners. The
 // adapters named in the settings must be registered.
 func New(s *settings.Settings, log *logrus.Logger) (*Instance, error) {
 	now := time.Now
 	boot := now().UnixMilli()
 	entry := log.WithField("instance", s.Name)
 	i := &Instance{
-		settings: s,
-		boot:     boot,
-		holder:   s.Name + "/" + strconv.FormatInt(boot, 10),
-		log:      entry,
-		events:   timeline.NewRecorder(s.Name, hlc.New(now), s.TimelineEvents),
-		registry: metrics.NewRegistry(),
-		now:      now,
-		started:  now(),
-		kernel:   kernel.New(entry),
+		settings:  s,
+		boot:      boot,
+		identity:  s.Name + "/" + strconv.FormatInt(boot, 10),
+		log:       entry,
+		events:    timeline.NewRecorder(s.Name, hlc.New(now), s.TimelineEvents),
+		registry:  metrics.NewRegistry(),
+		now:       now,
+		startedAt: now(),
+		kernel:    kernel.New(entry),
 	}
 	if err := i.openAdapters(); err != nil {
 		return nil, err
@@ -103,13 +104,13 @@
 	if i.platformLog, err = kernel.Open[logstream.Log](env, kernel.PointLog, i.settings.Adapter); err != nil {
 		return err
 	}
-	if i.list, err = kernel.Open[membership.InstanceList](env, kernel.PointInstanceList, i.settings.Adapter); err != nil {
+	if i.instanceList, err = kernel.Open[membership.InstanceList](env, kernel.PointInstanceList, i.settings.Adapter); err != nil {
 		return err
 	}
 	if i.runner, err = kernel.Open[upstream.Runner](env, kernel.PointRunner, i.settings.Adapter); err != nil {
 		return err
 	}
-	i.workers, err = kernel.Open[worker.Client](env, kernel.PointWorker, i.settings.Adapter)
+	i.workerClient, err = kernel.Open[worker.Client](env, kernel.PointWorker, i.settings.Adapter)
 	return err
 }
 
@@ -126,16 +127,16 @@
 }
 
 func (i *Instance) build() {
-	i.replica = replica.New(i.holder)
+	i.replica = replica.New(i.identity)
 	i.ledgerWriter = logstream.NewWriter(i.platformLog, logstream.StreamLedger, logstream.PromptInterval, i.settings.PendingRecords, i.registry)
 	i.refusalWriter = logstream.NewWriter(i.platformLog, logstream.StreamRefusals, logstream.PatientInterval, i.settings.PendingRecords, i.registry)
-	i.ledgerTail = logstream.NewTailer(i.platformLog, logstream.StreamLedger, i.replica.LedgerSink(), i.now)
-	i.targetsTail = logstream.NewTailer(i.platformLog, logstream.StreamTargets, i.replica.TargetsSink(), i.now)
-	i.refusals = newRefusalBook(i.refusalWriter, i.holder)
-	i.dispatch = newDispatcher(rand.Uint64())
-	i.bridge = newBridge(i)
-	i.link = peers.New(i.settings.Name, i.boot, i.events.Clock(), i.bridge.handle, i.log, i.now)
-	i.roster = newRoster(i)
+	i.ledgerTailer = logstream.NewTailer(i.platformLog, logstream.StreamLedger, i.replica.LedgerSink(), i.now)
+	i.targetsTailer = logstream.NewTailer(i.platformLog, logstream.StreamTargets, i.replica.TargetsSink(), i.now)
+	i.refusals = newRefusalLog(i.refusalWriter, i.identity)
+	i.slots = newSlotAllocator(rand.Uint64())
+	i.peerSync = newPeerSync(i)
+	i.link = peers.New(i.settings.Name, i.boot, i.events.Clock(), i.peerSync.handle, i.log, i.now)
+	i.listPoller = newListPoller(i)
 	i.placer = newPlacer(i)
 	i.replica.Observe(i)
 	i.server = &http.Server{Handler: fronthttp.Handler(i, i.registry), ReadHeaderTimeout: 10 * time.Second}
@@ -144,14 +145,14 @@
 
 func (i *Instance) addDuties() {
 	i.kernel.AddDuty("peer_listener", func(ctx context.Context) { i.link.Serve(ctx, i.peerListener) })
-	i.kernel.AddDuty("roster", i.roster.run)
+	i.kernel.AddDuty("roster", i.listPoller.run)
 	i.kernel.AddDuty("ledger_writer", i.ledgerWriter.Run)
 	i.kernel.AddDuty("refusal_writer", i.refusalWriter.Run)
 	i.kernel.AddDuty("streams", i.readStreams)
-	i.kernel.AddDuty("dispatcher", i.dispatch.run)
-	i.kernel.AddDuty("bridge", i.bridge.run)
+	i.kernel.AddDuty("dispatcher", i.slots.run)
+	i.kernel.AddDuty("bridge", i.peerSync.run)
 	i.kernel.AddDuty("placer", i.placer.run)
-	i.kernel.AddDuty("keeper", newKeeper(i).run)
+	i.kernel.AddDuty("keeper", newMaintainer(i).run)
 	i.kernel.AddDrainer("requests", i.drainRequests)
 	i.kernel.AddDrainer("placer", i.placer.drain)
 	i.kernel.AddDrainer("ledger_writer", i.ledgerWriter.Flush)
@@ -169,14 +170,14 @@
 	i.log.WithField("http", i.HTTPAddress()).WithField("peer", i.PeerAddress()).WithField("boot", i.boot).Info("instance_started")
 }
 
-// HTTPAddress is the address the front listens on.
+// HTTPAddress returns the address of the HTTP listener.
 func (i *Instance) HTTPAddress() string { return i.httpListener.Addr().String() }
 
-// PeerAddress is the address the peer link listens on.
+// PeerAddress returns the address of the listener for peers.
 func (i *Instance) PeerAddress() string { return i.peerListener.Addr().String() }
 
-// Stop drains and ends the instance. It reports whether everything in progress
-// ended within the settings' time.
+// Stop drains and stops the instance. It reports whether all work in progress ended
+// within the drain timeout of the settings.
 func (i *Instance) Stop() bool {
 	i.draining.Store(true)
 	i.log.Info("draining")
@@ -192,16 +193,16 @@
 	return clean
 }
 
-// Kill ends the instance without draining, as a crash would; for tests and the
-// dev command.
+// Kill stops the instance without draining, as a crash would. Tests and the dev
+// command use it.
 func (i *Instance) Kill() {
 	i.server.Close()
 	i.kernel.Stop()
 }
 
-// drainRequests waits until no request is in progress. The instance keeps
-// serving callers meanwhile, since the balancer may not have noticed yet; new
-// requests are refused as not run.
+// drainRequests waits until no request is in progress. Meanwhile the instance still
+// accepts connections, as the load balancer may not have removed it yet, and refuses
+// new requests as not run.
 func (i *Instance) drainRequests(ctx context.Context) error {
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
@@ -215,21 +216,21 @@
 	return nil
 }
 
-// ready reports whether the folds are usable: read to the end, or taken from a
-// peer while the log is out.
+// ready reports whether the folded state is usable: the streams are read to the end,
+// or the state was restored from a peer during an outage of the log.
 func (i *Instance) ready() bool {
 	if i.replica.Gap() {
 		return false
 	}
-	return i.snapshotAge.Load() > 0 || (i.ledgerTail.CaughtUp() && i.targetsTail.CaughtUp())
+	return i.snapshotAgeMS.Load() > 0 || (i.ledgerTailer.CaughtUp() && i.targetsTailer.CaughtUp())
 }
 
-// logAvailable reports whether appends are answered and the fold is fresh
-// enough for them to be read back.
+// logAvailable reports whether appends are acknowledged and reads are recent enough
+// for appended records to be read back.
 func (i *Instance) logAvailable() bool {
-	tail := i.ledgerTail
-	return i.ledgerWriter.Available() && tail.CaughtUp() && !tail.Failing() && tail.Staleness() < staleAfter
+	tailer := i.ledgerTailer
+	return i.ledgerWriter.Available() && tailer.CaughtUp() && !tailer.Failing() && tailer.Staleness() < staleAfter
 }
 
-// staleAfter is how long a healthy long poll may go unanswered.
+// staleAfter bounds the time without a successful read while long polls are healthy.
 const staleAfter = 4 * time.Second
--- a/instance/jobs.go
+++ b/instance/jobs.go
@@ -18,48 +18,49 @@
 	"github.com/teaselcleat/teaselcleat/timeline"
 )
 
-// pollFold is how often a waiting caller looks at the fold.
-const pollFold = 5 * time.Millisecond
+// foldPollInterval is the interval at which a waiting caller polls the fold.
+const foldPollInterval = 5 * time.Millisecond
 
 // SubmitJob implements service.Service.
 func (i *Instance) SubmitJob(ctx context.Context, request service.JobRequest) structs.Reply {
 	i.inFlight.Add(1)
 	defer i.inFlight.Add(-1)
 	job, reply := i.admitJob(request)
-	if reply != nil && i.knowsJob(request) {
+	if reply != nil && i.jobExists(request) {
 		return structs.Reply{Outcome: structs.OutcomeAccepted, ID: jobID(structs.KeyID{Workspace: request.Workspace, Key: request.Key})}
 	}
 	if reply != nil {
 		return i.refuseJob(request, *reply)
 	}
 	if existing := i.replica.Job(job.ID); existing != nil {
-		return i.sameJob(request, job, existing)
+		return i.replyToDuplicate(request, job, existing)
 	}
-	ruled := i.replica.AwaitSubmit(job.ID)
-	gaveUp := make(chan struct{})
-	defer close(gaveUp)
-	if !i.appendRecord(&structs.Record{Kind: structs.RecordSubmit, Submit: job}, closed(gaveUp)) {
-		return i.refuseJob(request, structs.Reply{Outcome: structs.OutcomeNotRun, Reason: structs.ReasonLogUnavailable, RetryAfter: retryRefused})
+	results := i.replica.AwaitSubmit(job.ID)
+	finished := make(chan struct{})
+	defer close(finished)
+	if !i.appendRecord(&structs.Record{Kind: structs.RecordSubmit, Submit: job}, isClosed(finished)) {
+		return i.refuseJob(request, structs.Reply{Outcome: structs.OutcomeNotRun, Reason: structs.ReasonLogUnavailable, RetryAfter: refusedRetryAfter})
 	}
 	select {
-	case why := <-ruled:
-		return i.submitRuled(request, job, why)
+	case reason := <-results:
+		return i.replyToSubmit(request, job, reason)
 	case <-time.After(i.settings.ClaimWait):
 	case <-ctx.Done():
 	}
-	// The submission may stand in the log after all; a retry with the same key
-	// finds it there or submits it, so nothing is cancelled here.
+	// The submission may still reach the log; a retry with the same key finds or
+	// repeats it, so that nothing is cancelled here.
 	return i.refuseJob(request, structs.Reply{Outcome: structs.OutcomeUnknown, Reason: structs.ReasonLogUnavailable, ID: job.ID, RetryAfter: 2 * time.Second})
 }
 
-// knowsJob reports whether the very same job is durable already. It is then not
-// refused, though this instance may be unable to take on a new one.
-func (i *Instance) knowsJob(request service.JobRequest) bool {
+// jobExists reports whether the same job is already durable. Its submission is then
+// accepted even if this instance cannot accept new jobs.
+func (i *Instance) jobExists(request service.JobRequest) bool {
 	existing := i.replica.Job(jobID(structs.KeyID{Workspace: request.Workspace, Key: request.Key}))
-	return existing != nil && existing.Job.Digest == digestOf(request)
+	return existing != nil && existing.Job.Digest == jobDigest(request)
 }
 
-func closed(channel <-chan struct{}) func() bool {
+// isClosed returns a function that reports whether the channel is closed.
+func isClosed(channel <-chan struct{}) func() bool {
 	return func() bool {
 		select {
 		case <-channel:
@@ -70,8 +71,8 @@
 	}
 }
 
-func (i *Instance) submitRuled(request service.JobRequest, job *structs.Job, why ledger.VoidReason) structs.Reply {
-	switch why {
+func (i *Instance) replyToSubmit(request service.JobRequest, job *structs.Job, reason ledger.VoidReason) structs.Reply {
+	switch reason {
 	case ledger.VoidNone:
 		i.events.Add("job_accepted", job.ID, job.Key.Workspace, job.Shape.String())
 		return structs.Reply{Outcome: structs.OutcomeAccepted, ID: job.ID}
@@ -81,13 +82,13 @@
 		return i.refuseJob(request, structs.Reply{Outcome: structs.OutcomeNotRun, Reason: structs.ReasonJobTableFull, RetryAfter: time.Minute})
 	}
 	if existing := i.replica.Job(job.ID); existing != nil {
-		return i.sameJob(request, job, existing)
+		return i.replyToDuplicate(request, job, existing)
 	}
 	return i.refuseJob(request, structs.Reply{Outcome: structs.OutcomeNotRun, Reason: structs.ReasonKeyExpired})
 }
 
-// sameJob answers a submission whose key was used before.
-func (i *Instance) sameJob(request service.JobRequest, job *structs.Job, existing *ledger.JobEntry) structs.Reply {
+// replyToDuplicate answers a submission whose key was used before.
+func (i *Instance) replyToDuplicate(request service.JobRequest, job *structs.Job, existing *ledger.JobEntry) structs.Reply {
 	if existing.Job.Digest != job.Digest {
 		return i.refuseJob(request, structs.Reply{Outcome: structs.OutcomeNotRun, Reason: structs.ReasonKeyConflict})
 	}
@@ -103,19 +104,19 @@
 	return reply
 }
 
-// admitJob checks what can be judged at once.
+// admitJob performs the checks that need no append.
 func (i *Instance) admitJob(request service.JobRequest) (*structs.Job, *structs.Reply) {
 	refuse := func(reason structs.Reason, retryAfter time.Duration, detail string) (*structs.Job, *structs.Reply) {
 		return nil, &structs.Reply{Outcome: structs.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter, Detail: detail}
 	}
 	switch {
 	case i.draining.Load():
-		return refuse(structs.ReasonDraining, retryRefused, "")
+		return refuse(structs.ReasonDraining, refusedRetryAfter, "")
 	case !i.ready():
-		return refuse(structs.ReasonNotReady, retryRefused, "")
+		return refuse(structs.ReasonNotReady, refusedRetryAfter, "")
 	case !i.logAvailable():
-		return refuse(structs.ReasonLogUnavailable, retryRefused, "")
-	case !plainName(request.Key, false):
+		return refuse(structs.ReasonLogUnavailable, refusedRetryAfter, "")
+	case !validKey(request.Key, false):
 		return refuse(structs.ReasonBadRequest, 0, "key must be 1 to 128 printable characters without spaces or slashes")
 	case len(request.Payload) > service.MaxPayloadBytes:
 		return refuse(structs.ReasonTooLarge, 0, "payload is over the limit")
@@ -125,33 +126,33 @@
 	if err := request.Shape.Validate(); err != nil {
 		return refuse(structs.ReasonBadRequest, 0, err.Error())
 	}
-	inForce, _ := i.replica.Targets()
-	class, known := inForce.Classes[request.Class]
-	if !known {
+	current, _ := i.replica.Targets()
+	class, exists := current.Classes[request.Class]
+	if !exists {
 		return refuse(structs.ReasonUnknownClass, 0, "")
 	}
-	if _, known := inForce.Workspaces[request.Workspace]; !known {
+	if _, exists := current.Workspaces[request.Workspace]; !exists {
 		return refuse(structs.ReasonUnknownWorkspace, 0, "")
 	}
-	if workers := i.workerSpecs(); len(workers) > 0 {
-		judged := scheduler.JobSpec{Workspace: request.Workspace, Class: request.Class, Shape: request.Shape, Idempotent: class.Idempotent}
-		if why := scheduler.Unholdable(workers, inForce, judged); why != "" {
-			return refuse(structs.ReasonImpossibleShape, 0, why)
+	if workers := i.listedWorkerSpecs(); len(workers) > 0 {
+		spec := scheduler.JobSpec{Workspace: request.Workspace, Class: request.Class, Shape: request.Shape, Idempotent: class.Idempotent}
+		if problem := scheduler.Unholdable(workers, current, spec); problem != "" {
+			return refuse(structs.ReasonImpossibleShape, 0, problem)
 		}
 	}
 	key := structs.KeyID{Workspace: request.Workspace, Key: request.Key}
 	return &structs.Job{
 		ID: jobID(key), Key: key, Class: request.Class, Shape: request.Shape, DeclaredS: request.DeclaredS,
-		SubmitMS: i.now().UnixMilli(), Digest: digestOf(request), Payload: request.Payload, Idempotent: class.Idempotent,
+		SubmitMS: i.now().UnixMilli(), Digest: jobDigest(request), Payload: request.Payload, Idempotent: class.Idempotent,
 	}, nil
 }
 
-// jobID is the same for the same workspace and key at every instance.
+// jobID derives the job's identifier, the same at every instance, from workspace and key.
 func jobID(key structs.KeyID) string {
 	return "j" + strconv.FormatUint(xxhash.Sum64String(key.Workspace+"\x00"+key.Key), 36)
 }
 
-func digestOf(request service.JobRequest) uint64 {
+func jobDigest(request service.JobRequest) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s\x00%v\x00%d\x00%s", request.Class, request.Shape, request.DeclaredS, request.Payload))
 }
 
@@ -175,18 +176,18 @@
 		return structs.Reply{Outcome: structs.OutcomeNotRun, Reason: structs.ReasonNotFound}
 	}
 	if !i.logAvailable() {
-		return structs.Reply{Outcome: structs.OutcomeNotRun, Reason: structs.ReasonLogUnavailable, RetryAfter: retryRefused}
+		return structs.Reply{Outcome: structs.OutcomeNotRun, Reason: structs.ReasonLogUnavailable, RetryAfter: refusedRetryAfter}
 	}
 	i.appendRecord(&structs.Record{Kind: structs.RecordCancel, Cancel: &structs.Cancel{Job: id}}, nil)
 	ctx, cancel := context.WithTimeout(ctx, i.settings.ClaimWait)
 	defer cancel()
-	for logstream.Sleep(ctx, pollFold) {
+	for logstream.Sleep(ctx, foldPollInterval) {
 		entry = i.replica.Job(id)
 		if entry == nil || entry.Cancelled || entry.Phase == ledger.JobEnded {
 			return structs.Reply{Outcome: structs.OutcomeAccepted, ID: id}
 		}
 	}
-	return structs.Reply{Outcome: structs.OutcomeUnknown, Reason: structs.ReasonLogUnavailable, RetryAfter: retryRefused}
+	return structs.Reply{Outcome: structs.OutcomeUnknown, Reason: structs.ReasonLogUnavailable, RetryAfter: refusedRetryAfter}
 }
 
 // Targets implements service.Service.
@@ -195,8 +196,8 @@
 	return service.Document{Version: version, Text: text}
 }
 
-// Propose implements service.Service. What can be judged before the proposal is
-// published is judged here; whose proposal comes first is the log's word.
+// Propose implements service.Service. It validates the proposal before publishing; the
+// order of the log decides between concurrent proposals.
 func (i *Instance) Propose(ctx context.Context, proposal service.Document) (structs.Reply, int64) {
 	_, version := i.replica.Document()
 	refuse := func(reason structs.Reason, detail string) (structs.Reply, int64) {
@@ -209,28 +210,28 @@
 	if proposal.Version != version {
 		return refuse(structs.ReasonVersionConflict, "the version in force is "+strconv.FormatInt(version, 10))
 	}
-	if workers := i.workerSpecs(); len(workers) > 0 {
+	if workers := i.listedWorkerSpecs(); len(workers) > 0 {
 		if unfit := scheduler.CheckGuarantees(workers, parsed); len(unfit) > 0 {
 			return refuse(structs.ReasonGuaranteeUnfit, fmt.Sprintf("workspace %q: %s does not fit beside the other guarantees", unfit[0].Workspace, unfit[0].Shape))
 		}
 	}
 	id := i.newID()
-	ruled := i.replica.AwaitProposal(id)
+	decisions := i.replica.AwaitProposal(id)
 	data, err := json.Marshal(structs.Proposal{ID: id, Base: proposal.Version, Document: proposal.Text, AtMS: i.now().UnixMilli()})
 	if err != nil {
 		return refuse(structs.ReasonInvalidTargets, err.Error())
 	}
-	return i.publish(ctx, data, ruled, version)
+	return i.publish(ctx, data, decisions, version)
 }
 
-// publish appends a proposal and waits for the fold's ruling. An unanswered
-// append is not repeated: the fold shows whether it took effect.
-func (i *Instance) publish(ctx context.Context, data []byte, ruled <-chan targets.Decision, version int64) (structs.Reply, int64) {
+// publish appends a proposal and waits for the decision of the fold. An append without
+// an answer is not repeated: the fold shows whether it took effect.
+func (i *Instance) publish(ctx context.Context, data []byte, decisions <-chan targets.Decision, version int64) (structs.Reply, int64) {
 	ctx, cancel := context.WithTimeout(ctx, i.settings.ClaimWait)
 	defer cancel()
 	_, appendErr := i.platformLog.Append(ctx, logstream.StreamTargets, [][]byte{data})
 	select {
-	case decision := <-ruled:
+	case decision := <-decisions:
 		if decision.Accepted {
 			i.events.Add("targets_accepted", strconv.FormatInt(decision.Version, 10), "", "")
 			return structs.Reply{Outcome: structs.OutcomeAccepted}, decision.Version
@@ -242,22 +243,22 @@
 	if appendErr != nil {
 		detail = "the log did not answer; look at the version in force before proposing again"
 	}
-	return structs.Reply{Outcome: structs.OutcomeUnknown, Reason: structs.ReasonLogUnavailable, Detail: detail, RetryAfter: retryRefused}, version
+	return structs.Reply{Outcome: structs.OutcomeUnknown, Reason: structs.ReasonLogUnavailable, Detail: detail, RetryAfter: refusedRetryAfter}, version
 }
 
-func (i *Instance) workerSpecs() []scheduler.WorkerSpec {
-	workers, _ := i.roster.Workers()
-	return specsOf(workers)
+func (i *Instance) listedWorkerSpecs() []scheduler.WorkerSpec {
+	workers, _ := i.listPoller.Workers()
+	return workerSpecs(workers)
 }
 
-// Refusals implements service.Service by reading what the log retains.
+// Refusals implements service.Service by reading the retained part of the log.
 func (i *Instance) Refusals(ctx context.Context, workspace string) ([]structs.Refusal, error) {
 	seen := map[string]bool{}
 	list := []structs.Refusal{}
 	err := logstream.ReadAll(ctx, i.platformLog, logstream.StreamRefusals, func(data []byte) {
 		var refusal structs.Refusal
 		if json.Unmarshal(data, &refusal) != nil || refusal.ID == "" || seen[refusal.ID] {
-			return // a probe, or a copy that two instances wrote
+			return // a probe, or a duplicate that another instance wrote
 		}
 		seen[refusal.ID] = true
 		if workspace == "" || refusal.Workspace == workspace {
@@ -278,7 +279,7 @@
 	term := i.replica.Term()
 	return service.Status{
 		Name: i.settings.Name, Boot: i.boot, Ready: i.ready(), Draining: i.draining.Load(), TargetsVersion: version,
-		Term: term.Number, TermHolder: term.Holder, LogAvailable: i.logAvailable(), SnapshotAgeMS: i.snapshotAge.Load(),
+		Term: term.Number, TermHolder: term.Holder, LogAvailable: i.logAvailable(), SnapshotAgeMS: i.snapshotAgeMS.Load(),
 	}
 }
 
--- a/instance/refusals.go
+++ b/instance/refusals.go
@@ -9,29 +9,29 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// refusalBook hands every refusal to the refusals stream. When its bound is
-// reached the number of refusals that could not be kept is itself recorded.
-type refusalBook struct {
-	writer  *logstream.Writer
-	holder  string
-	seq     atomic.Int64
-	mu      sync.Mutex
-	dropped int64
+// refusalLog passes every refusal to the writer of the refusals stream. If the queue of
+// the writer is full, refusals are dropped; the next one that fits records their number.
+type refusalLog struct {
+	writer   *logstream.Writer
+	identity string
+	seq      atomic.Int64
+	mu       sync.Mutex
+	dropped  int64
 }
 
-func newRefusalBook(writer *logstream.Writer, holder string) *refusalBook {
-	return &refusalBook{writer: writer, holder: holder}
+func newRefusalLog(writer *logstream.Writer, identity string) *refusalLog {
+	return &refusalLog{writer: writer, identity: identity}
 }
 
-func (b *refusalBook) add(refusal structs.Refusal) {
-	refusal.ID = b.holder + "/" + strconv.FormatInt(b.seq.Add(1), 10)
-	refusal.Instance = b.holder
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	refusal.Dropped = b.dropped
-	if b.writer.OfferJSON(refusal, nil) {
-		b.dropped = 0
+func (l *refusalLog) add(refusal structs.Refusal) {
+	refusal.ID = l.identity + "/" + strconv.FormatInt(l.seq.Add(1), 10)
+	refusal.Instance = l.identity
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	refusal.Dropped = l.dropped
+	if l.writer.OfferJSON(refusal, nil) {
+		l.dropped = 0
 		return
 	}
-	b.dropped++
+	l.dropped++
 }
--- a/instance/requests.go
+++ b/instance/requests.go
@@ -18,19 +18,19 @@
 	"github.com/teaselcleat/teaselcleat/upstream"
 )
 
-// retryRefused is told to callers that are refused before anything was tried.
-const retryRefused = time.Second
+// refusedRetryAfter is returned to callers that are refused before any attempt.
+const refusedRetryAfter = time.Second
 
 // Request implements service.Service.
 func (i *Instance) Request(ctx context.Context, request service.Request) requests.Finish {
 	i.inFlight.Add(1)
 	defer i.inFlight.Add(-1)
-	arrived := i.now()
-	spec, refusal := i.admitRequest(request, arrived)
+	arrivedAt := i.now()
+	spec, refusal := i.admitRequest(request, arrivedAt)
 	if refusal != nil {
-		truthful := i.truthful(request, *refusal)
-		i.recordFinish(request, truthful)
-		return truthful
+		resolved := i.resolveRefusal(request, *refusal)
+		i.recordFinish(request, resolved)
+		return resolved
 	}
 	execution := &execution{
 		instance: i,
@@ -40,16 +40,16 @@
 		events:   make(chan requests.Event, 4),
 	}
 	finish := execution.run(ctx)
-	metrics.GetOrRegisterTimer("request.time."+request.Class, i.registry).UpdateSince(arrived)
+	metrics.GetOrRegisterTimer("request.time."+request.Class, i.registry).UpdateSince(arrivedAt)
 	i.recordFinish(request, finish)
 	return finish
 }
 
-// truthful replaces a refusal of a request whose key is already known by what
-// became of that key: work that ran is never called not run because this
-// instance cannot take it on now. Before the folds are read nothing is known of
-// any key, so that a request with one is refused as unknown.
-func (i *Instance) truthful(request service.Request, refusal requests.Finish) requests.Finish {
+// resolveRefusal replaces the refusal of a request by the state of its key if the key
+// is in the ledger: work that ran is never reported as not run because this instance
+// cannot accept it now. Before the folds are read the state of no key is known, so
+// that a request with a key is refused as unknown.
+func (i *Instance) resolveRefusal(request service.Request, refusal requests.Finish) requests.Finish {
 	if request.Key == "" {
 		return refusal
 	}
@@ -61,50 +61,50 @@
 	if entry == nil || entry.Phase == ledger.KeyReleased {
 		return refusal
 	}
-	lost := entry.Phase == ledger.KeyOpen && i.holderLost(entry.Claim)
+	lost := entry.Phase == ledger.KeyOpen && i.claimHolderLost(entry.Claim)
 	return requests.AnswerOf(entry, request.Class, xxhash.Sum64(request.Body), lost)
 }
 
-// admitRequest checks what can be judged before the request's own machine runs.
-func (i *Instance) admitRequest(request service.Request, arrived time.Time) (*requests.Spec, *requests.Finish) {
+// admitRequest performs the checks that precede the state machine of a request.
+func (i *Instance) admitRequest(request service.Request, arrivedAt time.Time) (*requests.Spec, *requests.Finish) {
 	refuse := func(reason structs.Reason, retryAfter time.Duration) (*requests.Spec, *requests.Finish) {
 		return nil, &requests.Finish{Outcome: structs.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter}
 	}
 	switch {
 	case i.draining.Load():
-		return refuse(structs.ReasonDraining, retryRefused)
+		return refuse(structs.ReasonDraining, refusedRetryAfter)
 	case !i.ready():
-		return refuse(structs.ReasonNotReady, retryRefused)
+		return refuse(structs.ReasonNotReady, refusedRetryAfter)
 	case i.inFlight.Load() > int64(i.settings.MaxInFlight):
-		return refuse(structs.ReasonQueueFull, retryRefused)
+		return refuse(structs.ReasonQueueFull, refusedRetryAfter)
 	}
-	inForce, _ := i.replica.Targets()
-	class, known := inForce.Classes[request.Class]
-	if !known {
+	current, _ := i.replica.Targets()
+	class, exists := current.Classes[request.Class]
+	if !exists {
 		return refuse(structs.ReasonUnknownClass, 0)
 	}
-	if _, known := inForce.Workspaces[request.Workspace]; !known {
+	if _, exists := current.Workspaces[request.Workspace]; !exists {
 		return refuse(structs.ReasonUnknownWorkspace, 0)
 	}
-	if !plainName(request.Key, class.Idempotent) {
+	if !validKey(request.Key, class.Idempotent) {
 		return refuse(structs.ReasonBadRequest, 0)
 	}
 	if !class.Idempotent && !i.logAvailable() {
-		return refuse(structs.ReasonLogUnavailable, retryRefused)
+		return refuse(structs.ReasonLogUnavailable, refusedRetryAfter)
 	}
 	return &requests.Spec{
 		Key:        structs.KeyID{Workspace: request.Workspace, Key: request.Key},
 		Class:      request.Class,
 		Idempotent: class.Idempotent,
 		Digest:     xxhash.Sum64(request.Body),
-		Deadline:   arrived.Add(class.FinishWithin),
+		Deadline:   arrivedAt.Add(class.FinishWithin),
 	}, nil
 }
 
-// plainName reports whether a key can stand in headers, paths and logs.
-func plainName(key string, mayBeEmpty bool) bool {
+// validKey reports whether a key can be used in headers, paths and logs.
+func validKey(key string, allowEmpty bool) bool {
 	if key == "" {
-		return mayBeEmpty
+		return allowEmpty
 	}
 	for _, r := range key {
 		if r <= ' ' || r > '~' || r == '/' {
@@ -115,10 +115,11 @@
 }
 
 func (i *Instance) newID() string {
-	return i.holder + "/" + strconv.FormatInt(i.refusals.seq.Add(1), 36)
+	return i.identity + "/" + strconv.FormatInt(i.refusals.seq.Add(1), 36)
 }
 
-// recordFinish keeps every final answer that is not a run one for the record.
+// recordFinish counts a result, and records it as a refusal unless the request ran or
+// is still in progress.
 func (i *Instance) recordFinish(request service.Request, finish requests.Finish) {
 	metrics.GetOrRegisterCounter("request.outcome."+string(finish.Outcome), i.registry).Inc(1)
 	if finish.Outcome == structs.OutcomeRan {
@@ -136,27 +137,28 @@
 	})
 }
 
-// execution carries out the actions of one request's machine.
+// execution executes the actions of the state machine of one request.
 type execution struct {
 	instance *Instance
 	request  service.Request
 	spec     requests.Spec
 	id       string
 	machine  *requests.Machine
-	cancel   context.CancelFunc // of what is being waited for
-	gaveUp   chan struct{}      // closed when the request has its final answer
+	cancel   context.CancelFunc // of the action in progress
+	finished chan struct{}      // closed when the request has its final result
 
 	mu     sync.Mutex
-	events chan requests.Event // holds at most one, as the machine awaits one at a time
+	events chan requests.Event // holds at most one, as the machine waits for one at a time
 	ended  bool
 }
 
-// post passes an event to the machine. A slot granted too late is returned.
+// post passes an event to the machine. If the request has ended, a granted slot is
+// returned.
 func (e *execution) post(event requests.Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ended {
-		e.undo(event)
+		e.releaseGrant(event)
 		return
 	}
 	e.events <- event
@@ -166,27 +168,27 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ended = true
-	close(e.gaveUp)
+	close(e.finished)
 	select {
 	case event := <-e.events:
-		e.undo(event)
+		e.releaseGrant(event)
 	default:
 	}
 }
 
-func (e *execution) undo(event requests.Event) {
-	if picked, ok := event.(requests.RunnerPicked); ok {
-		e.instance.dispatch.unused(picked.Runner)
+func (e *execution) releaseGrant(event requests.Event) {
+	if pick, ok := event.(requests.RunnerPicked); ok {
+		e.instance.slots.releaseUnused(pick.Runner)
 	}
 }
 
-// run drives the machine to its end. A caller that goes away ends only requests
-// that may be repeated; others go on, so that the caller's retry finds the answer.
+// run steps the machine until it finishes. If the caller disconnects, only idempotent
+// requests end; others continue, so that a retry of the caller finds the result.
 func (e *execution) run(ctx context.Context) requests.Finish {
-	e.gaveUp = make(chan struct{})
+	e.finished = make(chan struct{})
 	defer e.end()
 	e.machine = requests.New(e.spec, e.id)
-	e.instance.dispatch.countRequest()
+	e.instance.slots.countRequest()
 	deadline := time.NewTimer(time.Until(e.spec.Deadline))
 	defer deadline.Stop()
 	callerGone := ctx.Done()
@@ -195,7 +197,7 @@
 	}
 	actions := e.machine.Step(requests.Started{}, time.Now())
 	for {
-		if finish, done := e.carryOut(actions); done {
+		if finish, finished := e.runActions(actions); finished {
 			return finish
 		}
 		var event requests.Event
@@ -210,23 +212,23 @@
 	}
 }
 
-func (e *execution) carryOut(actions []requests.Action) (requests.Finish, bool) {
+func (e *execution) runActions(actions []requests.Action) (requests.Finish, bool) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case requests.AppendClaim:
-			e.start(e.claim)
+			e.startAction(e.claimKey)
 		case requests.Pick:
-			e.pick(a.Exclude)
+			e.pickRunner(a.Exclude)
 		case requests.Send:
-			e.start(func(ctx context.Context) { e.send(ctx, a) })
+			e.startAction(func(ctx context.Context) { e.sendAttempt(ctx, a) })
 		case requests.Abandon:
 			if e.cancel != nil {
 				e.cancel()
 			}
 		case requests.AppendRelease:
-			e.release(a)
+			e.appendRelease(a)
 		case requests.AppendComplete:
-			e.complete(a)
+			e.appendComplete(a)
 		case requests.Finish:
 			return a, true
 		}
@@ -234,35 +236,35 @@
 	return requests.Finish{}, false
 }
 
-func (e *execution) start(step func(context.Context)) {
+func (e *execution) startAction(action func(context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
 	go func() {
 		defer cancel()
-		step(ctx)
+		action(ctx)
 	}()
 }
 
-// claim appends the claim and waits for the fold's ruling.
-func (e *execution) claim(ctx context.Context) {
+// claimKey appends the claim and waits for the result of folding it.
+func (e *execution) claimKey(ctx context.Context) {
 	i := e.instance
 	if entry := i.replica.Key(e.spec.Key); entry != nil && entry.Phase != ledger.KeyReleased {
-		e.post(e.claimRead(entry))
+		e.post(e.claimReadEvent(entry))
 		return
 	}
-	result, forget := i.replica.AwaitClaim(e.id)
-	defer forget()
-	claim := &structs.Claim{ID: e.id, Key: e.spec.Key, Class: e.spec.Class, Digest: e.spec.Digest, Holder: i.holder, IssuedMS: e.issuedMS()}
+	results, unregister := i.replica.AwaitClaim(e.id)
+	defer unregister()
+	claim := &structs.Claim{ID: e.id, Key: e.spec.Key, Class: e.spec.Class, Digest: e.spec.Digest, Holder: i.identity, IssuedMS: e.issuedMS()}
 	if !i.appendRecord(&structs.Record{Kind: structs.RecordClaim, Claim: claim}, e.abandoned) {
 		e.post(requests.ClaimRead{Reason: structs.ReasonLogUnavailable})
 		return
 	}
-	wait := time.NewTimer(i.settings.ClaimWait)
-	defer wait.Stop()
+	timer := time.NewTimer(i.settings.ClaimWait)
+	defer timer.Stop()
 	select {
-	case ruled := <-result:
-		e.post(e.ruling(ruled.Entry, ruled.Why))
-	case <-wait.C:
+	case result := <-results:
+		e.post(e.claimResultEvent(result.Entry, result.Why))
+	case <-timer.C:
 		e.post(requests.ClaimRead{Reason: structs.ReasonLogUnavailable, Appended: true})
 	case <-ctx.Done():
 	}
@@ -275,83 +277,83 @@
 	return e.request.Issued.UnixMilli()
 }
 
-// abandoned tells the writer that the claim's request has ended, so that a
-// claim not yet appended is dropped.
+// abandoned reports to the writer whether the request has ended, so that a claim that
+// is not yet appended is dropped.
 func (e *execution) abandoned() bool {
 	select {
-	case <-e.gaveUp:
+	case <-e.finished:
 		return true
 	default:
 		return false
 	}
 }
 
-func (e *execution) ruling(entry *ledger.KeyEntry, why ledger.VoidReason) requests.ClaimRead {
-	switch why {
+func (e *execution) claimResultEvent(entry *ledger.KeyEntry, reason ledger.VoidReason) requests.ClaimRead {
+	switch reason {
 	case ledger.VoidExpired:
 		return requests.ClaimRead{Reason: structs.ReasonKeyExpired}
 	case ledger.VoidFull:
 		return requests.ClaimRead{Reason: structs.ReasonKeyTableFull}
 	}
-	return e.claimRead(entry)
+	return e.claimReadEvent(entry)
 }
 
-// claimRead passes an entry on. A claim whose holder is lost is closed as
-// unknown, for the caller and in the log.
-func (e *execution) claimRead(entry *ledger.KeyEntry) requests.ClaimRead {
+// claimReadEvent returns the event for a key's entry. An open claim whose holder is lost is
+// closed as unknown, for the caller and in the log.
+func (e *execution) claimReadEvent(entry *ledger.KeyEntry) requests.ClaimRead {
 	read := requests.ClaimRead{Entry: entry}
 	if entry.Phase != ledger.KeyOpen || entry.Claim.ID == e.id {
 		return read
 	}
-	if e.instance.holderLost(entry.Claim) {
+	if e.instance.claimHolderLost(entry.Claim) {
 		read.HolderLost = true
-		e.instance.closeLost(entry.Claim)
+		e.instance.closeLostClaim(entry.Claim)
 	}
 	return read
 }
 
-func (i *Instance) holderLost(claim structs.Claim) bool {
+func (i *Instance) claimHolderLost(claim structs.Claim) bool {
 	name, bootText, found := strings.Cut(claim.Holder, "/")
 	boot, err := strconv.ParseInt(bootText, 10, 64)
-	return found && err == nil && i.lost(name, boot)
+	return found && err == nil && i.isLost(name, boot)
 }
 
-func (i *Instance) closeLost(claim structs.Claim) {
+func (i *Instance) closeLostClaim(claim structs.Claim) {
 	i.appendRecord(&structs.Record{Kind: structs.RecordComplete, Complete: &structs.Complete{
 		ClaimID: claim.ID, Key: claim.Key, Outcome: structs.OutcomeUnknown, Reason: structs.ReasonHolderLost}}, nil)
 }
 
-// pick asks for a slot; only a request that must wait for one costs a goroutine.
-func (e *execution) pick(exclude []string) {
-	dispatch := e.instance.dispatch
-	granted, queued := dispatch.ask(e.spec.Class, e.spec.Deadline, exclude)
-	if queued == nil {
-		e.picked(granted)
+// pickRunner acquires a runner slot; only a request that has to wait needs a goroutine.
+func (e *execution) pickRunner(exclude []string) {
+	slots := e.instance.slots
+	grant, t := slots.acquire(e.spec.Class, e.spec.Deadline, exclude)
+	if t == nil {
+		e.postGrant(grant)
 		return
 	}
-	e.start(func(ctx context.Context) {
-		if granted, ok := dispatch.await(ctx, queued); ok {
-			e.picked(granted)
+	e.startAction(func(ctx context.Context) {
+		if grant, ok := slots.await(ctx, t); ok {
+			e.postGrant(grant)
 		}
 	})
 }
 
-func (e *execution) picked(granted balancer.Grant) {
-	if granted.Runner == "" {
-		e.post(requests.RunnerRefused{Reason: granted.Refusal.Reason, RetryAfter: granted.Refusal.RetryAfter})
+func (e *execution) postGrant(grant balancer.Grant) {
+	if grant.Runner == "" {
+		e.post(requests.RunnerRefused{Reason: grant.Refusal.Reason, RetryAfter: grant.Refusal.RetryAfter})
 		return
 	}
-	e.post(requests.RunnerPicked{Runner: granted.Runner})
+	e.post(requests.RunnerPicked{Runner: grant.Runner})
 }
 
-func (e *execution) send(ctx context.Context, action requests.Send) {
+func (e *execution) sendAttempt(ctx context.Context, action requests.Send) {
 	i := e.instance
 	started := time.Now()
 	ctx, cancel := context.WithDeadline(ctx, e.spec.Deadline)
 	defer cancel()
 	result := i.runner.Send(ctx, upstream.Attempt{
 		ID:        e.id + "." + strconv.Itoa(action.Attempt),
-		Address:   i.dispatch.address(action.Runner),
+		Address:   i.slots.runnerAddress(action.Runner),
 		Class:     e.spec.Class,
 		Workspace: e.spec.Key.Workspace,
 		Key:       e.spec.Key.Key,
@@ -359,16 +361,16 @@
 		MaxAnswer: i.settings.MaxAnswerBytes,
 	})
 	failed := result.Ended.Kind != requests.AttemptAnswered || result.Ended.Status >= 500
-	result.Ended.RetryAllowed = i.dispatch.done(action.Runner, e.spec.Class, result, time.Since(started), failed)
+	result.Ended.RetryAllowed = i.slots.release(action.Runner, e.spec.Class, result, time.Since(started), failed)
 	e.post(result.Ended)
 }
 
-func (e *execution) release(action requests.AppendRelease) {
+func (e *execution) appendRelease(action requests.AppendRelease) {
 	e.instance.appendRecord(&structs.Record{Kind: structs.RecordRelease, Release: &structs.Release{
 		ClaimID: e.id, Key: e.spec.Key, Reason: action.Reason}}, nil)
 }
 
-func (e *execution) complete(action requests.AppendComplete) {
+func (e *execution) appendComplete(action requests.AppendComplete) {
 	e.instance.appendRecord(&structs.Record{Kind: structs.RecordComplete, Complete: &structs.Complete{
 		ClaimID: e.id, Key: e.spec.Key, Outcome: action.Outcome, Reason: action.Reason, Holder: true,
 		Status: action.Status, Answer: action.Answer, Kept: action.Kept}}, nil)
--- a/instance/streams.go
+++ b/instance/streams.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	restoreRetry   = 200 * time.Millisecond
-	restoreTimeout = 10 * time.Second
+	restoreInterval = 200 * time.Millisecond
+	restoreTimeout  = 10 * time.Second
 )
 
-// readStreams restores the newest snapshot, then tails both streams.
+// readStreams restores the newest snapshot and then tails both streams.
 func (i *Instance) readStreams(ctx context.Context) {
 	if !i.restoreAtStart(ctx) {
 		return
 	}
-	var tails sync.WaitGroup
-	tails.Add(3)
-	go func() { defer tails.Done(); i.ledgerTail.Run(ctx) }()
-	go func() { defer tails.Done(); i.targetsTail.Run(ctx) }()
-	go func() { defer tails.Done(); i.healGaps(ctx) }()
-	tails.Wait()
+	var readers sync.WaitGroup
+	readers.Add(3)
+	go func() { defer readers.Done(); i.ledgerTailer.Run(ctx) }()
+	go func() { defer readers.Done(); i.targetsTailer.Run(ctx) }()
+	go func() { defer readers.Done(); i.recoverGaps(ctx) }()
+	readers.Wait()
 }
 
-// restoreAtStart tries the log's snapshots, and a peer's while the log is out.
+// restoreAtStart restores the newest snapshot of the log, or of a peer while the log
+// is unavailable.
 func (i *Instance) restoreAtStart(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		snapshot, err := i.newestSnapshot(ctx)
@@ -42,12 +43,12 @@
 			return true
 		}
 		if peer := i.peerSnapshot(); peer != nil && (peer.LedgerNext > 0 || peer.TargetsNext > 0) {
-			i.snapshotAge.Store(max(1, i.now().UnixMilli()-peer.AtMS))
+			i.snapshotAgeMS.Store(max(1, i.now().UnixMilli()-peer.AtMS))
 			i.restore(peer, "peer")
 			i.restored.Store(true)
 			return true
 		}
-		logstream.Sleep(ctx, restoreRetry)
+		logstream.Sleep(ctx, restoreInterval)
 	}
 	return false
 }
@@ -65,8 +66,8 @@
 	i.events.Add("snapshot_restored", i.settings.Name, "", source)
 }
 
-// newestSnapshot reads the snapshot stream to its end. A nil snapshot without
-// an error means that none was ever written.
+// newestSnapshot reads the snapshot stream to its end. A nil snapshot without an
+// error means that none was ever written.
 func (i *Instance) newestSnapshot(ctx context.Context) (*ledger.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, restoreTimeout)
 	defer cancel()
@@ -80,8 +81,8 @@
 	return assembler.Newest(), err
 }
 
-// peerSnapshot asks the connected instances for their state and keeps the one
-// furthest along.
+// peerSnapshot requests the state of each connected instance and returns the one with
+// the highest ledger offset.
 func (i *Instance) peerSnapshot() *ledger.Snapshot {
 	var best *ledger.Snapshot
 	for _, name := range i.link.Connected() {
@@ -100,9 +101,10 @@
 	return best
 }
 
-// healGaps restores a newer snapshot when retention overtook this instance.
-func (i *Instance) healGaps(ctx context.Context) {
-	for logstream.Sleep(ctx, restoreRetry) {
+// recoverGaps restores a newer snapshot when retention removed records before this
+// instance read them.
+func (i *Instance) recoverGaps(ctx context.Context) {
+	for logstream.Sleep(ctx, restoreInterval) {
 		if !i.replica.Gap() {
 			continue
 		}
@@ -116,8 +118,8 @@
 	}
 }
 
-// OrphanClaim implements replica.Observer: a claim that took effect after its
-// request was given up is released, since nothing was and will be sent for it.
+// OrphanClaim implements replica.Observer: it releases a claim that took effect after
+// its request had ended, since nothing was or will be sent for the request.
 func (i *Instance) OrphanClaim(claim structs.Claim) {
 	i.appendRecord(&structs.Record{Kind: structs.RecordRelease, Release: &structs.Release{
 		ClaimID: claim.ID, Key: claim.Key, Reason: structs.ReasonLogUnavailable}}, nil)
@@ -132,8 +134,8 @@
 	i.events.Add("term_changed", term.Holder, "", "")
 }
 
-// appendRecord stamps a record and hands it to the ledger's writer. It reports
-// false if the writer is full.
+// appendRecord stamps a record and passes it to the ledger's writer. It reports false
+// if the writer is full.
 func (i *Instance) appendRecord(record *structs.Record, abandoned func() bool) bool {
 	record.AtMS = i.now().UnixMilli()
 	if i.ledgerWriter.OfferJSON(record, abandoned) {
--- a/instance/term.go
+++ b/instance/term.go
@@ -9,54 +9,56 @@
 )
 
 const (
-	claimTermAgain = time.Second
-	// patienceShare is how many term timeouts the first instance in line is
-	// given before any other claims the term in its place.
-	patienceShare = 3
+	claimTermInterval = time.Second
+	// firstInLineTimeouts is the number of term timeouts for which other instances
+	// leave the claim of the term to the first instance in line.
+	firstInLineTimeouts = 3
 )
 
-// termView is what an instance sees when it asks whether to claim the term.
-type termView struct {
-	able       bool // ready, not draining, and the log answers
-	holderGone bool
-	first      bool // no live instance comes before this one by name
+// termState holds the conditions under which an instance claims the term.
+type termState struct {
+	eligible    bool // ready, not draining, and the log is available
+	leaderGone  bool
+	firstInLine bool // no live instance precedes this one by name
 }
 
-// claimant decides when an instance claims the next term. Letting the first in
-// line claim alone saves void records; should it not be able to, for instance as
-// the log does not answer to it, the others claim after some time.
-type claimant struct {
-	goneSince time.Time
-	claimedAt time.Time
+// termClaimer decides when an instance claims the next term. The first instance in
+// line claims alone at first, which avoids void records. If it cannot claim, for
+// example because it does not reach the log, the others claim after a delay.
+type termClaimer struct {
+	leaderGoneSince time.Time
+	claimedAt       time.Time
 }
 
-func (c *claimant) decide(view termView, now time.Time, timeout time.Duration) bool {
-	if !view.holderGone {
-		c.goneSince = time.Time{}
+// shouldClaim reports whether to claim the term now, and notes the time of the claim.
+func (c *termClaimer) shouldClaim(state termState, now time.Time, timeout time.Duration) bool {
+	if !state.leaderGone {
+		c.leaderGoneSince = time.Time{}
 		return false
 	}
-	if c.goneSince.IsZero() {
-		c.goneSince = now
+	if c.leaderGoneSince.IsZero() {
+		c.leaderGoneSince = now
 	}
-	overdue := now.Sub(c.goneSince) > patienceShare*timeout
-	if !view.able || now.Sub(c.claimedAt) < claimTermAgain || !(view.first || overdue) {
+	overdue := now.Sub(c.leaderGoneSince) > firstInLineTimeouts*timeout
+	if !state.eligible || now.Sub(c.claimedAt) < claimTermInterval || !(state.firstInLine || overdue) {
 		return false
 	}
 	c.claimedAt = now
 	return true
 }
 
-func (p *placer) view(term structs.Term) termView {
+func (p *placer) observeTerm(term structs.Term) termState {
 	i := p.instance
-	_, listed := i.roster.Workers()
-	return termView{
-		able:       listed && i.ready() && !i.draining.Load() && i.logAvailable(),
-		holderGone: p.holderGone(term),
-		first:      p.firstInLine(),
+	_, listed := i.listPoller.Workers()
+	return termState{
+		eligible:    listed && i.ready() && !i.draining.Load() && i.logAvailable(),
+		leaderGone:  p.leaderGone(term),
+		firstInLine: p.firstInLine(),
 	}
 }
 
-func (p *placer) holderGone(term structs.Term) bool {
+// leaderGone reports whether the term has no leader that is alive and not draining.
+func (p *placer) leaderGone(term structs.Term) bool {
 	i := p.instance
 	if term.Number == 0 {
 		return true
@@ -68,12 +70,12 @@
 	}
 	seen, ok := i.link.Seen(name)
 	if !ok {
-		return i.now().Sub(i.started) > i.settings.TermTimeout
+		return i.now().Sub(i.startedAt) > i.settings.TermTimeout
 	}
 	return seen.Boot > boot || seen.Draining || i.now().Sub(seen.At) > i.settings.TermTimeout
 }
 
-// firstInLine reports whether no other live instance comes first by name.
+// firstInLine reports whether no other live instance precedes this one by name.
 func (p *placer) firstInLine() bool {
 	i := p.instance
 	for name, seen := range i.link.SeenAll() {
--- a/instance/term_test.go
+++ b/instance/term_test.go
@@ -7,24 +7,24 @@
 	"github.com/matryer/is"
 )
 
-func TestTheTermIsClaimedByTheFirstInLineOrAfterSomeTime(t *testing.T) {
+func TestTermIsClaimedByFirstInLineOrAfterTimeout(t *testing.T) {
 	is := is.New(t)
 	const timeout = time.Second
-	began := time.Unix(1_800_000_000, 0)
-	gone := termView{able: true, holderGone: true}
-	first := gone
-	first.first = true
+	start := time.Unix(1_800_000_000, 0)
+	notFirst := termState{eligible: true, leaderGone: true}
+	first := notFirst
+	first.firstInLine = true
 
-	var c claimant
-	is.True(!c.decide(termView{able: true, first: true}, began, timeout)) // the holder lives
-	is.True(c.decide(first, began, timeout))
-	is.True(!c.decide(first, began.Add(time.Millisecond), timeout)) // its claim is on the way
+	var c termClaimer
+	is.True(!c.shouldClaim(termState{eligible: true, firstInLine: true}, start, timeout)) // the leader is alive
+	is.True(c.shouldClaim(first, start, timeout))
+	is.True(!c.shouldClaim(first, start.Add(time.Millisecond), timeout)) // its claim is being appended
 
-	var second claimant
-	is.True(!second.decide(gone, began, timeout)) // the first in line should claim
-	is.True(!second.decide(gone, began.Add(2*timeout), timeout))
-	is.True(second.decide(gone, began.Add(4*timeout), timeout)) // it did not, perhaps it cannot
-	unable := gone
-	unable.able = false
-	is.True(!second.decide(unable, began.Add(9*timeout), timeout))
+	var second termClaimer
+	is.True(!second.shouldClaim(notFirst, start, timeout)) // left to the first instance in line
+	is.True(!second.shouldClaim(notFirst, start.Add(2*timeout), timeout))
+	is.True(second.shouldClaim(notFirst, start.Add(4*timeout), timeout)) // the first instance in line did not claim
+	ineligible := notFirst
+	ineligible.eligible = false
+	is.True(!second.shouldClaim(ineligible, start.Add(9*timeout), timeout))
 }
--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -1,6 +1,6 @@
-// Package kernel owns the process: the registry in which plug-ins register
-// themselves, the duties that run as one goroutine each, and the order in
-// which they start, drain and stop.
+// Package kernel implements the life cycle of the process: the registry of
+// plug-ins, the duties, which run in one goroutine each, and the order in which
+// they start, drain and stop.
 package kernel
 
 import (
@@ -11,20 +11,20 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Duty is one long-running job of the process. Run returns when ctx ends.
+// Duty is a named background loop of the process. Run returns when ctx ends.
 type Duty struct {
 	Name string
 	Run  func(ctx context.Context)
 }
 
-// Drainer is work that must end before the process may stop. Drain returns when
-// nothing is in progress, or with ctx's error.
+// Drainer waits for work that must end before the process stops. Drain returns when
+// nothing is in progress, or with the error of ctx.
 type Drainer struct {
 	Name  string
 	Drain func(ctx context.Context) error
 }
 
-// Kernel runs duties. It is built by one goroutine and then started once.
+// Kernel runs duties. One goroutine builds it and then starts it once.
 type Kernel struct {
 	log      *logrus.Entry
 	duties   []Duty
@@ -38,12 +38,12 @@
 	return &Kernel{log: log}
 }
 
-// AddDuty adds a duty; it must precede Start.
+// AddDuty adds a duty; it must be called before Start.
 func (k *Kernel) AddDuty(name string, run func(ctx context.Context)) {
 	k.duties = append(k.duties, Duty{Name: name, Run: run})
 }
 
-// AddDrainer adds work to be waited for; drainers run in the order they were added.
+// AddDrainer adds a drainer; drainers run one after another in the order of adding.
 func (k *Kernel) AddDrainer(name string, drain func(ctx context.Context) error) {
 	k.drainers = append(k.drainers, Drainer{Name: name, Drain: drain})
 }
@@ -65,10 +65,9 @@
 	k.log.WithField("duty", duty.Name).Debug("duty_ended")
 }
 
-// Drain waits for each drainer in turn and reports whether all ended within the
-// time given.
-func (k *Kernel) Drain(within time.Duration) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// Drain runs the drainers in order and reports whether all ended within the timeout.
+func (k *Kernel) Drain(timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	clean := true
 	for _, drainer := range k.drainers {
@@ -80,7 +79,7 @@
 	return clean
 }
 
-// Stop ends all duties and waits for them.
+// Stop cancels all duties and waits until they return.
 func (k *Kernel) Stop() {
 	if k.cancel == nil {
 		return
--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -13,10 +13,10 @@
 	"github.com/teaselcleat/teaselcleat/timeline"
 )
 
-// Point names a place where an adapter is plugged in.
+// Point names an extension point, at which an adapter is plugged in.
 type Point string
 
-// The points an instance opens at its start.
+// Extension points that an instance opens at start.
 const (
 	PointLog          Point = "log"
 	PointInstanceList Point = "instance_list"
@@ -25,7 +25,7 @@
 	PointPeers        Point = "peers"
 )
 
-// Env is what a plug-in's factory may use.
+// Env holds the dependencies that factories of plug-ins may use.
 type Env struct {
 	Settings *settings.Settings
 	Log      *logrus.Entry
@@ -34,38 +34,39 @@
 	Now      func() time.Time
 }
 
-// factories is filled by init functions only and read after them.
+// factories holds the registered factories by point and name. Only init functions
+// write to it and all reads come later, so that it needs no lock.
 var factories = map[Point]map[string]any{}
 
-// Register adds a factory under a point and a name. It is called from a
-// plug-in's init function; a name taken twice is a broken invariant.
+// Register adds a factory under a point and a name. It is called from a plug-in's
+// init function and panics if the name is already registered.
 func Register[T any](point Point, name string, factory func(*Env) (T, error)) {
-	named := factories[point]
-	if named == nil {
-		named = map[string]any{}
-		factories[point] = named
+	byName := factories[point]
+	if byName == nil {
+		byName = map[string]any{}
+		factories[point] = byName
 	}
-	if _, taken := named[name]; taken {
+	if _, taken := byName[name]; taken {
 		panic("kernel: plug-in registered twice: " + string(point) + "/" + name)
 	}
-	named[name] = factory
+	byName[name] = factory
 }
 
-// Open builds the plug-in of a point by its name.
+// Open builds the plug-in registered under a point and a name.
 func Open[T any](env *Env, point Point, name string) (T, error) {
 	var none T
-	found, ok := factories[point][name]
+	registered, ok := factories[point][name]
 	if !ok {
-		return none, eris.Errorf("no plug-in %q at %s; registered are: %s", name, point, strings.Join(names(point), ", "))
+		return none, eris.Errorf("no plug-in %q at %s; registered are: %s", name, point, strings.Join(factoryNames(point), ", "))
 	}
-	factory, ok := found.(func(*Env) (T, error))
+	factory, ok := registered.(func(*Env) (T, error))
 	if !ok {
 		return none, eris.Errorf("plug-in %q at %s has another type", name, point)
 	}
 	return factory(env)
 }
 
-func names(point Point) []string {
+func factoryNames(point Point) []string {
 	var list []string
 	for name := range factories[point] {
 		list = append(list, name)
--- a/logsink/logsink.go
+++ b/logsink/logsink.go
@@ -1,6 +1,6 @@
-// Package logsink owns where log lines go: a bounded ring before the output, so
-// that a reader that stands still never stops the process, and a budget of
-// lines for each kind of event, so that load does not drown what matters.
+// Package logsink buffers log lines in a bounded ring before the output, so that a
+// blocked reader never stops the process. A budget limits the lines of each kind of
+// event, so that frequent events under load do not hide important ones.
 package logsink
 
 import (
@@ -14,29 +14,29 @@
 	"github.com/teaselcleat/teaselcleat/ring"
 )
 
-// Lines bounds the lines that wait for the output: two seconds' worth of a busy
-// placing instance.
+// Lines bounds the lines that wait for the output: two seconds of output of a busy
+// leader.
 const Lines = 2048
 
-// Sink is an io.Writer that never blocks. Lines that find the ring full are
-// counted, and the count is written once there is room again.
+// Sink is an io.Writer that never blocks. Lines that do not fit in the ring are
+// dropped and counted; the count is written after the next line that is output.
 type Sink struct {
-	ring *ring.Ring[[]byte]
-	lost atomic.Int64
+	ring    *ring.Ring[[]byte]
+	dropped atomic.Int64
 }
 
-// New returns a sink without an output; Run gives it one.
+// New returns a sink without an output; Run and Flush take one.
 func New() *Sink { return &Sink{ring: ring.New[[]byte](Lines)} }
 
-// Write implements io.Writer; it takes one line a call.
+// Write implements io.Writer; each call takes one line.
 func (s *Sink) Write(line []byte) (int, error) {
 	if !s.ring.Offer(append([]byte(nil), line...)) {
-		s.lost.Add(1)
+		s.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Run writes lines to out until ctx ends, and then what is left.
+// Run writes lines to out until ctx ends, and then flushes the remaining ones.
 func (s *Sink) Run(ctx context.Context, out io.Writer) {
 	for {
 		line, ok := s.ring.Take(ctx)
@@ -48,7 +48,7 @@
 	}
 }
 
-// Flush writes what waits.
+// Flush writes the buffered lines to out.
 func (s *Sink) Flush(out io.Writer) {
 	for {
 		line, waiting := s.ring.TryTake()
@@ -60,48 +60,48 @@
 }
 
 func (s *Sink) write(out io.Writer, line []byte) {
-	// A log that cannot be written has nobody to be told.
+	// A write error of the log output cannot be logged.
 	_, _ = out.Write(line)
-	if lost := s.lost.Swap(0); lost > 0 {
-		_, _ = fmt.Fprintf(out, "level=warning msg=lines_lost count=%d reason=\"output too slow\"\n", lost)
+	if dropped := s.dropped.Swap(0); dropped > 0 {
+		_, _ = fmt.Fprintf(out, "level=warning msg=lines_lost count=%d reason=\"output too slow\"\n", dropped)
 	}
 }
 
-// Budget limits the lines of each kind of event in a second.
+// Budget limits the lines of each kind of event per second.
 type Budget struct {
-	each int
+	limit int
 
-	lock    sync.Mutex
-	begin   time.Time
-	used    map[string]int
-	skipped map[string]int
+	lock        sync.Mutex
+	windowStart time.Time
+	used        map[string]int
+	skipped     map[string]int
 }
 
-// NewBudget allows so many lines of each kind in a second.
-func NewBudget(each int) *Budget {
-	return &Budget{each: each, used: map[string]int{}, skipped: map[string]int{}}
+// NewBudget returns a budget of limit lines of each kind per second.
+func NewBudget(limit int) *Budget {
+	return &Budget{limit: limit, used: map[string]int{}, skipped: map[string]int{}}
 }
 
-// Skipped is how many lines of a kind were left out in the second before.
+// Skipped counts the lines of a kind that were left out in the previous second.
 type Skipped struct {
 	Kind  string
 	Count int
 }
 
-// Allow reports whether a line of a kind may be written at now, and what was
-// left out in a second that has just ended.
+// Allow reports whether a line of a kind may be written at now. The first call of a
+// new second also returns the counts of lines left out in the previous one.
 func (b *Budget) Allow(kind string, now time.Time) (ok bool, skipped []Skipped) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	if now.Sub(b.begin) >= time.Second {
-		for left, count := range b.skipped {
-			skipped = append(skipped, Skipped{Kind: left, Count: count})
+	if now.Sub(b.windowStart) >= time.Second {
+		for skippedKind, count := range b.skipped {
+			skipped = append(skipped, Skipped{Kind: skippedKind, Count: count})
 		}
 		clear(b.used)
 		clear(b.skipped)
-		b.begin = now
+		b.windowStart = now
 	}
-	if b.used[kind] >= b.each {
+	if b.used[kind] >= b.limit {
 		b.skipped[kind]++
 		return false, skipped
 	}
--- a/logsink/logsink_test.go
+++ b/logsink/logsink_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// An output that takes nothing costs lines, never time, and the loss is told.
-func TestFullSinkCountsAndTells(t *testing.T) {
+// A blocked output must cost lines but never time, and the loss must be reported.
+func TestFullSinkReportsDroppedLines(t *testing.T) {
 	is := is.New(t)
 	sink := New()
 	for range Lines + 3 {
@@ -25,7 +25,7 @@
 	is.True(strings.Contains(out.String(), "count=3"))
 }
 
-func TestRunWritesWhatIsLeftAtTheEnd(t *testing.T) {
+func TestRunWritesRemainingLinesAtEnd(t *testing.T) {
 	is := is.New(t)
 	sink := New()
 	_, err := sink.Write([]byte("last\n"))
@@ -37,7 +37,7 @@
 	is.Equal(out.String(), "last\n")
 }
 
-func TestBudgetOfEachKind(t *testing.T) {
+func TestBudgetIsPerKind(t *testing.T) {
 	is := is.New(t)
 	budget := NewBudget(2)
 	now := time.Unix(100, 0)
@@ -49,7 +49,7 @@
 	}
 	is.Equal(allowed, 2)
 	ok, _ := budget.Allow("submit", now)
-	is.True(ok) // another kind has its own
+	is.True(ok) // another kind has its own budget
 	ok, skipped := budget.Allow("placed", now.Add(time.Second))
 	is.True(ok)
 	is.Equal(skipped, []Skipped{{Kind: "placed", Count: 3}})
--- a/logstream/read.go
+++ b/logstream/read.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// ReadAll calls visit for each record that a stream now holds, from the oldest
-// that is kept to its end.
+// ReadAll calls visit for each record of a stream, from the oldest retained one to
+// the current end.
 func ReadAll(ctx context.Context, log Log, stream string, visit func(data []byte)) error {
 	next := int64(0)
 	for {
 		batch, err := log.Read(ctx, stream, next, 0)
-		var gone *RetentionError
-		if errors.As(err, &gone) {
-			next = gone.First
+		var retention *RetentionError
+		if errors.As(err, &retention) {
+			next = retention.First
 			continue
 		}
 		if err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// Sleep waits and reports false if ctx ended first.
+// Sleep waits for span and reports false if ctx ended first.
 func Sleep(ctx context.Context, span time.Duration) bool {
 	if span <= 0 {
 		return ctx.Err() == nil
--- a/logstream/tailer.go
+++ b/logstream/tailer.go
@@ -7,63 +7,64 @@
 	"time"
 )
 
-// pollWait is how long one read may wait for the next record.
+// pollWait bounds how long a read waits for the next record.
 const pollWait = 2 * time.Second
 
-// Sink receives what a tailer reads. The tailer calls it from one goroutine.
+// Sink receives the records that a tailer reads. The tailer calls it from one
+// goroutine.
 type Sink interface {
-	// Next is the offset the sink wants next.
+	// Next returns the offset of the next record to fold.
 	Next() int64
-	// Fold takes consecutive records, the first at offset first.
+	// Fold applies consecutive records, the first of which has the offset first.
 	Fold(first int64, records [][]byte)
-	// Gap says that records from Next up to first are no longer kept. The sink
-	// must recover from a newer snapshot; the tailer asks Next again afterwards.
+	// Gap reports that records from Next up to first are no longer retained. The
+	// sink must recover from a newer snapshot; the tailer then calls Next again.
 	Gap(first int64)
 }
 
-// Tailer reads one stream into a sink. Run is its duty.
+// Tailer reads one stream into a sink. Run is its background loop.
 type Tailer struct {
-	log    Log
-	stream string
-	sink   Sink
-	caught atomic.Bool  // has seen the end of the stream once
-	failed atomic.Bool  // the last read was not answered
-	last   atomic.Int64 // Unix milliseconds of the last answered read
-	now    func() time.Time
+	log        Log
+	stream     string
+	sink       Sink
+	caughtUp   atomic.Bool  // the end of the stream was reached once
+	failing    atomic.Bool  // the last read failed
+	lastReadMS atomic.Int64 // time of the last successful read, in Unix milliseconds
+	now        func() time.Time
 }
 
-// NewTailer returns a tailer that has read nothing.
+// NewTailer returns a tailer that has read nothing yet.
 func NewTailer(log Log, stream string, sink Sink, now func() time.Time) *Tailer {
 	return &Tailer{log: log, stream: stream, sink: sink, now: now}
 }
 
-// CaughtUp reports whether the tailer has seen the end of the stream since it started.
-func (t *Tailer) CaughtUp() bool { return t.caught.Load() }
+// CaughtUp reports whether the tailer has reached the end of the stream since it started.
+func (t *Tailer) CaughtUp() bool { return t.caughtUp.Load() }
 
-// Failing reports whether the last read was not answered.
-func (t *Tailer) Failing() bool { return t.failed.Load() }
+// Failing reports whether the last read failed.
+func (t *Tailer) Failing() bool { return t.failing.Load() }
 
-// Staleness is the time since the last answered read.
+// Staleness returns the time since the last successful read.
 func (t *Tailer) Staleness() time.Duration {
-	return t.now().Sub(time.UnixMilli(t.last.Load()))
+	return t.now().Sub(time.UnixMilli(t.lastReadMS.Load()))
 }
 
 // Run reads until ctx ends.
 func (t *Tailer) Run(ctx context.Context) {
-	backoff := firstBackoff
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		if t.readOnce(ctx) {
-			backoff = firstBackoff
+			backoff = minBackoff
 			continue
 		}
 		if !Sleep(ctx, backoff) {
 			return
 		}
-		backoff = min(2*backoff, lastBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// readOnce reads one batch and reports whether the log answered.
+// readOnce reads one batch and reports whether the read succeeded.
 func (t *Tailer) readOnce(ctx context.Context) bool {
 	wait := pollWait
 	if !t.CaughtUp() {
@@ -72,21 +73,21 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+appendTimeout)
 	defer cancel()
 	batch, err := t.log.Read(ctx, t.stream, t.sink.Next(), wait)
-	var gone *RetentionError
-	if errors.As(err, &gone) {
-		t.sink.Gap(gone.First)
+	var retention *RetentionError
+	if errors.As(err, &retention) {
+		t.sink.Gap(retention.First)
 		return false
 	}
-	t.failed.Store(err != nil)
+	t.failing.Store(err != nil)
 	if err != nil {
 		return false
 	}
-	t.last.Store(t.now().UnixMilli())
+	t.lastReadMS.Store(t.now().UnixMilli())
 	if len(batch.Records) > 0 {
 		t.sink.Fold(batch.First, batch.Records)
 	}
 	if t.sink.Next() >= batch.End {
-		t.caught.Store(true)
+		t.caughtUp.Store(true)
 	}
 	return true
 }
--- a/logstream/writer.go
+++ b/logstream/writer.go
@@ -1,7 +1,7 @@
-// Package logstream owns the traffic with the platform's log: group commit of
-// what this process appends, retries until an append is answered, and reading
-// streams into the folds. An append's answer is never taken as proof; whoever
-// needs to know reads the fold.
+// Package logstream accesses the platform's log: group commit of the records of this
+// process, retries until an append is acknowledged, and reading of streams into the
+// folds. The acknowledgement of an append proves nothing; callers that need the
+// result of a record read it from the fold.
 package logstream
 
 import (
@@ -20,45 +20,45 @@
 const (
 	maxGroupRecords = 256
 	maxGroupBytes   = 512 << 10
-	// PromptInterval spaces the appends of a writer that callers wait for, and
-	// PatientInterval those of one that nobody waits for. Seven instances with one
-	// of each come to at most 420 appends a second.
+	// PromptInterval is the minimum interval between appends of a writer whose
+	// records callers wait for, PatientInterval that of a background writer. Seven
+	// instances with one of each make at most 420 appends per second.
 	PromptInterval  = 20 * time.Millisecond
 	PatientInterval = 100 * time.Millisecond
 	appendTimeout   = 5 * time.Second
-	firstBackoff    = 50 * time.Millisecond
-	lastBackoff     = time.Second
+	minBackoff      = 50 * time.Millisecond
+	maxBackoff      = time.Second
 )
 
-// probeRecord is appended when an append failed and nothing is left to append.
-// Its kind is unknown to every fold, so it is void.
+// probeRecord is appended to detect the recovery of the log if the last append
+// failed and nothing is queued. No fold knows its kind, so that it is void.
 const probeRecord = `{"kind":"probe"}`
 
 // Entry is one record to append.
 type Entry struct {
 	Data []byte
-	// Abandoned, if set, is asked before each try; an abandoned entry is dropped.
+	// Abandoned, if set, is called before each attempt; if true, the entry is dropped.
 	Abandoned func() bool
 }
 
-// Writer appends entries to one stream in groups, in the order they were
-// offered. Run is its duty.
+// Writer appends entries to one stream in groups, in the order in which they were
+// offered. Run is its background loop.
 type Writer struct {
 	log       Log
 	stream    string
-	interval  time.Duration // least time between two appends
+	interval  time.Duration // minimum time between two appends
 	capacity  int
 	queue     *ring.Ring[Entry]
 	mu        sync.Mutex
-	backlog   []Entry // taken from the queue, not yet answered
+	backlog   []Entry // taken from the queue, not yet acknowledged
 	available atomic.Bool
 	appends   metrics.Counter
 	records   metrics.Counter
 	failures  metrics.Counter
 }
 
-// NewWriter returns a writer that holds at most capacity entries in its queue
-// and as many again that are being retried.
+// NewWriter returns a writer that holds at most capacity entries in its queue and
+// as many again in its backlog.
 func NewWriter(log Log, stream string, interval time.Duration, capacity int, registry metrics.Registry) *Writer {
 	w := &Writer{log: log, stream: stream, interval: interval, capacity: capacity, queue: ring.New[Entry](capacity)}
 	w.available.Store(true)
@@ -71,7 +71,7 @@
 // Offer queues an entry and reports false if the queue is full.
 func (w *Writer) Offer(entry Entry) bool { return w.queue.Offer(entry) }
 
-// OfferJSON queues a value in its JSON form and reports false if the queue is full.
+// OfferJSON queues a value encoded as JSON and reports false if the queue is full.
 func (w *Writer) OfferJSON(value any, abandoned func() bool) bool {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -80,18 +80,18 @@
 	return w.Offer(Entry{Data: data, Abandoned: abandoned})
 }
 
-// Available reports whether the last append was answered.
+// Available reports whether the last append was acknowledged.
 func (w *Writer) Available() bool { return w.available.Load() }
 
-// Waiting is the number of entries not yet answered.
+// Waiting returns the number of entries that are not yet acknowledged.
 func (w *Writer) Waiting() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.queue.Len() + len(w.backlog)
 }
 
-// Pending copies the oldest entries that are being retried, up to limit, less
-// those that may still be abandoned.
+// Pending returns the data of the oldest entries of the backlog, up to limit, without
+// entries that may still be abandoned.
 func (w *Writer) Pending(limit int) [][]byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -106,15 +106,15 @@
 
 // Run appends until ctx ends.
 func (w *Writer) Run(ctx context.Context) {
-	backoff := firstBackoff
-	for w.fill(ctx) {
+	backoff := minBackoff
+	for w.fillBacklog(ctx) {
 		started := time.Now()
 		pause := w.interval
 		if w.appendGroup(ctx) {
-			backoff = firstBackoff
+			backoff = minBackoff
 		} else {
 			pause = backoff
-			backoff = min(2*backoff, lastBackoff)
+			backoff = min(2*backoff, maxBackoff)
 		}
 		if !Sleep(ctx, pause-time.Since(started)) {
 			return
@@ -122,25 +122,25 @@
 	}
 }
 
-// fill moves queued entries to the backlog, waiting for the first if there is
-// none. It reports false when ctx ended.
-func (w *Writer) fill(ctx context.Context) bool {
+// fillBacklog moves queued entries to the backlog, and waits for an entry if the
+// backlog is empty. It reports false if ctx ended.
+func (w *Writer) fillBacklog(ctx context.Context) bool {
 	if w.backlogLen() == 0 && !w.Available() {
-		w.push(Entry{Data: []byte(probeRecord)}) // to notice that the log is back
+		w.pushBacklog(Entry{Data: []byte(probeRecord)}) // detects that the log is available again
 	}
 	if w.backlogLen() == 0 {
 		first, ok := w.queue.Take(ctx)
 		if !ok {
 			return false
 		}
-		w.push(first)
+		w.pushBacklog(first)
 	}
 	for w.backlogLen() < w.capacity {
 		entry, ok := w.queue.TryTake()
 		if !ok {
 			break
 		}
-		w.push(entry)
+		w.pushBacklog(entry)
 	}
 	return ctx.Err() == nil
 }
@@ -151,35 +151,35 @@
 	return len(w.backlog)
 }
 
-func (w *Writer) push(entry Entry) {
+func (w *Writer) pushBacklog(entry Entry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.backlog = append(w.backlog, entry)
 }
 
-// group drops abandoned entries and returns the oldest that fit one append.
-func (w *Writer) group() []Entry {
+// nextGroup drops abandoned entries and returns the oldest ones that fit in one append.
+func (w *Writer) nextGroup() []Entry {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	kept := w.backlog[:0]
+	remaining := w.backlog[:0]
 	for _, entry := range w.backlog {
 		if entry.Abandoned == nil || !entry.Abandoned() {
-			kept = append(kept, entry)
+			remaining = append(remaining, entry)
 		}
 	}
-	w.backlog = kept
+	w.backlog = remaining
 	size := 0
-	for i, entry := range kept {
+	for i, entry := range remaining {
 		size += len(entry.Data)
 		if i > 0 && (i == maxGroupRecords || size > maxGroupBytes) {
-			return kept[:i:i]
+			return remaining[:i:i]
 		}
 	}
-	return kept
+	return remaining
 }
 
 func (w *Writer) appendGroup(ctx context.Context) bool {
-	group := w.group()
+	group := w.nextGroup()
 	if len(group) == 0 {
 		return true
 	}
@@ -210,7 +210,7 @@
 	return true
 }
 
-// Flush waits until every entry was answered or ctx ends.
+// Flush waits until every entry is acknowledged or ctx ends.
 func (w *Writer) Flush(ctx context.Context) error {
 	for w.Waiting() > 0 {
 		if !Sleep(ctx, 5*time.Millisecond) {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,11 +1,11 @@
-// Package membership owns the interface to the list of live and leaving machines:
-// instances, runners and workers. Adapters implement it; nothing here does
-// input or output.
+// Package membership defines the interface to the platform's list of live and
+// leaving machines: instances, runners and workers. Adapters implement it; the
+// package itself does no I/O.
 package membership
 
 import "context"
 
-// Role says what an entry of the instance list is.
+// Role is the kind of a listed machine.
 type Role string
 
 // Roles of listed machines.
@@ -15,14 +15,14 @@
 	RoleWorker   Role = "worker"
 )
 
-// Listed is one machine of the instance list, which may lag behind the truth.
+// Listed is a machine as shown in the instance list, which may be out of date.
 type Listed struct {
 	ID               string `json:"id"`
 	Role             Role   `json:"role"`
-	Boot             int64  `json:"boot"` // grows with each start of the same ID
+	Boot             int64  `json:"boot"` // increases with each start under the same ID
 	Leaving          bool   `json:"leaving"`
-	Address          string `json:"address"`                // IP:PORT of HTTP
-	PeerAddress      string `json:"peer_address,omitempty"` // IP:PORT between instances
+	Address          string `json:"address"`                // IP:PORT for HTTP
+	PeerAddress      string `json:"peer_address,omitempty"` // IP:PORT for other instances
 	Region           string `json:"region,omitempty"`
 	AvailabilityZone string `json:"availability_zone,omitempty"`
 	Rack             string `json:"rack,omitempty"`
@@ -30,10 +30,10 @@
 	Slots            int    `json:"slots,omitempty"`
 }
 
-// InstanceList reads the platform's list.
+// InstanceList gives access to the platform's list.
 type InstanceList interface {
-	// List returns the machines as the platform now knows them.
+	// List returns the machines that the platform currently lists.
 	List(ctx context.Context) ([]Listed, error)
-	// Announce adds or refreshes this process in the list.
+	// Announce adds this process to the list or refreshes its entry.
 	Announce(ctx context.Context, self Listed) error
 }
--- a/peers/link.go
+++ b/peers/link.go
@@ -1,6 +1,6 @@
-// Package peers owns the traffic between instances: one yamux session to each
-// other instance, carrying length-prefixed protobuf envelopes. What peers say
-// speeds things up and bridges outages of the log; nothing is agreed here.
+// Package peers implements the links between instances: one yamux session to each
+// other instance, carrying length-prefixed protobuf envelopes. The messages speed
+// things up and bridge outages of the log; no decision between instances is made here.
 package peers
 
 import (
@@ -24,28 +24,28 @@
 	"github.com/teaselcleat/teaselcleat/ring"
 )
 
-// Limits of the link.
+// Limits and timeouts of the link.
 const (
 	maxEnvelopeBytes = 64 << 20
 	outgoingCapacity = 256
 	dialTimeout      = 2 * time.Second
-	redialAfter      = 300 * time.Millisecond
+	redialDelay      = 300 * time.Millisecond
 	writeTimeout     = 5 * time.Second
 	requestTimeout   = 10 * time.Second
 )
 
-// Handler takes a message and may return a reply.
+// Handler handles a message and may return a reply, or nil.
 type Handler func(envelope *peerpb.Envelope) *peerpb.Envelope
 
-// Seen is what is known of another instance from its messages.
+// Seen is the state of another instance as of its last messages.
 type Seen struct {
 	Boot     int64
 	At       time.Time
 	Draining bool
-	Version  int64 // of the targets in force there
+	Version  int64 // of the targets in force at that instance
 }
 
-// Link is this instance's side. It is safe for concurrent use.
+// Link connects this instance to the others. It is safe for concurrent use.
 type Link struct {
 	self    string
 	boot    int64
@@ -66,7 +66,7 @@
 	session  *yamux.Session // nil while not connected
 }
 
-// New returns a link that knows no other instance.
+// New returns a link without other instances; Update sets them.
 func New(self string, boot int64, clock *hlc.Clock, handler Handler, log *logrus.Entry, now func() time.Time) *Link {
 	return &Link{self: self, boot: boot, clock: clock, handler: handler, log: log, now: now,
 		peers: map[string]*peer{}, seen: map[string]Seen{}}
@@ -81,7 +81,7 @@
 	return config
 }
 
-// Serve accepts sessions until ctx ends; it is a duty.
+// Serve accepts sessions until ctx ends.
 func (l *Link) Serve(ctx context.Context, listener net.Listener) {
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
@@ -149,36 +149,36 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.seen[envelope.GetSender()]
-	if envelope.GetBoot() < known.Boot {
+	seen := l.seen[envelope.GetSender()]
+	if envelope.GetBoot() < seen.Boot {
 		return
 	}
-	known.Boot = envelope.GetBoot()
-	known.At = l.now()
+	seen.Boot = envelope.GetBoot()
+	seen.At = l.now()
 	if heartbeat := envelope.GetHeartbeat(); heartbeat != nil {
-		known.Draining = heartbeat.GetDraining()
-		known.Version = heartbeat.GetTargetsVersion()
+		seen.Draining = heartbeat.GetDraining()
+		seen.Version = heartbeat.GetTargetsVersion()
 	}
-	l.seen[envelope.GetSender()] = known
+	l.seen[envelope.GetSender()] = seen
 }
 
-// Update sets the instances to be connected to, from the platform's list.
+// Update connects to the instances in the platform's list and disconnects from others.
 func (l *Link) Update(ctx context.Context, list []membership.Listed) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	wanted := map[string]string{}
+	addresses := map[string]string{}
 	for _, entry := range list {
 		if entry.Role == membership.RoleInstance && entry.ID != l.self && entry.PeerAddress != "" {
-			wanted[entry.ID] = entry.PeerAddress
+			addresses[entry.ID] = entry.PeerAddress
 		}
 	}
-	for name, known := range l.peers {
-		if wanted[name] != known.address {
-			known.cancel()
+	for name, p := range l.peers {
+		if addresses[name] != p.address {
+			p.cancel()
 			delete(l.peers, name)
 		}
 	}
-	for name, address := range wanted {
+	for name, address := range addresses {
 		if l.peers[name] == nil {
 			l.connect(ctx, name, address)
 		}
@@ -187,9 +187,9 @@
 
 func (l *Link) connect(ctx context.Context, name, address string) {
 	ctx, cancel := context.WithCancel(ctx)
-	added := &peer{address: address, outgoing: ring.New[*peerpb.Envelope](outgoingCapacity), cancel: cancel}
-	l.peers[name] = added
-	go l.keepConnected(ctx, added)
+	p := &peer{address: address, outgoing: ring.New[*peerpb.Envelope](outgoingCapacity), cancel: cancel}
+	l.peers[name] = p
+	go l.keepConnected(ctx, p)
 }
 
 func (l *Link) keepConnected(ctx context.Context, p *peer) {
@@ -197,7 +197,7 @@
 		l.runSession(ctx, p)
 		select {
 		case <-ctx.Done():
-		case <-time.After(redialAfter):
+		case <-time.After(redialDelay):
 		}
 	}
 }
@@ -243,14 +243,15 @@
 	p.session = session
 }
 
-// Broadcast queues a message to every connected instance and returns to how
-// many. An instance whose queue is full misses it.
+// Broadcast queues a message to every connected instance and returns the number of
+// instances. An instance whose queue is full does not get the message.
 func (l *Link) Broadcast(envelope *peerpb.Envelope) int {
 	return l.sendUpTo(len(l.Connected()), envelope)
 }
 
-// SendUpTo queues a message to at most limit connected instances, the first by
-// name after this one, so that copies spread evenly. It returns to how many.
+// SendUpTo queues a message to at most limit connected instances, beginning with the
+// next by name after this one, so that copies are spread evenly. It returns the
+// number of instances.
 func (l *Link) SendUpTo(limit int, envelope *peerpb.Envelope) int { return l.sendUpTo(limit, envelope) }
 
 func (l *Link) sendUpTo(limit int, envelope *peerpb.Envelope) int {
@@ -271,7 +272,7 @@
 	return sent
 }
 
-// Request sends one message to a connected instance and waits for its reply.
+// Request sends a message to a connected instance and waits for the reply.
 func (l *Link) Request(name string, envelope *peerpb.Envelope) (*peerpb.Envelope, error) {
 	l.mu.Lock()
 	p := l.peers[name]
@@ -302,7 +303,7 @@
 	return reply, nil
 }
 
-// Connected lists the instances with a working session, in order.
+// Connected returns the names of the instances with an open session, sorted.
 func (l *Link) Connected() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -316,7 +317,7 @@
 	return names
 }
 
-// Seen returns what is known of an instance; ok is false if it never spoke.
+// Seen returns the last state of an instance; ok is false if it has sent no message.
 func (l *Link) Seen(name string) (Seen, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -324,7 +325,7 @@
 	return seen, ok
 }
 
-// SeenAll returns what is known of every instance that ever spoke.
+// SeenAll returns the last state of every instance that has sent a message.
 func (l *Link) SeenAll() map[string]Seen {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -335,8 +336,8 @@
 	return all
 }
 
-// write stamps and sends an envelope; the envelope itself is not changed, since
-// several sessions may send it at once.
+// write sends a stamped copy of an envelope; the envelope itself is not changed, as
+// several sessions may send it concurrently.
 func (l *Link) write(writer io.Writer, envelope *peerpb.Envelope) error {
 	now := l.clock.Now()
 	stamped := &peerpb.Envelope{
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay owns the calls between instances: yamux sessions that are
-// opened when a call needs one, one stream a call, protobuf messages. Nothing
-// is agreed here; an instance that has lost the store asks one that has not, and
-// the one that places has others drive links to workers for it.
+// Package relay implements calls between instances: protobuf messages, with one
+// stream per call, over yamux sessions that are opened on demand. No decision
+// between instances is made here: an instance that has lost the store calls one that
+// has not, and the leader has delegates drive links to workers for it.
 package relay
 
 import (
@@ -19,56 +19,55 @@
 )
 
 const (
-	// maxMessageBytes covers a record of a job with its spec, and what the workers
-	// of one share may report at once: 500 ends of 100 bytes for each of 64.
+	// maxMessageBytes covers the record of a job with its spec, and the reports of
+	// all workers of a shard at once: 500 ends of 100 bytes for each of 64 workers.
 	maxMessageBytes = 4 << 20
-	// handleTimeout bounds a call at the instance that is asked; who asks waits
-	// for less.
+	// handleTimeout bounds a call at the instance that handles it; callers use
+	// shorter timeouts.
 	handleTimeout = 3 * time.Second
-	// streamBuffer is a call's read buffer.
-	streamBuffer = 1 << 10
-	// keepAlive is how often an open session is probed, so that one that has
-	// gone silent ends.
-	keepAlive    = 2 * time.Second
-	writeTimeout = time.Second
+	// readBufferSize is the size of the read buffer of a call, in bytes.
+	readBufferSize = 1 << 10
+	// keepAliveInterval is the interval between probes of an open session, so that
+	// a session whose peer does not respond is closed.
+	keepAliveInterval = 2 * time.Second
+	writeTimeout      = time.Second
 )
 
 // Handler answers a call.
 type Handler func(ctx context.Context, call *relaypb.Call) *relaypb.Answer
 
-// KeepHandler serves a session that a Keep call opens, until it returns.
+// KeepHandler serves a delegation session, which a Keep call opens, until it returns.
 type KeepHandler func(ctx context.Context, keep *relaypb.Keep, stream *Stream)
 
 func sessionConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
 	config.LogOutput = io.Discard
-	config.KeepAliveInterval = keepAlive
+	config.KeepAliveInterval = keepAliveInterval
 	config.ConnectionWriteTimeout = writeTimeout
 	return config
 }
 
-// Serve accepts sessions until ctx ends; it is a duty.
-//
-// keep may be nil: calls that open a session are then cut.
-func Serve(ctx context.Context, listener net.Listener, handler Handler, keep KeepHandler) {
+// Serve accepts sessions until ctx ends. If serveDelegation is nil, the streams of
+// Keep calls are closed.
+func Serve(ctx context.Context, listener net.Listener, handler Handler, serveDelegation KeepHandler) {
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
-	var open sync.WaitGroup
-	defer open.Wait()
+	var sessions sync.WaitGroup
+	defer sessions.Wait()
 	for {
 		connection, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		open.Add(1)
+		sessions.Add(1)
 		go func() {
-			defer open.Done()
-			serveSession(ctx, connection, handler, keep)
+			defer sessions.Done()
+			serveSession(ctx, connection, handler, serveDelegation)
 		}()
 	}
 }
 
-func serveSession(ctx context.Context, connection net.Conn, handler Handler, keep KeepHandler) {
+func serveSession(ctx context.Context, connection net.Conn, handler Handler, serveDelegation KeepHandler) {
 	session, err := yamux.Server(connection, sessionConfig())
 	if err != nil {
 		connection.Close()
@@ -82,11 +81,11 @@
 		if err != nil {
 			return
 		}
-		go serveStream(ctx, stream, handler, keep)
+		go serveStream(ctx, stream, handler, serveDelegation)
 	}
 }
 
-func serveStream(ctx context.Context, conn net.Conn, handler Handler, keep KeepHandler) {
+func serveStream(ctx context.Context, conn net.Conn, handler Handler, serveDelegation KeepHandler) {
 	stream := newStream(conn)
 	defer stream.Close()
 	if err := conn.SetDeadline(time.Now().Add(handleTimeout)); err != nil {
@@ -96,15 +95,15 @@
 	if err := stream.Receive(call); err != nil {
 		return
 	}
-	if opened := call.GetKeep(); opened != nil {
-		if err := conn.SetDeadline(time.Time{}); err == nil && keep != nil {
-			keep(ctx, opened, stream)
+	if keep := call.GetKeep(); keep != nil {
+		if err := conn.SetDeadline(time.Time{}); err == nil && serveDelegation != nil {
+			serveDelegation(ctx, keep, stream)
 		}
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, handleTimeout)
 	defer cancel()
-	// A caller that has gone does not read the answer.
+	// The error only means that the caller is gone and does not read the answer.
 	_, _ = protodelim.MarshalTo(conn, handler(ctx, call))
 }
 
@@ -117,11 +116,11 @@
 // NewClient returns a client without sessions.
 func NewClient() *Client { return &Client{sessions: map[string]*yamux.Session{}} }
 
-// ErrNotSent says that a call did not reach the other instance.
+// ErrNotSent means that a call did not reach the other instance.
 var ErrNotSent = eris.New("the instance was not reached")
 
-// Call sends a call to the instance at IP:PORT and waits for the answer. After
-// an error other than ErrNotSent the call may have been carried out.
+// Call sends a call to the instance at IP:PORT and waits for the answer. After an
+// error other than ErrNotSent the call may have been executed.
 func (c *Client) Call(ctx context.Context, address string, call *relaypb.Call) (*relaypb.Answer, error) {
 	session, err := c.session(ctx, address)
 	if err != nil {
@@ -154,31 +153,31 @@
 
 func (c *Client) session(ctx context.Context, address string) (*yamux.Session, error) {
 	c.lock.Lock()
-	known := c.sessions[address]
+	cached := c.sessions[address]
 	c.lock.Unlock()
-	if known != nil && !known.IsClosed() {
-		return known, nil
+	if cached != nil && !cached.IsClosed() {
+		return cached, nil
 	}
 	connection, err := (&net.Dialer{}).DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	made, err := yamux.Client(connection, sessionConfig())
+	session, err := yamux.Client(connection, sessionConfig())
 	if err != nil {
 		connection.Close()
 		return nil, err
 	}
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if other := c.sessions[address]; other != nil && !other.IsClosed() {
-		made.Close()
-		return other, nil
+	if existing := c.sessions[address]; existing != nil && !existing.IsClosed() {
+		session.Close()
+		return existing, nil
 	}
-	c.sessions[address] = made
-	return made, nil
+	c.sessions[address] = session
+	return session, nil
 }
 
-// drop closes a session that did not work, as it may have gone silent.
+// drop closes a session after a failed call, as its peer may no longer respond.
 func (c *Client) drop(address string, session *yamux.Session) {
 	session.Close()
 	c.lock.Lock()
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -10,7 +10,7 @@
 	"github.com/teaselcleat/teaselcleat/relay/relaypb"
 )
 
-func TestCallsAreAnsweredOverOneSession(t *testing.T) {
+func TestCallsShareOneSession(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -28,7 +28,7 @@
 	is.Equal(len(client.sessions), 1)
 }
 
-func TestAnInstanceThatIsGoneWasNotReached(t *testing.T) {
+func TestCallToClosedListenerIsNotSent(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -14,20 +14,20 @@
 	"github.com/teaselcleat/teaselcleat/relay/relaypb"
 )
 
-// Stream carries messages both ways, each with its length before it. One
-// goroutine may send while another receives.
+// Stream carries length-prefixed messages in both directions. One goroutine may send
+// while another receives.
 type Stream struct {
-	conn   net.Conn
-	reader *bufio.Reader
-	close  func() // what else ends with the stream
+	conn    net.Conn
+	reader  *bufio.Reader
+	onClose func() // releases the session that the stream owns
 }
 
 func newStream(conn net.Conn) *Stream {
-	return &Stream{conn: conn, reader: bufio.NewReaderSize(conn, streamBuffer), close: func() {}}
+	return &Stream{conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), onClose: func() {}}
 }
 
-// Send writes a message. It fails if the other side reads nothing for
-// writeTimeout; the stream is of no use afterwards.
+// Send writes a message. It fails if the other side reads nothing for writeTimeout;
+// the stream cannot be used afterwards.
 func (s *Stream) Send(message proto.Message) error {
 	if err := s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -36,20 +36,20 @@
 	return err
 }
 
-// Receive waits for the next message, without a limit of time.
+// Receive waits for the next message, without a timeout.
 func (s *Stream) Receive(message proto.Message) error {
 	options := protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}
 	return options.UnmarshalFrom(s.reader, message)
 }
 
-// Close ends the stream; calls under way return an error.
+// Close closes the stream; pending calls of Send and Receive return an error.
 func (s *Stream) Close() {
 	s.conn.Close()
-	s.close()
+	s.onClose()
 }
 
-// Open opens a session with the instance at IP:PORT, on a connection of its own:
-// calls to that instance that fail leave it alone.
+// Open opens a delegation session with the instance at IP:PORT, on a connection of
+// its own, so that failed calls to that instance do not close it.
 func Open(ctx context.Context, address string, keep *relaypb.Keep) (*Stream, error) {
 	connection, err := (&net.Dialer{}).DialContext(ctx, "tcp4", address)
 	if err != nil {
@@ -60,13 +60,13 @@
 		connection.Close()
 		return nil, ErrNotSent
 	}
-	opened, err := session.Open()
+	conn, err := session.Open()
 	if err != nil {
 		session.Close()
 		return nil, ErrNotSent
 	}
-	stream := newStream(opened)
-	stream.close = func() { session.Close() }
+	stream := newStream(conn)
+	stream.onClose = func() { session.Close() }
 	if err := stream.Send(&relaypb.Call{Body: &relaypb.Call_Keep{Keep: keep}}); err != nil {
 		stream.Close()
 		return nil, eris.Wrap(err, "open session")
@@ -74,8 +74,8 @@
 	return stream, nil
 }
 
-// Pipe returns the two ends of a stream inside one process, for tests.
+// Pipe returns the two ends of an in-memory stream, for tests.
 func Pipe() (*Stream, *Stream) {
-	one, other := net.Pipe()
-	return newStream(one), newStream(other)
+	a, b := net.Pipe()
+	return newStream(a), newStream(b)
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica owns this instance's copy of the folded streams and lets
-// other duties wait for what they appended to be read back. All methods are
-// safe for concurrent use.
+// Package replica holds this instance's copy of the state folded from the log
+// streams, and lets callers wait until records that they appended are read back.
+// All methods are safe for concurrent use.
 package replica
 
 import (
@@ -14,11 +14,11 @@
 	"github.com/teaselcleat/teaselcleat/targets"
 )
 
-// Observer is told of folded records. Its methods are called with no lock held,
-// from the goroutine that reads the ledger stream, and must not block.
+// Observer is notified of folded records. Its methods are called without the lock
+// held, from the goroutine that reads the ledger stream, and must not block.
 type Observer interface {
-	// OrphanClaim reports a claim of this instance that took effect although
-	// nobody waits for it any more.
+	// OrphanClaim reports a claim of this instance that took effect after its
+	// request stopped waiting for it.
 	OrphanClaim(claim structs.Claim)
 	// JobChanged reports a job whose entry changed.
 	JobChanged(job string)
@@ -26,54 +26,54 @@
 	TermChanged(term structs.Term)
 }
 
-// ClaimResult is how the fold ruled on a claim.
+// ClaimResult is the result of folding a claim.
 type ClaimResult struct {
-	Entry *ledger.KeyEntry // the key's entry after the claim's record, nil if void without one
+	Entry *ledger.KeyEntry // the key's entry after the claim was folded; nil if the claim is void and there is none
 	Why   ledger.VoidReason
 }
 
-// Replica holds the folds.
+// Replica holds the folded ledger and targets.
 type Replica struct {
-	mu        sync.Mutex
-	ledger    *ledger.State
-	targets   *targets.Fold
-	holder    string
-	claims    map[string]chan ClaimResult
-	submits   map[string][]chan ledger.VoidReason
-	proposals map[string]chan targets.Decision
-	changed   chan struct{} // closed and replaced at each change of the targets
-	// ledgerGap and targetsGap say that records of the stream were lost to
-	// retention, so that only a newer snapshot helps.
-	ledgerGap  bool
-	targetsGap bool
-	observer   Observer
-	voids      int64
-}
-
-// New returns an empty replica. holder names this instance's boot in claims.
-func New(holder string) *Replica {
+	mu              sync.Mutex
+	ledger          *ledger.State
+	targets         *targets.Fold
+	identity        string
+	claimWaiters    map[string]chan ClaimResult
+	submitWaiters   map[string][]chan ledger.VoidReason
+	proposalWaiters map[string]chan targets.Decision
+	targetsChanged  chan struct{} // closed and replaced at each change of the targets
+	// ledgerGap and targetsGap mean that records of the stream were removed by
+	// retention before they were read; recovery needs a newer snapshot.
+	ledgerGap   bool
+	targetsGap  bool
+	observer    Observer
+	voidRecords int64
+}
+
+// New returns an empty replica. identity names this boot of the instance in claims.
+func New(identity string) *Replica {
 	return &Replica{
-		ledger:    ledger.New(),
-		targets:   targets.NewFold(),
-		holder:    holder,
-		claims:    map[string]chan ClaimResult{},
-		submits:   map[string][]chan ledger.VoidReason{},
-		proposals: map[string]chan targets.Decision{},
-		changed:   make(chan struct{}),
+		ledger:          ledger.New(),
+		targets:         targets.NewFold(),
+		identity:        identity,
+		claimWaiters:    map[string]chan ClaimResult{},
+		submitWaiters:   map[string][]chan ledger.VoidReason{},
+		proposalWaiters: map[string]chan targets.Decision{},
+		targetsChanged:  make(chan struct{}),
 	}
 }
 
-// Observe sets the observer; it must precede the reading of the streams.
+// Observe sets the observer; it must be called before the streams are read.
 func (r *Replica) Observe(observer Observer) { r.observer = observer }
 
-// ledgerSink and targetsSink are the replica's two sides towards the tailers.
+// ledgerSink and targetsSink receive the records of the two tailers.
 type ledgerSink struct{ replica *Replica }
 type targetsSink struct{ replica *Replica }
 
-// LedgerSink is the sink of the ledger stream.
+// LedgerSink returns the sink for the ledger stream.
 func (r *Replica) LedgerSink() logstream.Sink { return ledgerSink{r} }
 
-// TargetsSink is the sink of the targets stream.
+// TargetsSink returns the sink for the targets stream.
 func (r *Replica) TargetsSink() logstream.Sink { return targetsSink{r} }
 
 // Next implements logstream.Sink.
@@ -95,7 +95,7 @@
 	for index, data := range records {
 		record := &structs.Record{}
 		if err := json.Unmarshal(data, record); err != nil {
-			record = &structs.Record{} // void, but it keeps its offset
+			record = &structs.Record{} // void, but it occupies its offset
 		}
 		s.replica.foldRecord(first+int64(index), record)
 	}
@@ -120,13 +120,14 @@
 	for index, data := range records {
 		proposal := &structs.Proposal{}
 		if err := json.Unmarshal(data, proposal); err != nil {
-			proposal = &structs.Proposal{Base: -1} // void, but it keeps its offset
+			proposal = &structs.Proposal{Base: -1} // void, but it occupies its offset
 		}
 		s.replica.foldProposal(first+int64(index), proposal)
 	}
 }
 
-// Gap reports that records were lost to retention and no newer snapshot came.
+// Gap reports whether records were removed by retention before they were read, and
+// no newer snapshot was restored since.
 func (r *Replica) Gap() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,56 +142,56 @@
 	}
 	verdict := r.ledger.Apply(record)
 	if !verdict.Valid {
-		r.voids++
+		r.voidRecords++
 	}
-	notify := r.afterRecord(record, verdict)
+	notify := r.notifyRecord(record, verdict)
 	r.mu.Unlock()
 	notify()
 }
 
-// afterRecord wakes who waits for the record and returns what is to be told to
-// the observer once the lock is free.
-func (r *Replica) afterRecord(record *structs.Record, verdict ledger.Verdict) func() {
-	nothing := func() {}
+// notifyRecord wakes the waiters of a record and returns a function that notifies the
+// observer, to be called without the lock.
+func (r *Replica) notifyRecord(record *structs.Record, verdict ledger.Verdict) func() {
+	noop := func() {}
 	switch {
 	case record.Claim != nil:
-		return r.afterClaim(record.Claim, verdict)
+		return r.notifyClaim(record.Claim, verdict)
 	case record.Submit != nil:
-		for _, waiter := range r.submits[record.Submit.ID] {
+		for _, waiter := range r.submitWaiters[record.Submit.ID] {
 			waiter <- verdict.Why
 		}
-		delete(r.submits, record.Submit.ID)
-		return r.jobChanged(record.Submit.ID)
+		delete(r.submitWaiters, record.Submit.ID)
+		return r.notifyJob(record.Submit.ID)
 	case record.Cancel != nil:
-		return r.jobChanged(record.Cancel.Job)
+		return r.notifyJob(record.Cancel.Job)
 	case record.Start != nil:
-		return r.jobChanged(record.Start.Job)
+		return r.notifyJob(record.Start.Job)
 	case record.Stop != nil:
-		return r.jobChanged(record.Stop.Job)
+		return r.notifyJob(record.Stop.Job)
 	case record.End != nil:
-		return r.jobChanged(record.End.Job)
+		return r.notifyJob(record.End.Job)
 	case record.Term != nil && verdict.Valid && r.observer != nil:
 		term := *record.Term
 		return func() { r.observer.TermChanged(term) }
 	}
-	return nothing
+	return noop
 }
 
-func (r *Replica) jobChanged(job string) func() {
+func (r *Replica) notifyJob(job string) func() {
 	if r.observer == nil {
 		return func() {}
 	}
 	return func() { r.observer.JobChanged(job) }
 }
 
-func (r *Replica) afterClaim(claim *structs.Claim, verdict ledger.Verdict) func() {
-	waiter, waited := r.claims[claim.ID]
-	if waited {
-		delete(r.claims, claim.ID)
-		waiter <- ClaimResult{Entry: r.copyKey(claim.Key), Why: verdict.Why}
+func (r *Replica) notifyClaim(claim *structs.Claim, verdict ledger.Verdict) func() {
+	waiter, found := r.claimWaiters[claim.ID]
+	if found {
+		delete(r.claimWaiters, claim.ID)
+		waiter <- ClaimResult{Entry: r.copyKeyEntry(claim.Key), Why: verdict.Why}
 		return func() {}
 	}
-	if !verdict.Valid || claim.Holder != r.holder || r.observer == nil {
+	if !verdict.Valid || claim.Holder != r.identity || r.observer == nil {
 		return func() {}
 	}
 	orphan := *claim
@@ -204,45 +205,45 @@
 		return
 	}
 	decision := r.targets.Apply(proposal)
-	if waiter, waited := r.proposals[proposal.ID]; waited {
-		delete(r.proposals, proposal.ID)
+	if waiter, found := r.proposalWaiters[proposal.ID]; found {
+		delete(r.proposalWaiters, proposal.ID)
 		waiter <- decision
 	}
 	if decision.Accepted {
-		close(r.changed)
-		r.changed = make(chan struct{})
+		close(r.targetsChanged)
+		r.targetsChanged = make(chan struct{})
 	}
 }
 
-// AwaitClaim registers interest in a claim before it is appended. The returned
-// channel gets one result; forget ends the interest.
-func (r *Replica) AwaitClaim(claimID string) (result <-chan ClaimResult, forget func()) {
+// AwaitClaim registers a waiter for a claim before it is appended. The returned
+// channel receives one result; unregister removes the waiter.
+func (r *Replica) AwaitClaim(claimID string) (result <-chan ClaimResult, unregister func()) {
 	waiter := make(chan ClaimResult, 1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.claims[claimID] = waiter
+	r.claimWaiters[claimID] = waiter
 	return waiter, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.claims, claimID)
+		delete(r.claimWaiters, claimID)
 	}
 }
 
-// AwaitSubmit registers interest in a job's submission before it is appended.
+// AwaitSubmit registers a waiter for a job's submission before it is appended.
 func (r *Replica) AwaitSubmit(job string) <-chan ledger.VoidReason {
 	waiter := make(chan ledger.VoidReason, 1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.submits[job] = append(r.submits[job], waiter)
+	r.submitWaiters[job] = append(r.submitWaiters[job], waiter)
 	return waiter
 }
 
-// AwaitProposal registers interest in a proposal before it is appended.
+// AwaitProposal registers a waiter for a proposal before it is appended.
 func (r *Replica) AwaitProposal(id string) <-chan targets.Decision {
 	waiter := make(chan targets.Decision, 1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.proposals[id] = waiter
+	r.proposalWaiters[id] = waiter
 	return waiter
 }
 
@@ -250,10 +251,10 @@
 func (r *Replica) Key(key structs.KeyID) *ledger.KeyEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.copyKey(key)
+	return r.copyKeyEntry(key)
 }
 
-func (r *Replica) copyKey(key structs.KeyID) *ledger.KeyEntry {
+func (r *Replica) copyKeyEntry(key structs.KeyID) *ledger.KeyEntry {
 	entry, exists := r.ledger.Keys[key]
 	if !exists {
 		return nil
@@ -262,17 +263,17 @@
 	return &copied
 }
 
-// OpenClaims returns the open claims that match.
+// OpenClaims returns the open claims for which match is true.
 func (r *Replica) OpenClaims(match func(structs.Claim) bool) []structs.Claim {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var open []structs.Claim
+	var claims []structs.Claim
 	for _, entry := range r.ledger.Keys {
 		if entry.Phase == ledger.KeyOpen && match(entry.Claim) {
-			open = append(open, entry.Claim)
+			claims = append(claims, entry.Claim)
 		}
 	}
-	return open
+	return claims
 }
 
 // Job returns a copy of a job's entry, or nil.
@@ -291,24 +292,25 @@
 func (r *Replica) LiveJobs() []*ledger.JobEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var live []*ledger.JobEntry
+	var jobs []*ledger.JobEntry
 	for _, entry := range r.ledger.Jobs {
 		if entry.Phase != ledger.JobEnded {
 			copied := *entry
-			live = append(live, &copied)
+			jobs = append(jobs, &copied)
 		}
 	}
-	return live
+	return jobs
 }
 
-// Term is the current term.
+// Term returns the current term.
 func (r *Replica) Term() structs.Term {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ledger.Term
 }
 
-// PrunedBefore is the issue time, in Unix milliseconds, before which keys are refused.
+// PrunedBefore returns the issue time, in Unix milliseconds, before which keys are
+// refused.
 func (r *Replica) PrunedBefore() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -334,7 +336,7 @@
 	for {
 		r.mu.Lock()
 		reached := r.targets.Version >= version
-		changed := r.changed
+		changed := r.targetsChanged
 		r.mu.Unlock()
 		if reached {
 			return true
@@ -347,14 +349,14 @@
 	}
 }
 
-// Offsets returns the next offsets of the ledger and targets streams.
+// Offsets returns the offsets of the next records to fold of the two streams.
 func (r *Replica) Offsets() (ledgerNext, targetsNext int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ledger.Next, r.targets.Next
 }
 
-// Snapshot copies the folds.
+// Snapshot returns a copy of the folded state.
 func (r *Replica) Snapshot(atMS int64) *ledger.Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -369,8 +371,8 @@
 	return snapshot
 }
 
-// Restore takes over a snapshot if it is further along than what is folded. The
-// two streams are judged each for itself, so neither ever goes back.
+// Restore replaces the folded state by a snapshot that is ahead of it. Each of the
+// two streams is compared on its own, so that neither goes back.
 func (r *Replica) Restore(snapshot *ledger.Snapshot) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring owns the bounded queue that joins two duties. A full ring is an
-// outcome that the producer sees; nothing is dropped silently.
+// Package ring implements a bounded queue between goroutines. The producer learns
+// that the queue is full; nothing is dropped silently.
 package ring
 
 import "context"
@@ -24,7 +24,7 @@
 	}
 }
 
-// Put waits for room and reports false if ctx ends first.
+// Put waits for free capacity to add an item and reports false if ctx ends first.
 func (r *Ring[T]) Put(ctx context.Context, item T) bool {
 	select {
 	case r.slots <- item:
@@ -34,7 +34,7 @@
 	}
 }
 
-// Take waits for an item and reports false if ctx ends first.
+// Take waits for an item to remove and reports false if ctx ends first.
 func (r *Ring[T]) Take(ctx context.Context) (T, bool) {
 	select {
 	case item := <-r.slots:
@@ -45,7 +45,7 @@
 	}
 }
 
-// TryTake returns an item if one is waiting.
+// TryTake removes an item if one is queued, and does not wait.
 func (r *Ring[T]) TryTake() (T, bool) {
 	select {
 	case item := <-r.slots:
@@ -56,8 +56,8 @@
 	}
 }
 
-// Items is the receiving side, for use in a select statement.
+// Items returns the channel to receive from, for use in a select statement.
 func (r *Ring[T]) Items() <-chan T { return r.slots }
 
-// Len is the number of waiting items.
+// Len returns the number of queued items.
 func (r *Ring[T]) Len() int { return len(r.slots) }
--- a/structs/outcome.go
+++ b/structs/outcome.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Outcome says what became of a submission. "Not run" is a promise: it is used
-// only where nothing was sent or the upstream itself said it did not start.
+// Outcome is the result of a submission. OutcomeNotRun is definite: it is used only
+// if nothing was sent or the upstream itself reported that it did not start.
 type Outcome string
 
-// The outcomes a caller may see.
+// Outcomes that are returned to callers.
 const (
-	// OutcomeRan means the upstream executed the request and its whole answer is known.
+	// OutcomeRan means the upstream executed the request and its complete answer is known.
 	OutcomeRan Outcome = "ran"
 	// OutcomeNotRun means the request certainly did not execute.
 	OutcomeNotRun Outcome = "not_run"
@@ -23,7 +23,7 @@
 // Reason is the machine-readable cause of a refusal or delay.
 type Reason string
 
-// Reasons of refusals, as callers see them and as they are recorded.
+// Reasons of refusals, as returned to callers and as recorded.
 const (
 	ReasonNone              Reason = ""
 	ReasonBadRequest        Reason = "bad_request"
@@ -64,8 +64,8 @@
 	ReasonConfigUnavailable Reason = "targets_unavailable"
 )
 
-// Refusal is the recorded form of a submission that was turned away or ended
-// without a known answer. ID makes appending it twice harmless.
+// Refusal is the record of a submission that was rejected or ended without a known
+// answer. Readers drop duplicates by ID, so that appending it twice is harmless.
 type Refusal struct {
 	ID         string  `json:"id"`
 	Subject    string  `json:"subject"` // request key or job identifier
@@ -75,11 +75,11 @@
 	Reason     Reason  `json:"reason"`
 	Instance   string  `json:"instance"`
 	AtMS       int64   `json:"at_ms"`       // wall clock of the refusing instance
-	RetryAfter int64   `json:"retry_after"` // seconds; 0 when coming back makes no sense
+	RetryAfter int64   `json:"retry_after"` // seconds; 0 if a retry cannot succeed
 	Dropped    int64   `json:"dropped,omitempty"`
 }
 
-// Reply is the typed answer to a submission that is not a relayed body.
+// Reply is the typed answer to a submission whose answer is not a relayed body.
 type Reply struct {
 	Outcome    Outcome       `json:"outcome"`
 	Reason     Reason        `json:"reason,omitempty"`
--- a/structs/record.go
+++ b/structs/record.go
@@ -3,7 +3,7 @@
 // RecordKind names the kind of a ledger record.
 type RecordKind string
 
-// Kinds of ledger records. The fold in package ledger states when each is valid.
+// Kinds of ledger records. Package ledger defines when each is valid.
 const (
 	RecordClaim    RecordKind = "claim"
 	RecordRelease  RecordKind = "release"
@@ -17,7 +17,7 @@
 	RecordPrune    RecordKind = "prune"
 )
 
-// Record is one entry of the ledger stream. Exactly the part named by Kind is set.
+// Record is one entry of the ledger stream. Exactly the field named by Kind is set.
 type Record struct {
 	Kind     RecordKind `json:"kind"`
 	AtMS     int64      `json:"at_ms"` // wall clock of the appending instance
@@ -39,9 +39,9 @@
 	Key       string `json:"key"`
 }
 
-// Claim takes the sole right to send a non-idempotent request.
+// Claim acquires the exclusive right to send a non-idempotent request.
 type Claim struct {
-	ID       string `json:"id"` // unique for each claim, so that a double append is recognised
+	ID       string `json:"id"` // unique per claim, so that a duplicate append is detected
 	Key      KeyID  `json:"key"`
 	Class    string `json:"class"`
 	Digest   uint64 `json:"digest"` // of the request body
@@ -49,15 +49,15 @@
 	IssuedMS int64  `json:"issued_ms"`
 }
 
-// Release gives a claim back. Only its holder appends it, and only if nothing was sent.
+// Release gives up a claim. Only the holder of the claim appends it, and only if nothing was sent.
 type Release struct {
 	ClaimID string `json:"claim_id"`
 	Key     KeyID  `json:"key"`
 	Reason  Reason `json:"reason"`
 }
 
-// Complete ends a claim as ran or unknown. Holder is false when another
-// instance closes the claim of a lost holder; that can only make it unknown.
+// Complete ends a claim with the outcome ran or unknown. Holder is false if another
+// instance closes the claim of a lost one; the outcome can then only be unknown.
 type Complete struct {
 	ClaimID string  `json:"claim_id"`
 	Key     KeyID   `json:"key"`
@@ -65,8 +65,8 @@
 	Reason  Reason  `json:"reason,omitempty"`
 	Holder  bool    `json:"holder"`
 	Status  int     `json:"status,omitempty"`
-	Answer  []byte  `json:"answer,omitempty"` // kept only up to a limit
-	Kept    bool    `json:"kept,omitempty"`   // Answer is the whole answer
+	Answer  []byte  `json:"answer,omitempty"` // stored only up to a size limit
+	Kept    bool    `json:"kept,omitempty"`   // Answer is complete
 }
 
 // Job is a gang job as submitted.
@@ -75,16 +75,16 @@
 	Key       KeyID  `json:"key"`
 	Class     string `json:"class"`
 	Shape     Shape  `json:"shape"`
-	DeclaredS int64  `json:"declared_s"` // the caller's guess of the run time, a hint only
+	DeclaredS int64  `json:"declared_s"` // the caller's estimate of the run time, only a hint
 	SubmitMS  int64  `json:"submit_ms"`
 	Digest    uint64 `json:"digest"`
-	Payload   string `json:"payload,omitempty"` // opaque to this project, handed to the tasks
-	// Idempotent is the class's word at submission; it decides whether a started
-	// run may be repeated.
+	Payload   string `json:"payload,omitempty"` // opaque, passed to the tasks unchanged
+	// Idempotent is the setting of the class at submission; it decides whether a
+	// started run may be repeated.
 	Idempotent bool `json:"idempotent"`
 }
 
-// Cancel asks for the end of a job, whatever its state.
+// Cancel requests the end of a job in any state.
 type Cancel struct {
 	Job string `json:"job"`
 }
@@ -95,8 +95,8 @@
 	Accelerators int    `json:"accelerators"`
 }
 
-// Start makes a run durable before any of its tasks start. It is valid under
-// the current term only.
+// Start records a run before any of its tasks start. It is valid only under the
+// current term.
 type Start struct {
 	Job     string   `json:"job"`
 	Run     string   `json:"run"`
@@ -104,20 +104,22 @@
 	Members []Member `json:"members"`
 }
 
-// Stop returns a started run to the queue, under the current term only.
+// Stop ends a started run and returns its job to the queue. It is valid only under
+// the current term.
 type Stop struct {
 	Job    string `json:"job"`
 	Run    string `json:"run"`
 	Term   int64  `json:"term"`
 	Reason Reason `json:"reason"`
-	Worker string `json:"worker,omitempty"` // the worker to blame, if one is
-	// NotStarted says that no task of the run was ever told to start.
+	Worker string `json:"worker,omitempty"` // the worker at fault, if any
+	// NotStarted means that no task of the run was ever ordered to start.
 	NotStarted bool `json:"not_started,omitempty"`
-	// Checkpointed says that the next run continues this one.
+	// Checkpointed means that the next run resumes from a checkpoint of this one.
 	Checkpointed bool `json:"checkpointed,omitempty"`
 }
 
-// End ends a job, under the current term only. Run is empty for a job that never ran.
+// End ends a job. It is valid only under the current term. Run is empty for a job
+// that never ran.
 type End struct {
 	Job     string  `json:"job"`
 	Run     string  `json:"run,omitempty"`
@@ -127,14 +129,14 @@
 	Detail  string  `json:"detail,omitempty"`
 }
 
-// Term makes one instance the placing instance. It is valid if Number is the
-// current number plus one.
+// Term makes one instance the leader. It is valid if Number is the current number
+// plus one.
 type Term struct {
 	Number int64  `json:"number"`
 	Holder string `json:"holder"`
 }
 
-// Prune forgets ended keys and jobs issued before BeforeMS.
+// Prune removes ended keys and jobs that were issued before BeforeMS.
 type Prune struct {
 	BeforeMS int64 `json:"before_ms"`
 }
--- a/structs/shape.go
+++ b/structs/shape.go
@@ -8,11 +8,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// Limits of a shape, checked wherever one enters the system.
+// Limits of a shape, checked at every entry point.
 const (
-	// MaxMembers is the largest gang, in workers.
+	// MaxMembers bounds the workers of a gang.
 	MaxMembers = 128
-	// MaxAcceleratorsPerMember is the most accelerators one member may ask for.
+	// MaxAcceleratorsPerMember bounds the accelerators that each member requests.
 	MaxAcceleratorsPerMember = 64
 )
 
@@ -23,13 +23,13 @@
 	Adjacent     bool `json:"adjacent,omitempty"` // all members in one rack
 }
 
-// Total is the number of accelerators of the whole shape.
+// Total returns the number of accelerators of all members.
 func (s Shape) Total() int { return s.Members * s.Accelerators }
 
-// String prints the shape as MEMBERSxACCELERATORS.
+// String formats the shape as MEMBERSxACCELERATORS.
 func (s Shape) String() string { return fmt.Sprintf("%dx%d", s.Members, s.Accelerators) }
 
-// Validate reports a shape outside the limits.
+// Validate returns an error if the shape exceeds the limits.
 func (s Shape) Validate() error {
 	if s.Members < 1 || s.Members > MaxMembers {
 		return eris.Errorf("members %d is outside 1..%d", s.Members, MaxMembers)
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// ParseShape reads MEMBERSxACCELERATORS, such as 4x8, as an adjacent shape.
+// ParseShape parses MEMBERSxACCELERATORS, such as 4x8, as an adjacent shape.
 func ParseShape(text string) (Shape, error) {
 	left, right, found := strings.Cut(strings.TrimSpace(text), "x")
 	if !found {
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -1,5 +1,5 @@
-// Package timeline owns the events a process keeps of what it did, and the
-// merging of several processes' events into one causal order.
+// Package timeline records the events of a process and merges the events of several
+// processes into one causal order.
 package timeline
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/teaselcleat/teaselcleat/hlc"
 )
 
-// Event is one thing a process did. Subject is a request key, job or worker.
+// Event is a recorded action of a process. Subject is a request key, job or worker.
 type Event struct {
 	Stamp     hlc.Stamp `json:"stamp"`
 	Process   string    `json:"process"`
@@ -25,7 +25,7 @@
 	Workspace string
 }
 
-// Match reports whether the event passes the filter.
+// Match reports whether the filter selects the event.
 func (f Filter) Match(event Event) bool {
 	if f.Subject != "" && event.Subject != f.Subject {
 		return false
@@ -33,23 +33,23 @@
 	return f.Workspace == "" || event.Workspace == f.Workspace
 }
 
-// Recorder keeps the newest events of one process, up to a bound, and counts
-// those it had to forget. It is safe for concurrent use.
+// Recorder keeps the newest events of one process, up to a capacity, and counts the
+// older ones that it overwrote. It is safe for concurrent use.
 type Recorder struct {
-	mu        sync.Mutex
-	clock     *hlc.Clock
-	process   string
-	events    []Event
-	next      int
-	forgotten int64
+	mu          sync.Mutex
+	clock       *hlc.Clock
+	process     string
+	events      []Event
+	oldest      int
+	overwritten int64
 }
 
-// NewRecorder returns a recorder for at most capacity events.
+// NewRecorder returns a recorder that keeps at most capacity events.
 func NewRecorder(process string, clock *hlc.Clock, capacity int) *Recorder {
 	return &Recorder{clock: clock, process: process, events: make([]Event, 0, capacity)}
 }
 
-// Add stamps and keeps an event.
+// Add records an event with the current stamp.
 func (r *Recorder) Add(name, subject, workspace, detail string) {
 	event := Event{Stamp: r.clock.Now(), Process: r.process, Name: name, Subject: subject, Workspace: workspace, Detail: detail}
 	r.mu.Lock()
@@ -58,30 +58,31 @@
 		r.events = append(r.events, event)
 		return
 	}
-	r.events[r.next] = event
-	r.next = (r.next + 1) % len(r.events)
-	r.forgotten++
+	r.events[r.oldest] = event
+	r.oldest = (r.oldest + 1) % len(r.events)
+	r.overwritten++
 }
 
-// Clock is the clock that stamps this recorder's events.
+// Clock returns the clock that stamps this recorder's events.
 func (r *Recorder) Clock() *hlc.Clock { return r.clock }
 
-// Events returns the matching events in order, and how many older ones were forgotten.
+// Events returns the matching events in order, and the number of older events that
+// were overwritten.
 func (r *Recorder) Events(filter Filter) ([]Event, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var matching []Event
 	for i := range r.events {
-		event := r.events[(r.next+i)%len(r.events)]
+		event := r.events[(r.oldest+i)%len(r.events)]
 		if filter.Match(event) {
 			matching = append(matching, event)
 		}
 	}
-	return matching, r.forgotten
+	return matching, r.overwritten
 }
 
-// Merge puts the events of several processes into one causal order. Equal
-// stamps are ordered by process, so that the result is the same every time.
+// Merge merges the events of several processes into one causal order. Equal stamps
+// are ordered by process, so that the result is deterministic.
 func Merge(lists ...[]Event) []Event {
 	var all []Event
 	for _, list := range lists {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,4 +1,4 @@
-// Package upstream owns the interface to runners, the back ends that execute
+// Package upstream defines the interface to runners, the back ends that execute
 // requests. Adapters implement it.
 package upstream
 
@@ -9,7 +9,7 @@
 	"github.com/teaselcleat/teaselcleat/requests"
 )
 
-// Attempt is one try of one request at one runner.
+// Attempt is one attempt to execute a request at one runner.
 type Attempt struct {
 	ID        string // unique; the runner echoes it with its answer
 	Address   string // IP:PORT
@@ -20,8 +20,8 @@
 	MaxAnswer int64 // bytes
 }
 
-// Result is how an attempt ended: Ended for the request, Load for the choice of
-// runners. Busy is the runner's own count of slots in use, or -1.
+// Result is the result of an attempt: Ended for the state machine of the request,
+// Load for the balancer. Busy is the runner's own count of slots in use, or -1.
 type Result struct {
 	Ended requests.AttemptEnded
 	Load  balancer.Result
@@ -30,8 +30,8 @@
 
 // Runner sends attempts. It is safe for concurrent use.
 type Runner interface {
-	// Send returns when the whole answer arrived or ctx ended. It never reports
-	// an attempt as not sent unless no byte of it can have reached the runner,
-	// and never reuses the connection of an attempt that did not end whole.
+	// Send returns when the complete answer has arrived or ctx has ended. It reports
+	// an attempt as not sent only if no byte of it can have reached the runner, and
+	// never reuses the connection of an attempt that did not complete.
 	Send(ctx context.Context, attempt Attempt) Result
 }
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,4 +1,4 @@
-// Package worker owns the interface to workers, the machines whose accelerators
+// Package worker defines the interface to workers, the machines whose accelerators
 // run tasks under leases. Adapters implement it.
 package worker
 
@@ -9,8 +9,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Errors that a worker itself states. Any other error leaves open whether the
-// call took effect.
+// Errors reported by the worker itself. After any other error the call may or may
+// not have taken effect.
 var (
 	// ErrStaleTerm means the worker has seen a later term.
 	ErrStaleTerm = eris.New("worker has seen a later term")
@@ -20,7 +20,7 @@
 	ErrNoLease = eris.New("worker does not hold the lease")
 )
 
-// Reserve asks for accelerators under a lease.
+// Reserve requests accelerators under a lease.
 type Reserve struct {
 	Term         int64         `json:"term"`
 	Run          string        `json:"run"`
@@ -33,15 +33,15 @@
 type Order struct {
 	Term int64  `json:"term"`
 	Run  string `json:"run"`
-	// Checkpoint asks for a checkpoint before the stop, within Within.
+	// Checkpoint requests a checkpoint before the stop; Within bounds its time.
 	Checkpoint bool          `json:"checkpoint,omitempty"`
 	Within     time.Duration `json:"within,omitempty"`
-	// MinLease is the least that must be left of the lease for a start to count.
-	// A worker with less refuses with ErrNoLease.
+	// MinLease is the minimum remaining time of the lease for a start. The worker
+	// refuses with ErrNoLease if less remains.
 	MinLease time.Duration `json:"min_lease,omitempty"`
 	// Resume starts from the job's last checkpoint.
 	Resume  bool   `json:"resume,omitempty"`
-	Payload string `json:"payload,omitempty"` // the job's own words to its tasks
+	Payload string `json:"payload,omitempty"` // of the job, passed to its tasks unchanged
 }
 
 // Renew extends the leases of several runs at once.
@@ -73,22 +73,22 @@
 	Detail       string    `json:"detail,omitempty"`
 }
 
-// State is all a worker says of itself. Usage lags behind.
+// State is a worker's report of its state. Usage lags behind.
 type State struct {
 	Term  int64   `json:"term"`
 	Tasks []Task  `json:"tasks"`
-	Usage float64 `json:"usage"` // share of accelerators in use, 0 to 1
+	Usage float64 `json:"usage"` // fraction of accelerators in use, 0 to 1
 }
 
-// Client talks to workers. It is safe for concurrent use.
+// Client calls workers. It is safe for concurrent use.
 type Client interface {
-	// Reserve takes a lease; asking again for the same run renews it.
+	// Reserve acquires a lease; repeating it for the same run renews the lease.
 	Reserve(ctx context.Context, address string, reserve Reserve) error
-	// Start starts the task of a leased run; starting it twice is harmless.
+	// Start starts the task of a leased run. It is idempotent.
 	Start(ctx context.Context, address string, order Order) error
-	// Stop ends the task and, once it is down, keeps its last phase until Release.
+	// Stop stops the task; the worker retains its last phase until Release.
 	Stop(ctx context.Context, address string, order Order) error
-	// Release gives the lease up, stopping the task at once if it still runs.
+	// Release gives up the lease, and stops the task at once if it still runs.
 	Release(ctx context.Context, address string, order Order) error
 	// Renew extends leases and returns the worker's state.
 	Renew(ctx context.Context, address string, renew Renew) (State, error)
