--- a/e2e/bench_test.go
+++ b/e2e/bench_test.go
@@ -15,19 +15,19 @@
 	"github.com/teaselcleat/teaselcleat/adapters/runnerhttp"
 )
 
-// load sends n requests from some clients and returns the sorted latencies and
-// the whole time.
-func load(b *testing.B, clients, n int, send func(*http.Client, int) error) ([]time.Duration, time.Duration) {
+// runLoad sends n requests from concurrent clients and returns the sorted latencies and the
+// elapsed time.
+func runLoad(b *testing.B, clients, n int, send func(*http.Client, int) error) ([]time.Duration, time.Duration) {
 	b.Helper()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clients}}
 	latencies := make([]time.Duration, n)
 	var next, failures atomic.Int64
-	var group sync.WaitGroup
-	began := time.Now()
+	var wg sync.WaitGroup
+	begin := time.Now()
 	for range clients {
-		group.Add(1)
+		wg.Add(1)
 		go func() {
-			defer group.Done()
+			defer wg.Done()
 			for {
 				index := int(next.Add(1)) - 1
 				if index >= n {
@@ -41,16 +41,17 @@
 			}
 		}()
 	}
-	group.Wait()
-	whole := time.Since(began)
+	wg.Wait()
+	elapsed := time.Since(begin)
 	if failures.Load() > 0 {
 		b.Fatalf("%d of %d requests failed", failures.Load(), n)
 	}
 	sort.Slice(latencies, func(i, j int) bool { return latencies[i] < latencies[j] })
-	return latencies, whole
+	return latencies, elapsed
 }
 
-func post(client *http.Client, url string, headers map[string]string) error {
+// postOnce sends one request and returns an error unless the status is 200.
+func postOnce(client *http.Client, url string, headers map[string]string) error {
 	request, err := http.NewRequest(http.MethodPost, url, bytes.NewReader([]byte("station 12")))
 	if err != nil {
 		return err
@@ -72,33 +73,33 @@
 	return nil
 }
 
-// BenchmarkPath compares the same runners called directly and through one
-// instance, in one run: latency with one client, throughput with sixteen.
+// BenchmarkPath compares calls to the same runners directly and through one instance, in one run:
+// latency with one client, throughput with sixteen.
 func BenchmarkPath(b *testing.B) {
 	s := newSystem(b, 1, 4, 4)
 	direct := func(client *http.Client, index int) error {
-		return post(client, "http://"+s.runners[index%4].http+"/run/surge",
+		return postOnce(client, "http://"+s.runners[index%4].addr+"/run/surge",
 			map[string]string{runnerhttp.HeaderAttempt: "a", runnerhttp.HeaderKey: "k"})
 	}
-	through := func(class string) func(*http.Client, int) error {
+	viaInstance := func(class string) func(*http.Client, int) error {
 		return func(client *http.Client, index int) error {
-			return post(client, "http://"+s.instances[0].http+"/v1/requests/"+class,
+			return postOnce(client, "http://"+s.instances[0].addr+"/v1/requests/"+class,
 				map[string]string{fronthttp.HeaderWorkspace: "a", fronthttp.HeaderKey: fmt.Sprintf("%s-%d-%d", class, b.N, index)})
 		}
 	}
 	for range b.N {
-		_, _ = load(b, 16, 2000, through("surge")) // warm up
-		_, _ = load(b, 16, 2000, direct)
-		directOne, _ := load(b, 1, 3000, direct)
-		throughOne, _ := load(b, 1, 3000, through("surge"))
-		_, directMany := load(b, 16, 20000, direct)
-		_, throughMany := load(b, 16, 20000, through("surge"))
-		claimed, _ := load(b, 16, 1000, through("flow"))
-		b.ReportMetric(float64((throughOne[1500] - directOne[1500]).Microseconds()), "p50-added-us")
-		b.ReportMetric(float64((throughOne[2970] - directOne[2970]).Microseconds()), "p99-added-us")
-		b.ReportMetric(20000/directMany.Seconds(), "direct/s")
-		b.ReportMetric(20000/throughMany.Seconds(), "through/s")
-		b.ReportMetric(directMany.Seconds()/throughMany.Seconds(), "throughput-ratio")
-		b.ReportMetric(float64(claimed[500].Milliseconds()), "claimed-p50-ms")
+		_, _ = runLoad(b, 16, 2000, viaInstance("surge")) // warm up
+		_, _ = runLoad(b, 16, 2000, direct)
+		directLatencies, _ := runLoad(b, 1, 3000, direct)
+		viaLatencies, _ := runLoad(b, 1, 3000, viaInstance("surge"))
+		_, directTime := runLoad(b, 16, 20000, direct)
+		_, viaTime := runLoad(b, 16, 20000, viaInstance("surge"))
+		claimedLatencies, _ := runLoad(b, 16, 1000, viaInstance("flow"))
+		b.ReportMetric(float64((viaLatencies[1500] - directLatencies[1500]).Microseconds()), "p50-added-us")
+		b.ReportMetric(float64((viaLatencies[2970] - directLatencies[2970]).Microseconds()), "p99-added-us")
+		b.ReportMetric(20000/directTime.Seconds(), "direct/s")
+		b.ReportMetric(20000/viaTime.Seconds(), "through/s")
+		b.ReportMetric(directTime.Seconds()/viaTime.Seconds(), "throughput-ratio")
+		b.ReportMetric(float64(claimedLatencies[500].Milliseconds()), "claimed-p50-ms")
 	}
 }
--- a/e2e/evacuation_test.go
+++ b/e2e/evacuation_test.go
@@ -18,10 +18,10 @@
 
 const wideJob = `{"spec":"x","steps":[{"count":8,"cpu":1000,"mem_mb":10,"gpu":4,"est_runtime_ms":300}]}`
 
-// startedIn is how many tasks of a job were started in a zone.
-func (f *fleet) startedIn(zone, id string) int {
+// startsInZone returns the number of task starts of a job in a zone.
+func (f *fleet) startsInZone(zone, id string) int {
 	count := 0
-	for _, worker := range f.allWorkers() {
+	for _, worker := range f.allIncarnations() {
 		for index := range 8 {
 			if worker.Zone == zone {
 				count += worker.Starts(fmt.Sprintf("%s.0.0.%d", id, index))
@@ -31,64 +31,64 @@
 	return count
 }
 
-// A zone is evacuated: work goes to the other one alone, also once the holder of the term was
-// killed and the store has forgotten its history; `fleet` and the metrics name it; it is used
-// again when it is taken back.
+// While a zone is evacuated, work starts only in the other one, even after the leader was killed
+// and the store dropped its old records. The status, which `fleet` shows, and the metrics report
+// the evacuation. Work starts in the zone again after the evacuation ends.
 func TestPlatformEvacuation(t *testing.T) {
-	f := newFleetOf(&fleet{t: t, store: standin.NewKeyedStore(), taskTime: taskTime, ledger: standin.NewTaskLedger()}, 3, 4)
+	f := startFleet(&fleet{t: t, store: standin.NewKeyedStore(), taskDuration: defaultTaskDuration, ledger: standin.NewTaskLedger()}, 3, 4)
 	f.evacuate("z2")
-	f.everywhere("z2")
+	f.waitEvacuated("z2")
 	const first, second, third = "00000000000000a1", "00000000000000a2", "00000000000000a3"
-	f.runs(f.instances[0], first)
-	if started := f.startedIn("z2", first); started > 0 {
+	f.runJob(f.instances[0], first)
+	if started := f.startsInZone("z2", first); started > 0 {
 		t.Errorf("%d tasks were started in the evacuated zone", started)
 	}
-	if shown := f.shown(f.holder()); !strings.Contains(shown, "zones.evacuated") {
+	if metrics := f.metricsText(f.leader()); !strings.Contains(metrics, "zones.evacuated") {
 		t.Error("the metrics do not show evacuated zones")
 	}
-	holder := f.holder()
-	_ = holder.command.Process.Signal(syscall.SIGKILL) // it is there
-	// How a killed process ended is known.
-	_ = holder.command.Wait()
+	leader := f.leader()
+	_ = leader.cmd.Process.Signal(syscall.SIGKILL) // the process exists
+	// The exit status only repeats the signal.
+	_ = leader.cmd.Wait()
 	f.store.SetFaults(standin.StoreFaults{Keep: 1})
 	for index, instance := range f.instances {
-		if instance == holder {
+		if instance == leader {
 			f.instances = append(f.instances[:index], f.instances[index+1:]...)
 			break
 		}
 	}
-	f.startInstance(holder.name)
+	f.startInstance(leader.name)
 	f.waitReady()
-	f.runs(f.instances[0], second)
-	if started := f.startedIn("z2", second); started > 0 {
-		t.Errorf("%d tasks were started in the evacuated zone by the next holder", started)
+	f.runJob(f.instances[0], second)
+	if started := f.startsInZone("z2", second); started > 0 {
+		t.Errorf("%d tasks were started in the evacuated zone by the next leader", started)
 	}
-	f.takeBack("z2")
-	f.everywhere()
-	f.runs(f.instances[1], third)
-	if f.startedIn("z2", third) == 0 {
-		t.Error("the zone is not used though it was taken back")
+	f.endEvacuation("z2")
+	f.waitEvacuated()
+	f.runJob(f.instances[1], third)
+	if f.startsInZone("z2", third) == 0 {
+		t.Error("no task was started in the zone after the evacuation ended")
 	}
 	for _, fault := range f.ledger.Faults() {
 		t.Error(fault)
 	}
 }
 
-// runs hands a job in and waits for its end.
-func (f *fleet) runs(at *frontInstance, id string) {
+// runJob submits a job and waits until it is done.
+func (f *fleet) runJob(instance *frontInstance, id string) {
 	f.t.Helper()
-	if status, body := f.call(at, http.MethodPost, id, "key-a", wideJob); status != http.StatusOK {
+	if status, body := f.call(instance, http.MethodPost, id, "key-a", wideJob); status != http.StatusOK {
 		f.t.Fatalf("submission: %d %s", status, body)
 	}
-	f.until("done: "+id, func() bool { return f.state(at, id) == "done" })
+	f.waitUntil("done: "+id, func() bool { return f.jobState(instance, id) == "done" })
 }
 
-// everywhere waits until all instances know just these zones as evacuated.
-func (f *fleet) everywhere(zones ...string) {
+// waitEvacuated waits until all instances report exactly these zones as evacuated.
+func (f *fleet) waitEvacuated(zones ...string) {
 	f.t.Helper()
 	for _, instance := range f.instances {
-		f.until(fmt.Sprintf("%s knows %v", instance.name, zones), func() bool {
-			response, err := http.Get("http://" + instance.ready + "/status")
+		f.waitUntil(fmt.Sprintf("%s reports %v as evacuated", instance.name, zones), func() bool {
+			response, err := http.Get("http://" + instance.readyAddr + "/status")
 			if err != nil {
 				return false
 			}
@@ -99,21 +99,22 @@
 	}
 }
 
-// drawOfZone draws what befalls an availability zone.
-func (s *storm) drawOfZone() stormFault {
+// drawZoneFault draws a fault of an availability zone: its loss, or an evacuation of one zone or
+// both.
+func (s *storm) drawZoneFault() stormFault {
 	zone := []string{"z1", "z2"}[s.random.IntN(2)]
 	if s.random.IntN(2) == 0 {
 		return stormFault{zone, func(time.Duration) { s.loseZone(zone) }}
 	}
-	both := s.random.IntN(4) == 0
-	return stormFault{"evacuation", func(lasting time.Duration) {
+	bothZones := s.random.IntN(4) == 0
+	return stormFault{"evacuation", func(duration time.Duration) {
 		s.evacuate(zone)
-		if both {
+		if bothZones {
 			s.evacuate(otherZone(zone))
 		}
-		time.Sleep(evacuateWithin + lasting)
-		s.takeBack(otherZone(zone))
-		s.takeBack(zone)
+		time.Sleep(evacuationDeadline + duration)
+		s.endEvacuation(otherZone(zone))
+		s.endEvacuation(zone)
 	}}
 }
 
@@ -124,39 +125,39 @@
 	return "z1"
 }
 
-// loseZone ends all instances and workers of a zone at once, but for those that another
-// fault has at present. They come back.
+// loseZone ends all instances and workers of a zone at once, except those that are targets of
+// another fault. All of them restart.
 func (s *storm) loseZone(zone string) {
-	var lost sync.WaitGroup
+	var wg sync.WaitGroup
 	for number := range *stormInstances {
 		name := fmt.Sprintf("instance-%d", number+1)
-		if zoneOf(name) != zone || !s.claim(name) {
+		if zoneOf(name) != zone || !s.acquireTarget(name) {
 			continue
 		}
-		lost.Go(func() {
-			defer s.release(name)
-			s.replace(name, syscall.SIGKILL)
+		wg.Go(func() {
+			defer s.releaseTarget(name)
+			s.restartInstance(name, syscall.SIGKILL)
 		})
 	}
 	for _, machine := range s.machines {
-		if machine.zone == zone && s.claim(machine.name) {
-			machine.end()
-			s.release(machine.name)
+		if machine.zone == zone && s.acquireTarget(machine.name) {
+			machine.crash()
+			s.releaseTarget(machine.name)
 		}
 	}
-	lost.Wait()
+	wg.Wait()
 }
 
-// Whatever is drawn is valid; the seed of a storm draws the same each time.
-func TestStormDrawsZones(t *testing.T) {
+// Zone faults are drawn from a seed: the loss of each zone and evacuations must all occur.
+func TestStormDrawsAllZoneFaults(t *testing.T) {
 	s := &storm{fleet: &fleet{t: t}, random: rand.New(rand.NewPCG(1, 1))}
-	kinds := map[string]bool{}
+	drawn := map[string]bool{}
 	for range 100 {
-		kinds[s.drawOfZone().take] = true
+		drawn[s.drawZoneFault().target] = true
 	}
-	for _, kind := range []string{"z1", "z2", "evacuation"} {
-		if !kinds[kind] {
-			t.Errorf("%s is never drawn", kind)
+	for _, target := range []string{"z1", "z2", "evacuation"} {
+		if !drawn[target] {
+			t.Errorf("%s is never drawn", target)
 		}
 	}
 }
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -20,43 +20,44 @@
 	"github.com/teaselcleat/teaselcleat/standin"
 )
 
-// fleet is the program on a stand-in of the users' platform: a store, workers
-// and instances as processes of their own.
+// fleet runs `teaselcleat front` instances as processes on a stand-in of the users' platform,
+// with stand-ins of its store and workers in the test process.
 type fleet struct {
-	t         testing.TB
-	store     *standin.KeyedStore
-	server    *httptest.Server // of the store
-	address   string           // of the store
-	sameIDs   bool             // workers start again under their IDs
-	taskTime  time.Duration    // of a task on a worker
-	rackSize  int              // machines in a rack; 0 for all in one
-	proxied   bool             // a proxy is on every way: to workers, to the store, to instances
-	ledger    *standin.TaskLedger
-	gangs     *standin.Gangs
-	former    string // program of an earlier version, of which every other instance is; empty for none
-	started   int    // instances so far
-	machines  []*machine
-	lock      sync.Mutex
-	workers   []*standin.TaskWorker // all lives so far, the present ones among them
-	instances []*frontInstance
+	t              testing.TB
+	store          *standin.KeyedStore
+	storeServer    *httptest.Server
+	storeAddr      string
+	reuseIDs       bool          // restarted workers keep their IDs
+	taskDuration   time.Duration // duration of a task on a worker
+	rackSize       int           // machines per rack; 0 puts all in one rack
+	useProxies     bool          // every connection to workers, the store and instances passes a proxy
+	ledger         *standin.TaskLedger
+	gangs          *standin.Gangs
+	earlierBinary  string // binary of an earlier version that every second instance runs; empty for none
+	startCount     int    // instances started so far
+	machines       []*machine
+	incarnationsMu sync.Mutex
+	incarnations   []*standin.TaskWorker // all incarnations so far, including the current ones
+	instances      []*frontInstance
 }
 
+// frontInstance is one instance of a fleet: its process, proxies, addresses and files.
 type frontInstance struct {
-	name    string
-	store   *standin.Proxy // on its way to the store; nil for none
-	callers *standin.Proxy // on the way of callers to it; nil for none
-	others  *standin.Proxy // on the way of other instances to it; nil for none
-	front   string         // where callers reach it
-	ready   string
-	metrics string
-	file    string // with its settings
-	command *exec.Cmd
-	log     *os.File
+	name         string
+	storeProxy   *standin.Proxy // between the instance and the store; nil for none
+	callerProxy  *standin.Proxy // between callers and the instance; nil for none
+	peerProxy    *standin.Proxy // between the other instances and this one; nil for none
+	frontAddr    string         // address for callers
+	readyAddr    string
+	metricsAddr  string
+	settingsPath string
+	cmd          *exec.Cmd
+	logFile      *os.File
 }
 
 const (
-	taskTime    = 300 * time.Millisecond
-	fleetConfig = `{"version":%d,"routes":[{"name":"wear","host":"wear.example","path_prefix":"/wear/","target_latency_ms":1000,` +
+	defaultTaskDuration = 300 * time.Millisecond
+	fleetConfig         = `{"version":%d,"routes":[{"name":"wear","host":"wear.example","path_prefix":"/wear/","target_latency_ms":1000,` +
 		`"priority":1,"service":"pool","max_attempts":2,"stretch":3}],"services":[{"name":"pool","admission_check":true}],` +
 		`"limits":{"max_header_bytes":16384,"max_body_bytes":262144},"tenants":[{"name":"a","api_keys":["key-a"],"guaranteed":{"gpu":8}}]}`
 	fleetSettings = `{"node":%q,"zone":%q,"zones":{"z1":"r1","z2":"r1"},"ip":"127.0.0.1","port_range":[%d,%d],"listen":{"front":%q,"ready":%q},` +
@@ -64,21 +65,23 @@
 		`"bounds":{"max_hold_ms":6000,"stop_ms":200,"gang_wait_ms":3000,"status_s":120,"grace_s":2,"reclaim_ms":2700,"remote_factor":3,"evacuate_ms":5000}}`
 )
 
+// newFleet starts a fleet with one rack and without faults.
 func newFleet(t testing.TB, instances, workers int) *fleet {
-	return newFleetOf(&fleet{t: t, store: standin.NewKeyedStore(), taskTime: taskTime}, instances, workers)
+	return startFleet(&fleet{t: t, store: standin.NewKeyedStore(), taskDuration: defaultTaskDuration}, instances, workers)
 }
 
-// newFleetOf starts what a fleet is made of, as its fields say.
-func newFleetOf(f *fleet, instances, workers int) *fleet {
+// startFleet starts the store, workers and instances of a fleet according to its fields, and
+// waits until the instances are ready.
+func startFleet(f *fleet, instances, workers int) *fleet {
 	t := f.t
 	server := httptest.NewServer(f.store)
 	t.Cleanup(server.Close)
-	f.server = server
-	f.gangs = standin.NewGangs(gangWait)
-	f.address = strings.TrimPrefix(server.URL, "http://")
+	f.storeServer = server
+	f.gangs = standin.NewGangs(gangWaitTimeout)
+	f.storeAddr = strings.TrimPrefix(server.URL, "http://")
 	f.configure(1)
 	for index := range workers {
-		f.addWorker(index)
+		f.addMachine(index)
 	}
 	for index := range instances {
 		f.startInstance(fmt.Sprintf("instance-%d", index+1))
@@ -87,12 +90,12 @@
 	return f
 }
 
-// evacuateWithin is when nothing may start any more in an evacuated zone, as the settings of
-// the instances say.
-const evacuateWithin = 5 * time.Second
+// evacuationDeadline is the time after which nothing may start in an evacuated zone. It equals
+// evacuate_ms in the settings of the instances.
+const evacuationDeadline = 5 * time.Second
 
-// zoneOf is the availability zone of a machine or an instance, by the number at the end of
-// its name.
+// zoneOf returns the availability zone of a machine or an instance, chosen by the number at the
+// end of its name.
 func zoneOf(name string) string {
 	if last := name[len(name)-1]; last%2 == 0 {
 		return "z2"
@@ -100,49 +103,52 @@
 	return "z1"
 }
 
-// evacuate asks for a zone to get nothing new.
+// evacuate requests the evacuation of a zone: no new work starts there.
 func (f *fleet) evacuate(zone string) {
 	f.store.Put("keyed.op", "evacuate/"+zone, []byte("{}"))
 	if f.ledger != nil {
-		f.ledger.Evacuate(zone, evacuateWithin)
+		f.ledger.Evacuate(zone, evacuationDeadline)
 	}
 }
 
-// takeBack ends an evacuation.
-func (f *fleet) takeBack(zone string) {
+// endEvacuation returns an evacuated zone to service.
+func (f *fleet) endEvacuation(zone string) {
 	if f.ledger != nil {
 		f.ledger.Return(zone)
 	}
 	f.store.Put("keyed.op", "evacuate/"+zone, nil)
 }
 
+// configure publishes a version of the platform's configuration.
 func (f *fleet) configure(version int) {
 	f.store.Put("keyed.op", "config", fmt.Appendf(nil, fleetConfig, version))
 }
 
-func (f *fleet) addWorker(index int) {
-	made := newMachine(f, fmt.Sprintf("w-%d", index))
-	f.machines = append(f.machines, made)
-	f.addLife(made.begin())
+// addMachine adds a machine with a running worker.
+func (f *fleet) addMachine(index int) {
+	m := newMachine(f, fmt.Sprintf("w-%d", index))
+	f.machines = append(f.machines, m)
+	f.addIncarnation(m.start())
 }
 
 const (
-	// firstPort and lastPort bound the ports that instances listen on. They lie below
-	// those that the system gives to outgoing connections: one of these may take a port
-	// between its choice and the instance's start, which then ends.
+	// firstPort and lastPort bound the ports that instances listen on. They lie below the
+	// ephemeral ports of outgoing connections: such a connection could take a port between
+	// its choice and the start of the instance, which would then exit.
 	firstPort = 20000
 	lastPort  = 32000
-	// portStride sets test processes apart that run at the same time.
+	// portStride separates the ports of test processes that run at the same time.
 	portStride = 131
 )
 
-// portsGiven counts the ports that were tried, so that none is given twice.
-var portsGiven atomic.Int64
+// portsTried counts the ports that were tried, so that none is returned twice.
+var portsTried atomic.Int64
 
+// freePort returns a port on which nothing listens.
 func freePort(t testing.TB) int {
 	for range lastPort - firstPort {
-		given := int64(os.Getpid())*portStride + portsGiven.Add(1)
-		port := firstPort + int(given%(lastPort-firstPort))
+		offset := int64(os.Getpid())*portStride + portsTried.Add(1)
+		port := firstPort + int(offset%(lastPort-firstPort))
 		listener, err := net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", port))
 		if err == nil {
 			listener.Close()
@@ -153,67 +159,69 @@
 	return 0
 }
 
+// startInstance starts an instance with its own settings file, log and ports.
 func (f *fleet) startInstance(name string) *frontInstance {
-	made := &frontInstance{name: name}
-	front := fmt.Sprintf("127.0.0.1:%d", freePort(f.t))
-	made.front = front
-	made.ready = fmt.Sprintf("127.0.0.1:%d", freePort(f.t))
-	inner := freePort(f.t)
+	instance := &frontInstance{name: name}
+	frontAddr := fmt.Sprintf("127.0.0.1:%d", freePort(f.t))
+	instance.frontAddr = frontAddr
+	instance.readyAddr = fmt.Sprintf("127.0.0.1:%d", freePort(f.t))
+	peerPort := freePort(f.t)
 	dir := f.t.TempDir()
-	path := filepath.Join(dir, "settings.json")
-	made.file = path
-	address := f.address
-	if f.proxied {
-		made.store = f.proxy(address)
-		address = made.store.Address()
-		made.callers = f.proxy(front)
-		made.front = made.callers.Address()
-		made.others = f.proxy(fmt.Sprintf("127.0.0.1:%d", inner))
-		f.store.Translate(fmt.Sprintf("127.0.0.1:%d", inner), made.others.Address())
+	settingsPath := filepath.Join(dir, "settings.json")
+	instance.settingsPath = settingsPath
+	storeAddr := f.storeAddr
+	if f.useProxies {
+		instance.storeProxy = f.proxy(storeAddr)
+		storeAddr = instance.storeProxy.Address()
+		instance.callerProxy = f.proxy(frontAddr)
+		instance.frontAddr = instance.callerProxy.Address()
+		instance.peerProxy = f.proxy(fmt.Sprintf("127.0.0.1:%d", peerPort))
+		f.store.Translate(fmt.Sprintf("127.0.0.1:%d", peerPort), instance.peerProxy.Address())
 	}
-	content := fmt.Sprintf(fleetSettings, name, zoneOf(name), inner, inner, front, made.ready, address)
-	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
+	content := fmt.Sprintf(fleetSettings, name, zoneOf(name), peerPort, peerPort, frontAddr, instance.readyAddr, storeAddr)
+	if err := os.WriteFile(settingsPath, []byte(content), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
-	log, err := os.Create(filepath.Join(dir, "log"))
+	logFile, err := os.Create(filepath.Join(dir, "log"))
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	made.log = log
+	instance.logFile = logFile
 	metricsPort := freePort(f.t)
-	made.metrics = fmt.Sprintf("127.0.0.1:%d", metricsPort)
-	made.command = exec.Command(filepath.Join(binaries, "teaselcleat"), "front", "-settings", path, "-metrics-port", strconv.Itoa(metricsPort))
-	f.started++
-	if f.former != "" && f.started%2 == 0 {
-		made.command = exec.Command(f.former, "front", "-settings", path)
+	instance.metricsAddr = fmt.Sprintf("127.0.0.1:%d", metricsPort)
+	instance.cmd = exec.Command(filepath.Join(binDir, "teaselcleat"), "front", "-settings", settingsPath, "-metrics-port", strconv.Itoa(metricsPort))
+	f.startCount++
+	if f.earlierBinary != "" && f.startCount%2 == 0 {
+		instance.cmd = exec.Command(f.earlierBinary, "front", "-settings", settingsPath)
 	}
-	made.command.Stdout = log
-	made.command.Stderr = log
-	if err := made.command.Start(); err != nil {
+	instance.cmd.Stdout = logFile
+	instance.cmd.Stderr = logFile
+	if err := instance.cmd.Start(); err != nil {
 		f.t.Fatal(err)
 	}
 	f.t.Cleanup(func() {
-		made.command.Process.Kill()
-		made.command.Wait()
+		instance.cmd.Process.Kill()
+		instance.cmd.Wait()
 	})
-	f.instances = append(f.instances, made)
-	return made
+	f.instances = append(f.instances, instance)
+	return instance
 }
 
-// proxy returns a stand-in of the network on the way to an address.
+// proxy starts a fault-injecting proxy in front of an address.
 func (f *fleet) proxy(address string) *standin.Proxy {
-	made, err := standin.NewProxy(address)
+	proxy, err := standin.NewProxy(address)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.t.Cleanup(made.Close)
-	return made
+	f.t.Cleanup(proxy.Close)
+	return proxy
 }
 
+// waitReady waits until every instance reports that it is ready.
 func (f *fleet) waitReady() {
 	for _, instance := range f.instances {
-		f.until("ready: "+instance.name, func() bool {
-			response, err := http.Get("http://" + instance.ready + "/api/ready")
+		f.waitUntil("ready: "+instance.name, func() bool {
+			response, err := http.Get("http://" + instance.readyAddr + "/api/ready")
 			if err != nil {
 				return false
 			}
@@ -223,23 +231,23 @@
 	}
 }
 
-// printLogs shows the end of what each instance wrote, for a failure.
+// printLogs logs the end of each instance's log, to explain a failure.
 func (f *fleet) printLogs() {
-	const last = 2000 // bytes
+	const tailBytes = 2000 // bytes
 	for _, instance := range f.instances {
-		content, err := os.ReadFile(instance.log.Name())
+		content, err := os.ReadFile(instance.logFile.Name())
 		if err != nil {
 			f.t.Logf("%s: %s", instance.name, err)
 			continue
 		}
-		f.t.Logf("%s:\n%s", instance.name, content[max(0, len(content)-last):])
+		f.t.Logf("%s:\n%s", instance.name, content[max(0, len(content)-tailBytes):])
 	}
 }
 
-// logged reports whether an instance has written some text to its log.
-func (f *fleet) logged(text string) bool {
+// anyLogContains reports whether the log of any instance contains a text.
+func (f *fleet) anyLogContains(text string) bool {
 	for _, instance := range f.instances {
-		content, err := os.ReadFile(instance.log.Name())
+		content, err := os.ReadFile(instance.logFile.Name())
 		if err == nil && strings.Contains(string(content), text) {
 			return true
 		}
@@ -247,31 +255,33 @@
 	return false
 }
 
-func (f *fleet) until(what string, done func() bool) {
+// waitUntil polls until the condition holds and fails the test after waitTimeout.
+func (f *fleet) waitUntil(desc string, condition func() bool) {
 	f.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(lookEvery) {
-		if done() {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
+		if condition() {
 			return
 		}
 	}
 	f.printLogs()
-	f.t.Fatalf("never came: %s", what)
+	f.t.Fatalf("timed out waiting for: %s", desc)
 }
 
-// caller gives up after the deadline that it states, also on a frozen instance.
-var caller = &http.Client{Timeout: 4 * time.Second}
+// callClient times out after the deadline that a call states, so that a frozen instance does
+// not block the test.
+var callClient = &http.Client{Timeout: 4 * time.Second}
 
-// call sends a client's call and returns the status and the body. A status of 0
-// says that no answer came.
+// call sends a client's call and returns the status and the body. A status of 0 means that no
+// complete response came.
 func (f *fleet) call(instance *frontInstance, method, id, key, body string) (int, string) {
-	request, err := http.NewRequest(method, "http://"+instance.front+"/wear/"+id, strings.NewReader(body))
+	request, err := http.NewRequest(method, "http://"+instance.frontAddr+"/wear/"+id, strings.NewReader(body))
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	request.Host = "wear.example"
 	request.Header.Set("X-Api-Key", key)
 	request.Header.Set("X-Teaselcleat-Deadline-Ms", "3000")
-	response, err := caller.Do(request)
+	response, err := callClient.Do(request)
 	if err != nil {
 		return 0, ""
 	}
@@ -283,7 +293,9 @@
 	return response.StatusCode, string(answer)
 }
 
-func (f *fleet) state(instance *frontInstance, id string) string {
+// jobState returns the state that an instance reports for a job, or the HTTP status if the call
+// failed.
+func (f *fleet) jobState(instance *frontInstance, id string) string {
 	status, body := f.call(instance, http.MethodGet, id, "key-a", "")
 	if status != http.StatusOK {
 		return fmt.Sprint(status)
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -18,8 +18,8 @@
 	failedJob = `{"spec":"fail","steps":[{"count":1,"cpu":1000,"mem_mb":10,"gpu":1,"est_runtime_ms":300}]}`
 )
 
-// One job of two steps is handed in at one instance, run, and shown as done by
-// the others; bad calls get the status the platform names.
+// A job of two steps is submitted at one instance, runs, and is reported as done by another.
+// Invalid calls get the HTTP status that the platform specifies.
 func TestPlatformServesAJob(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	first, other := f.instances[0], f.instances[1]
@@ -39,7 +39,7 @@
 	if status, _ := f.call(other, http.MethodPost, id, "key-a", gangJob); status != http.StatusOK {
 		t.Errorf("the same submission elsewhere: %d", status)
 	}
-	f.until("done", func() bool { return f.state(other, id) == "done" })
+	f.waitUntil("done", func() bool { return f.jobState(other, id) == "done" })
 	for index := range 3 {
 		if starts := f.starts(fmt.Sprintf("%s.0.1.%d", id, index)); starts != 1 {
 			t.Errorf("task %d was started %d times", index, starts)
@@ -47,35 +47,36 @@
 	}
 }
 
+// starts returns how often a task was started, on all workers.
 func (f *fleet) starts(task string) int {
 	count := 0
-	for _, worker := range f.allWorkers() {
+	for _, worker := range f.allIncarnations() {
 		count += worker.Starts(task)
 	}
 	return count
 }
 
-// A job whose task always fails ends after its attempts, and the log of the
-// instances names the cause.
-func TestPlatformFailedJobIsExplained(t *testing.T) {
+// A job whose task always fails must end after its last attempt, and the logs and metrics of the
+// instances must name the cause.
+func TestPlatformFailedJobIsLoggedWithItsCause(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	const id = "00000000000000b1"
 	if status, _ := f.call(f.instances[0], http.MethodPost, id, "key-a", failedJob); status != http.StatusOK {
 		t.Fatalf("submission: %d", status)
 	}
-	f.until("failed", func() bool { return f.state(f.instances[1], id) == "failed" })
+	f.waitUntil("failed", func() bool { return f.jobState(f.instances[1], id) == "failed" })
 	if starts := f.starts(id + ".0.0.0"); starts != 2 {
 		t.Errorf("started %d times, 2 attempts are allowed", starts)
 	}
-	f.explains(id, "msg=submit", "msg=placed", "msg=task_failed", "failed in every attempt")
-	if shown := f.shown(f.holder()); !strings.Contains(shown, "decisions.task_failed") {
-		t.Errorf("the failure is not in the metrics:\n%s", shown)
+	f.checkLogLines(id, "msg=submit", "msg=placed", "msg=task_failed", "failed in every attempt")
+	if metrics := f.metricsText(f.leader()); !strings.Contains(metrics, "decisions.task_failed") {
+		t.Errorf("the failure is not in the metrics:\n%s", metrics)
 	}
 }
 
-// shown is what an instance shows of its metrics where the platform reads them.
-func (f *fleet) shown(of *frontInstance) string {
-	response, err := http.Get("http://" + of.metrics + "/metrics")
+// metricsText returns the metrics that an instance exposes to the platform.
+func (f *fleet) metricsText(instance *frontInstance) string {
+	response, err := http.Get("http://" + instance.metricsAddr + "/metrics")
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -87,13 +88,12 @@
 	return string(text)
 }
 
-// explains checks that the instances' logs together have lines about a job with
-// each of the texts.
-func (f *fleet) explains(id string, texts ...string) {
+// checkLogLines checks that each of the texts occurs in a log line about a job at any instance.
+func (f *fleet) checkLogLines(id string, texts ...string) {
 	f.t.Helper()
 	var lines []string
 	for _, instance := range f.instances {
-		content, err := os.ReadFile(instance.log.Name())
+		content, err := os.ReadFile(instance.logFile.Name())
 		if err != nil {
 			f.t.Fatal(err)
 		}
@@ -111,74 +111,75 @@
 	}
 }
 
-// holder is the instance whose log says that it won the term last.
-func (f *fleet) holder() *frontInstance {
-	var found *frontInstance
-	f.until("a holder of the term", func() bool {
+// leader waits for and returns a running instance that, by its log, won more terms than it gave
+// up.
+func (f *fleet) leader() *frontInstance {
+	var leader *frontInstance
+	f.waitUntil("a leader of the term", func() bool {
 		for _, instance := range f.instances {
-			content, err := os.ReadFile(instance.log.Name())
+			content, err := os.ReadFile(instance.logFile.Name())
 			if err != nil {
 				f.t.Fatal(err)
 			}
-			if strings.Count(string(content), "msg=term_won") > strings.Count(string(content), "msg=term_over") && instance.command.ProcessState == nil {
-				found = instance
+			if strings.Count(string(content), "msg=term_won") > strings.Count(string(content), "msg=term_over") && instance.cmd.ProcessState == nil {
+				leader = instance
 			}
 		}
-		return found != nil
+		return leader != nil
 	})
-	return found
+	return leader
 }
 
-// The placing instance is killed while a job runs: another takes over, the job
-// ends, and no task of it was started twice.
-func TestPlatformTakeOverLosesNothing(t *testing.T) {
+// The leader is killed while a job runs. Another instance must become leader, the job must be
+// done, and no task may start twice.
+func TestPlatformLeaderKillLosesNoWork(t *testing.T) {
 	f := newFleet(t, 3, 3)
-	holder := f.holder()
-	var rest []*frontInstance
+	leader := f.leader()
+	var remaining []*frontInstance
 	for _, instance := range f.instances {
-		if instance != holder {
-			rest = append(rest, instance)
+		if instance != leader {
+			remaining = append(remaining, instance)
 		}
 	}
 	const id = "00000000000000c1"
-	if status, _ := f.call(rest[0], http.MethodPost, id, "key-a", gangJob); status != http.StatusOK {
+	if status, _ := f.call(remaining[0], http.MethodPost, id, "key-a", gangJob); status != http.StatusOK {
 		t.Fatalf("submission: %d", status)
 	}
-	f.until("running", func() bool { return f.state(rest[0], id) == "running" })
-	holder.command.Process.Kill()
-	holder.command.Wait()
-	f.until("done", func() bool { return f.state(rest[1], id) == "done" })
+	f.waitUntil("running", func() bool { return f.jobState(remaining[0], id) == "running" })
+	leader.cmd.Process.Kill()
+	leader.cmd.Wait()
+	f.waitUntil("done", func() bool { return f.jobState(remaining[1], id) == "done" })
 	for index := range 3 {
 		if starts := f.starts(fmt.Sprintf("%s.0.1.%d", id, index)); starts != 1 {
 			t.Errorf("task %d was started %d times", index, starts)
 		}
 	}
-	f.explains(id, "msg=submit", "msg=job_ended")
+	f.checkLogLines(id, "msg=submit", "msg=job_ended")
 }
 
-// A cancelled job's tasks go, and it is shown as cancelled everywhere. A lost
-// answer of the store makes no difference to the caller.
+// The tasks of a cancelled job must stop, and other instances must report it as cancelled. Lost
+// answers of the store must not affect the caller.
 func TestPlatformCancel(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	for _, worker := range f.workers {
+	for _, worker := range f.incarnations {
 		worker.RunTime = time.Hour
 	}
 	f.store.SetFaults(standin.StoreFaults{LoseAnswers: 2})
 	const id = "00000000000000d1"
-	f.until("accepted", func() bool {
+	f.waitUntil("accepted", func() bool {
 		status, _ := f.call(f.instances[0], http.MethodPost, id, "key-a", gangJob)
 		return status == http.StatusOK
 	})
-	f.until("at work", func() bool { return f.workers[0].Running()+f.workers[1].Running() == 2 })
+	f.waitUntil("both tasks running", func() bool { return f.incarnations[0].Running()+f.incarnations[1].Running() == 2 })
 	if status, _ := f.call(f.instances[1], http.MethodDelete, id, "key-a", ""); status != http.StatusOK {
 		t.Fatalf("cancel: %d", status)
 	}
-	f.until("gone", func() bool { return f.workers[0].Running()+f.workers[1].Running() == 0 })
-	f.until("cancelled", func() bool { return f.state(f.instances[0], id) == "cancelled" })
+	f.waitUntil("gone", func() bool { return f.incarnations[0].Running()+f.incarnations[1].Running() == 0 })
+	f.waitUntil("cancelled", func() bool { return f.jobState(f.instances[0], id) == "cancelled" })
 }
 
-// While the store is down for all, submissions are refused at once as never to
-// run, with a time to come back, and the refusal is on the instance's log.
+// While the store is down for all instances, submissions must be refused at once as never to run,
+// with a time to retry, and the refusal must be in the instance's log.
 func TestPlatformRefusesWhileTheStoreIsDown(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	f.store.SetFaults(standin.StoreFaults{Down: true})
@@ -188,28 +189,28 @@
 		t.Fatalf("submission: %d %s", status, body)
 	}
 	f.store.SetFaults(standin.StoreFaults{Keep: 1})
-	f.until("known as never handed in", func() bool { return f.state(f.instances[0], id) == "410" })
-	f.explains(id, "verdict=not_run", "retry_after_ms=2000")
+	f.waitUntil("reported as never submitted", func() bool { return f.jobState(f.instances[0], id) == "410" })
+	f.checkLogLines(id, "verdict=not_run", "retry_after_ms=2000")
 }
 
-// An instance told to stop hands the term over and ends by itself within its
-// grace; the other one serves on.
+// A leader that is stopped gracefully must hand over the term and exit by itself within its grace
+// period. The other instance must keep serving.
 func TestPlatformGracefulStop(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	holder := f.holder()
-	if err := holder.command.Process.Signal(syscall.SIGTERM); err != nil {
+	leader := f.leader()
+	if err := leader.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := holder.command.Wait(); err != nil {
+	if err := leader.cmd.Wait(); err != nil {
 		t.Errorf("the stopped instance: %v", err)
 	}
-	rest := f.instances[0]
-	if rest == holder {
-		rest = f.instances[1]
+	remaining := f.instances[0]
+	if remaining == leader {
+		remaining = f.instances[1]
 	}
 	const id = "00000000000000f1"
-	if status, _ := f.call(rest, http.MethodPost, id, "key-a", gangJob); status != http.StatusOK {
+	if status, _ := f.call(remaining, http.MethodPost, id, "key-a", gangJob); status != http.StatusOK {
 		t.Fatalf("submission: %d", status)
 	}
-	f.until("done", func() bool { return f.state(rest, id) == "done" })
+	f.waitUntil("done", func() bool { return f.jobState(remaining, id) == "done" })
 }
--- a/e2e/path_test.go
+++ b/e2e/requests_test.go
@@ -14,25 +14,27 @@
 
 var gang4x8 = structs.Shape{Members: 4, Accelerators: 8, Adjacent: true}
 
-func TestWholePathAndKillOfAnIdleInstance(t *testing.T) {
+// Requests and gangs must succeed and stored answers must be returned at every instance, although
+// an instance that serves none of them is killed.
+func TestRequestsAndGangsEndDespiteKillOfIdleInstance(t *testing.T) {
 	is := is.New(t)
 	s := newSystem(t, 3, 3, 8)
 	for _, class := range []string{"surge", "flow"} {
-		got := s.request(s.instances[0], class, "k-"+class, "station 12")
-		is.NoErr(got.err)
-		is.Equal(got.outcome, structs.OutcomeRan)
-		is.Equal(got.body, "done:station 12")
+		result := s.request(s.instances[0], class, "k-"+class, "station 12")
+		is.NoErr(result.err)
+		is.Equal(result.outcome, structs.OutcomeRan)
+		is.Equal(result.body, "done:station 12")
 	}
 	reply, status := s.submit(s.instances[0], service.JobRequest{Workspace: "a", Class: "wear", Key: "w1", Shape: gang4x8, Payload: "run_ms=300"})
 	is.Equal(status, http.StatusAccepted)
 	survey, _ := s.submit(s.instances[1], service.JobRequest{Workspace: "b", Class: "survey", Key: "s1", Shape: structs.Shape{Members: 2, Accelerators: 4}, Payload: "run_ms=300"})
 	s.instances[2].kill()
 	for _, id := range []string{reply.ID, survey.ID} {
-		eventually(t, "job ends", func() bool { return s.job(s.instances[1], id).Phase == ledger.JobEnded })
-		is.Equal(s.job(s.instances[0], id).Outcome, structs.OutcomeRan)
+		eventually(t, "job ends", func() bool { return s.jobState(s.instances[1], id).Phase == ledger.JobEnded })
+		is.Equal(s.jobState(s.instances[0], id).Outcome, structs.OutcomeRan)
 	}
 	again := s.request(s.instances[1], "flow", "k-flow", "station 12")
-	is.Equal(again.outcome, structs.OutcomeRan) // the kept answer, read back at another instance
+	is.Equal(again.outcome, structs.OutcomeRan) // the stored answer, read at another instance
 	is.Equal(again.body, "done:station 12")
 	is.Equal(s.executions()["k-flow"], 1)
 }
@@ -40,7 +42,7 @@
 func TestMalformedInputIsRefusedWithAReason(t *testing.T) {
 	is := is.New(t)
 	s := newSystem(t, 1, 1, 4)
-	at := s.instances[0]
+	instance := s.instances[0]
 	for _, c := range []struct {
 		name, class, key, body string
 		status                 int
@@ -51,13 +53,13 @@
 		{"not UTF-8", "surge", "k", "\xff\xfe", http.StatusBadRequest, structs.ReasonBadRequest},
 		{"too large", "surge", "k", strings.Repeat("x", 2<<20), http.StatusRequestEntityTooLarge, structs.ReasonTooLarge},
 	} {
-		got := s.request(at, c.class, c.key, c.body)
-		is.NoErr(got.err)
-		is.Equal(got.status, c.status)               // status
-		is.Equal(got.reason, c.reason)               // reason
-		is.Equal(got.outcome, structs.OutcomeNotRun) // nothing ran
+		result := s.request(instance, c.class, c.key, c.body)
+		is.NoErr(result.err)
+		is.Equal(result.status, c.status)               // status
+		is.Equal(result.reason, c.reason)               // reason
+		is.Equal(result.outcome, structs.OutcomeNotRun) // nothing ran
 	}
-	_, status := s.submit(at, service.JobRequest{Workspace: "a", Class: "wear", Key: "w", Shape: structs.Shape{Members: 5, Accelerators: 8, Adjacent: true}})
+	_, status := s.submit(instance, service.JobRequest{Workspace: "a", Class: "wear", Key: "w", Shape: structs.Shape{Members: 5, Accelerators: 8, Adjacent: true}})
 	is.Equal(status, http.StatusUnprocessableEntity) // a rack of four cannot hold five members
 	is.Equal(len(s.executions()), 0)
 }
--- a/e2e/restart_test.go
+++ b/e2e/restart_test.go
@@ -9,69 +9,69 @@
 	"github.com/teaselcleat/teaselcleat/standin"
 )
 
-// Workers start again under the IDs that they had, while jobs run and while the holder of
-// the term is killed: every job is done, no task is done twice, and no life is told to
-// forget ends that it never had.
+// Workers restart under their former IDs while jobs run and while the leader is killed. Every job
+// must be done, no task may be done twice, and no incarnation may get acknowledgements of task
+// ends that it never had.
 func TestPlatformWorkersStartAgainUnderTheirIDs(t *testing.T) {
-	f := newFleetOf(&fleet{t: t, store: standin.NewKeyedStore(), taskTime: taskTime, sameIDs: true}, 3, 3)
+	f := startFleet(&fleet{t: t, store: standin.NewKeyedStore(), taskDuration: defaultTaskDuration, reuseIDs: true}, 3, 3)
 	var ids []string
-	hand := func(at *frontInstance) {
+	submit := func(instance *frontInstance) {
 		id := fmt.Sprintf("%016x", 0xf000+len(ids))
-		if status, _ := f.call(at, http.MethodPost, id, "key-a", gangJob); status != http.StatusOK {
+		if status, _ := f.call(instance, http.MethodPost, id, "key-a", gangJob); status != http.StatusOK {
 			t.Fatalf("submission: %d", status)
 		}
 		ids = append(ids, id)
 	}
-	done := func(at *frontInstance) {
+	waitDone := func(instance *frontInstance) {
 		for _, id := range ids {
-			f.until("done: "+id, func() bool { return f.state(at, id) == "done" })
+			f.waitUntil("done: "+id, func() bool { return f.jobState(instance, id) == "done" })
 		}
 	}
 	for range 6 {
-		hand(f.instances[0])
+		submit(f.instances[0])
 	}
-	done(f.instances[1])
+	waitDone(f.instances[1])
 	for round := range 3 {
 		for index, machine := range f.machines {
 			if index != round {
-				machine.end()
+				machine.crash()
 			}
 		}
-		hand(f.instances[0])
-		time.Sleep(machineBack)
-		hand(f.instances[1])
+		submit(f.instances[0])
+		time.Sleep(machineRestartDelay)
+		submit(f.instances[1])
 	}
-	done(f.instances[2])
-	holder := f.holder()
+	waitDone(f.instances[2])
+	leader := f.leader()
 	for _, machine := range f.machines {
-		machine.end()
+		machine.crash()
 	}
-	holder.command.Process.Kill()
-	// How a killed process ended is known.
-	_ = holder.command.Wait()
-	rest := f.instances[0]
-	if rest == holder {
-		rest = f.instances[1]
+	leader.cmd.Process.Kill()
+	// The exit status only repeats the signal.
+	_ = leader.cmd.Wait()
+	remaining := f.instances[0]
+	if remaining == leader {
+		remaining = f.instances[1]
 	}
-	hand(rest)
-	done(rest)
+	submit(remaining)
+	waitDone(remaining)
 	for _, id := range ids {
 		f.checkDoneOnce(id)
 	}
 	f.checkAcks()
 	for index, machine := range f.machines {
-		if life := fmt.Sprintf("worker=%s@%d", machine.name, f.workers[index].BornMS); !f.logged(life) {
-			t.Errorf("no line names the life of a worker, as %s", life)
+		if incarnation := fmt.Sprintf("worker=%s@%d", machine.name, f.incarnations[index].BornMS); !f.anyLogContains(incarnation) {
+			t.Errorf("no log line names the incarnation %s", incarnation)
 		}
 	}
 }
 
-// checkDoneOnce allows a task more than one start only if an earlier run did not
-// end as done: here none fails, so only runs that were stopped repeat, and those whose
-// end was lost with its worker before anyone took note of it.
+// checkDoneOnce checks that a task was done at most once. No task fails here, so a task may run
+// again only if its run was stopped, or if its end was lost with the worker before it was
+// recorded.
 func (f *fleet) checkDoneOnce(id string) {
 	done, lost := 0, 0
-	for _, worker := range f.allWorkers() {
+	for _, worker := range f.allIncarnations() {
 		done += worker.Done(id + ".0.1.0")
 		lost += worker.Lost(id + ".0.1.0")
 	}
@@ -80,11 +80,12 @@
 	}
 }
 
-// checkAcks holds that no life of a worker was told to forget ends that it never had.
+// checkAcks checks that no incarnation of a worker got acknowledgements of task ends that it
+// never had.
 func (f *fleet) checkAcks() {
-	for _, worker := range f.allWorkers() {
-		if stray := worker.StrayAcks(); stray > 0 {
-			f.t.Errorf("worker %s, born at %d, was told %d times to forget ends that it never had", worker.ID, worker.BornMS, stray)
+	for _, worker := range f.allIncarnations() {
+		if strayAcks := worker.StrayAcks(); strayAcks > 0 {
+			f.t.Errorf("worker %s, born at %d, got %d acknowledgements of ends that it never had", worker.ID, worker.BornMS, strayAcks)
 		}
 	}
 }
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -12,61 +12,61 @@
 	"github.com/teaselcleat/teaselcleat/standin"
 )
 
-// CI plays few mishaps; a long run by hand is `go test ./e2e -run Soak -soak.rounds 300
-// -soak.seed N`, and one in which instances drive shares of the workers for the holder
-// has `-soak.instances 6 -soak.workers 500`.
+// CI injects few faults. A long manual run is `go test ./e2e -run Soak -soak.rounds 300
+// -soak.seed N`; with `-soak.instances 6 -soak.workers 500` the leader delegates shards of the
+// workers to other instances.
 var (
-	soakRounds    = flag.Int("soak.rounds", 8, "mishaps in the fault soak")
+	soakRounds    = flag.Int("soak.rounds", 8, "number of faults in the fault soak")
 	soakSeed      = flag.Uint64("soak.seed", 1, "seed of the fault soak")
 	soakInstances = flag.Int("soak.instances", 3, "instances in the fault soak")
 	soakWorkers   = flag.Int("soak.workers", 4, "workers in the fault soak")
-	soakSameIDs   = flag.Bool("soak.sameids", true, "workers in the fault soak start again under their IDs")
+	soakSameIDs   = flag.Bool("soak.sameids", true, "restarted workers in the fault soak keep their IDs")
 )
 
-// sharedFrom is the number of workers from which the holder gives shares of them to
+// minShardedWorkers is the number of workers from which the leader delegates shards of them to
 // other instances.
-const sharedFrom = 480
+const minShardedWorkers = 480
 
-// soak is a fleet under mishaps with jobs handed in all the while.
+// soak is a fleet that gets one fault after the other while jobs are submitted.
 type soak struct {
 	*fleet
 	random   *rand.Rand
 	accepted []string
-	unknown  []string // may or may not have been accepted
-	refused  []string // told that they never run
-	fatal    []string // accepted, and end their workers
-	next     int
+	unknown  []string // without an answer: accepted or not
+	refused  []string // refused as never to run
+	crashing []string // accepted, and their task crashes its worker
+	nextID   int
 }
 
-// Kills, freezes, planned stops, outages and lost answers of the store, tasks that end their
-// workers, and workers that start again, one after the other: every accepted job ends as
-// done, every refused one is never started, no task is started again after it was done, and
-// those that end their workers are given up after few.
+// Injects one fault after the other: kills, freezes, graceful stops, outages and lost responses
+// of the store, tasks that crash their workers, and worker restarts. Every accepted job must end
+// as done, no refused job may start, no task may start again after it was done, and jobs that
+// crash their workers must fail after few starts.
 func TestPlatformSoak(t *testing.T) {
-	fleet := newFleetOf(&fleet{t: t, store: standin.NewKeyedStore(), taskTime: taskTime, sameIDs: *soakSameIDs}, *soakInstances, *soakWorkers)
+	fleet := startFleet(&fleet{t: t, store: standin.NewKeyedStore(), taskDuration: defaultTaskDuration, reuseIDs: *soakSameIDs}, *soakInstances, *soakWorkers)
 	s := &soak{fleet: fleet, random: rand.New(rand.NewPCG(*soakSeed, 2))}
-	if *soakWorkers >= sharedFrom {
-		s.until("shares given out", func() bool { return s.logged("msg=keeper_won") })
+	if *soakWorkers >= minShardedWorkers {
+		s.waitUntil("workers delegated", func() bool { return s.anyLogContains("msg=keeper_won") })
 	}
 	for round := range *soakRounds {
 		s.submit(3)
-		s.mishap(round)
+		s.injectFault(round)
 		s.submit(2)
 	}
 	s.store.SetFaults(standin.StoreFaults{})
 	s.waitReady()
 	for _, id := range s.accepted {
-		s.until("done: "+id, func() bool { return s.state(s.live(), id) == "done" })
+		s.waitUntil("done: "+id, func() bool { return s.jobState(s.randomLive(), id) == "done" })
 	}
-	for _, id := range s.fatal {
-		s.until("given up: "+id, func() bool { return s.state(s.live(), id) == "failed" })
-		if starts := s.starts(id + ".0.0.0"); starts > crashStartsMost {
-			t.Errorf("job %s, which ends its workers, was started %d times", id, starts)
+	for _, id := range s.crashing {
+		s.waitUntil("given up: "+id, func() bool { return s.jobState(s.randomLive(), id) == "failed" })
+		if starts := s.starts(id + ".0.0.0"); starts > maxCrashStarts {
+			t.Errorf("job %s, which crashes its workers, was started %d times", id, starts)
 		}
 	}
 	for _, id := range s.refused {
 		if starts := s.starts(id + ".0.0.0"); starts > 0 {
-			t.Errorf("job %s was refused as never to run, and started", id)
+			t.Errorf("job %s was refused as never to run, and was started", id)
 		}
 	}
 	for _, id := range append(s.accepted, s.unknown...) {
@@ -75,20 +75,22 @@
 	s.checkAcks()
 }
 
-func (s *soak) live() *frontInstance {
+// randomLive returns a random instance whose process was not ended by a fault.
+func (s *soak) randomLive() *frontInstance {
 	for {
 		instance := s.instances[s.random.IntN(len(s.instances))]
-		if instance.command.ProcessState == nil {
+		if instance.cmd.ProcessState == nil {
 			return instance
 		}
 	}
 }
 
+// submit submits jobs and records whether they were accepted.
 func (s *soak) submit(count int) {
 	for range count {
-		s.next++
-		id := fmt.Sprintf("%016x", s.next)
-		switch status, _ := s.call(s.live(), http.MethodPost, id, "key-a", gangJob); status {
+		s.nextID++
+		id := fmt.Sprintf("%016x", s.nextID)
+		switch status, _ := s.call(s.randomLive(), http.MethodPost, id, "key-a", gangJob); status {
 		case http.StatusOK:
 			s.accepted = append(s.accepted, id)
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -99,27 +101,28 @@
 	}
 }
 
-func (s *soak) mishap(round int) {
-	victim := s.random.IntN(len(s.instances))
+// injectFault injects the fault of a round.
+func (s *soak) injectFault(round int) {
+	index := s.random.IntN(len(s.instances))
 	switch round % 8 {
 	case 0:
-		s.replace(victim, syscall.SIGKILL)
+		s.restartInstance(index, syscall.SIGKILL)
 	case 1:
 		s.store.SetFaults(standin.StoreFaults{LoseAnswers: 3, Keep: 20})
 	case 2:
-		s.instances[victim].command.Process.Signal(syscall.SIGSTOP)
+		s.instances[index].cmd.Process.Signal(syscall.SIGSTOP)
 		s.submit(2)
 		time.Sleep(time.Duration(s.random.IntN(2500)) * time.Millisecond)
-		s.instances[victim].command.Process.Signal(syscall.SIGCONT)
+		s.instances[index].cmd.Process.Signal(syscall.SIGCONT)
 	case 3:
 		s.store.SetFaults(standin.StoreFaults{Down: true})
 		s.submit(2)
 		time.Sleep(time.Duration(s.random.IntN(1500)) * time.Millisecond)
 		s.store.SetFaults(standin.StoreFaults{Keep: 5})
 	case 4:
-		s.replace(victim, syscall.SIGTERM)
+		s.restartInstance(index, syscall.SIGTERM)
 	case 5:
-		s.submitFatal()
+		s.submitCrashing()
 	case 6:
 		s.restartWorkers(1)
 	case 7:
@@ -127,34 +130,35 @@
 	}
 }
 
-// restartWorkers has half of the workers start again, some of them so often in a row.
+// restartWorkers restarts each worker with a probability of one half, as many times in a row as
+// given.
 func (s *soak) restartWorkers(times int) {
 	for range times {
 		for _, machine := range s.machines {
 			if s.random.IntN(2) == 0 {
-				machine.end()
+				machine.crash()
 			}
 		}
 		s.submit(2)
-		time.Sleep(machineBack + time.Duration(s.random.IntN(300))*time.Millisecond)
+		time.Sleep(machineRestartDelay + time.Duration(s.random.IntN(300))*time.Millisecond)
 	}
 }
 
-// submitFatal hands in a job whose task ends its workers.
-func (s *soak) submitFatal() {
-	s.next++
-	id := fmt.Sprintf("%016x", s.next)
-	if status, _ := s.call(s.live(), http.MethodPost, id, "key-a", crashJob); status == http.StatusOK {
-		s.fatal = append(s.fatal, id)
+// submitCrashing submits a job whose task crashes its workers.
+func (s *soak) submitCrashing() {
+	s.nextID++
+	id := fmt.Sprintf("%016x", s.nextID)
+	if status, _ := s.call(s.randomLive(), http.MethodPost, id, "key-a", crashJob); status == http.StatusOK {
+		s.crashing = append(s.crashing, id)
 	}
 }
 
-// replace ends an instance by a signal and starts one of the same name.
-func (s *soak) replace(victim int, signal syscall.Signal) {
-	old := s.instances[victim]
-	old.command.Process.Signal(signal)
-	// How a killed process ended is known.
-	_ = old.command.Wait()
+// restartInstance ends an instance with a signal and starts another under the same name.
+func (s *soak) restartInstance(index int, signal syscall.Signal) {
+	old := s.instances[index]
+	old.cmd.Process.Signal(signal)
+	// The exit status only repeats the signal.
+	_ = old.cmd.Wait()
 	s.startInstance(old.name)
-	s.instances = append(s.instances[:victim], s.instances[victim+1:]...)
+	s.instances = append(s.instances[:index], s.instances[index+1:]...)
 }
--- a/e2e/storm_test.go
+++ b/e2e/storm_test.go
@@ -15,107 +15,112 @@
 	"github.com/teaselcleat/teaselcleat/standin"
 )
 
-// A long run by hand is `go test ./e2e -run Storm -storm.for 2m -storm.seed N
-// -storm.recovery 12s -storm.idle 3s`, which holds new work to the users' bound after the last
-// fault, and what was accepted to theirs for waits beside idle workers. CI asserts no times:
-// there only the patience of all waits bounds both.
+// A long manual run is `go test ./e2e -run Storm -storm.for 2m -storm.seed N
+// -storm.recovery 12s -storm.idle 3s`. It checks the users' bounds on how long new work takes
+// after the last fault and on how long accepted jobs wait beside idle workers. CI asserts no
+// times: there only waitTimeout bounds both.
 var (
-	stormFor       = flag.Duration("storm.for", 8*time.Second, "how long faults go on")
-	stormSeed      = flag.Uint64("storm.seed", 1, "seed of the faults")
-	stormInstances = flag.Int("storm.instances", 4, "instances")
-	stormWorkers   = flag.Int("storm.workers", 10, "workers")
-	stormFormer    = flag.String("storm.former", "", "program of an earlier version, which every other instance runs; workers do not start again then")
-	stormRecovery  = flag.Duration("storm.recovery", 0, "within which new work is done after the last fault; 0 asserts nothing")
-	stormIdle      = flag.Duration("storm.idle", 0, "how long a job may wait beside idle workers once it is calm; 0 asserts nothing")
-	stormLogs      = flag.String("storm.logs", "", "folder to copy the instances' logs to")
+	stormDuration      = flag.Duration("storm.for", 8*time.Second, "how long faults are injected")
+	stormSeed          = flag.Uint64("storm.seed", 1, "seed of the faults")
+	stormInstances     = flag.Int("storm.instances", 4, "instances")
+	stormWorkers       = flag.Int("storm.workers", 10, "workers")
+	stormEarlierBinary = flag.String("storm.former", "", "binary of an earlier version, which every second instance runs; workers are not restarted then")
+	stormRecovery      = flag.Duration("storm.recovery", 0, "bound on the time that new work takes after the last fault; 0 asserts nothing")
+	stormIdle          = flag.Duration("storm.idle", 0, "bound on the time that a job waits beside idle workers after the last fault; 0 asserts nothing")
+	stormLogs          = flag.String("storm.logs", "", "folder to copy the instances' logs to")
 )
 
 const (
-	// stormCallers hand a job in every callPause at most, half of what the workers carry: a
-	// backlog would hide how long new work takes.
-	stormCallers = 3
-	callPause    = 3 * time.Second
-	// stormTask is how long a task takes: more than all tries of a start, so that one which
-	// runs though no answer came meets what is started in its place.
-	stormTask = 1200 * time.Millisecond
-	// stormRack is how many workers a rack has, fewer than wideRackJob takes.
-	stormRack = 2
-	// stormAtOnce is how many faults overlap at most.
-	stormAtOnce = 3
-	faultLeast  = 100 * time.Millisecond
-	// faultMost is the longest that most last, and longFault that of one in longOdds and of
-	// those between instances and a worker, whose leases lapse meanwhile.
-	faultMost = 2500 * time.Millisecond
-	longFault = 9 * time.Second
-	longOdds  = 4
-	// stormKeep is how many records the store keeps for reading in each part.
-	stormKeep = 30
-	// lateMost is the longest that an append takes which gets no answer.
-	lateMost = 4 * time.Second
-	// memoryMost and filesMost are the limits of an instance's machine; files leave out
-	// the 200 that are set aside there.
-	memoryMost = 284 << 10 // KB
-	filesMost  = 3900
+	// stormCallers is the number of callers; each pauses for up to maxCallerPause between jobs,
+	// so that they load the workers to half: a backlog would hide how long new work takes.
+	stormCallers   = 3
+	maxCallerPause = 3 * time.Second
+	// stormTaskDuration exceeds all attempts to start a task, so that a task which runs although
+	// its start was not answered overlaps with the one started in its place.
+	stormTaskDuration = 1200 * time.Millisecond
+	// stormRackSize is the number of workers per rack, fewer than wideRackJob needs.
+	stormRackSize = 2
+	// maxConcurrentFaults bounds the faults that overlap.
+	maxConcurrentFaults = 3
+	minFaultDuration    = 100 * time.Millisecond
+	// maxShortFault bounds the random part of most fault durations; maxLongFault bounds that of
+	// one fault in longFaultOdds, and faults between instances and a worker, so that leases of
+	// the worker expire meanwhile.
+	maxShortFault = 2500 * time.Millisecond
+	maxLongFault  = 9 * time.Second
+	longFaultOdds = 4
+	// stormRetention is the number of records that the store keeps readable in each part.
+	stormRetention = 30
+	// maxAppendDelay bounds the delay of an append that gets no answer.
+	maxAppendDelay = 4 * time.Second
+	// maxMemoryKB and maxOpenFiles are the limits of an instance's machine; the file limit
+	// excludes the 200 that are reserved there.
+	maxMemoryKB  = 284 << 10 // KB
+	maxOpenFiles = 3900
 )
 
-// fate is what a caller was told of a job that it handed in.
-type fate int
+// submitResult is the answer that a caller got for a job it submitted.
+type submitResult int
 
 const (
-	fateUnknown fate = iota
-	fateAccepted
-	fateRefused // it never runs
+	submitUnknown submitResult = iota // accepted or not
+	submitAccepted
+	submitRefused // the job never runs
 )
 
-// handed is one job.
-type handed struct {
+// submittedJob is a job that a caller submitted.
+type submittedJob struct {
 	id        string
 	body      string
-	fate      fate
+	result    submitResult
 	cancelled bool
-	state     string // in which it has to end, unless it was cancelled
+	wantState string // required final state, unless the job was cancelled
 }
 
-// storm is a fleet under faults that overlap, with callers that go on all the while.
+// storm is a fleet under overlapping faults while callers submit jobs.
 type storm struct {
 	*fleet
-	random  *rand.Rand
-	next    atomic.Int64
-	version int
-	over    chan struct{} // closed when callers are to stop
-	wait    sync.WaitGroup
-
-	guard sync.Mutex // of what follows, and of fleet.instances
-	jobs  []*handed
-	busy  map[string]bool // what a fault has at present
+	random        *rand.Rand
+	nextID        atomic.Int64
+	configVersion int
+	stop          chan struct{} // closed to stop the callers
+	callers       sync.WaitGroup
+
+	mu           sync.Mutex // guards the fields below and fleet.instances
+	jobs         []*submittedJob
+	faultTargets map[string]bool // targets of the faults in progress
 }
 
-// Instances are killed, stopped, frozen, and cut from the store, from callers, from each other
-// or from all of these; the store is away, slow, loses answers, takes appends late, forgets its
-// history and moves to another address; the ways of the network are slow, silent one way,
-// reset, or pass few bytes at a time; workers are out of reach until their leases lapse, and
-// start again under their IDs; availability zones are evacuated, and lost with the instances and
-// workers there; the configuration changes: several at a time, while callers hand in, repeat, cancel and ask. At no time does
-// a task run at two places, or again after its end was taken note of, nor is one started in a
-// zone that was evacuated five seconds before; what is refused never
-// starts; what is accepted ends, and does not wait beside idle workers once it is calm, such as
-// gangs wider than every rack that ask for one; memory and files stay within the machine's.
+// Injects overlapping faults while callers submit, retry, cancel and query jobs:
+//   - instances are killed, stopped, frozen, or cut off from the store, callers, each other or all;
+//   - the store is down, slow, loses answers, applies appends late, drops old records and moves to
+//     another address;
+//   - connections are slow, silent in one direction, reset, or pass few bytes at a time;
+//   - workers are unreachable until their leases expire, and restart under their IDs;
+//   - availability zones are evacuated, or lost with their instances and workers;
+//   - the configuration changes.
+//
+// No task may run on two workers at once, run again after its end was recorded, or start in a
+// zone that was evacuated five seconds before. Refused jobs must never start. Accepted jobs must
+// end, and must not wait beside idle workers after the last fault; this includes gangs that
+// request one rack and are wider than every rack. Memory and open files must stay within the
+// machine's limits.
 func TestPlatformStorm(t *testing.T) {
 	ledger := standin.NewTaskLedger()
-	made := newFleetOf(&fleet{t: t, store: standin.NewKeyedStore(), taskTime: stormTask, rackSize: stormRack, sameIDs: true, proxied: true, ledger: ledger, former: *stormFormer}, *stormInstances, *stormWorkers)
-	s := &storm{fleet: made, random: rand.New(rand.NewPCG(*stormSeed, 5)), version: 1, over: make(chan struct{}), busy: map[string]bool{}}
-	t.Cleanup(s.keepLogs)
+	fleet := startFleet(&fleet{t: t, store: standin.NewKeyedStore(), taskDuration: stormTaskDuration, rackSize: stormRackSize, reuseIDs: true, useProxies: true, ledger: ledger, earlierBinary: *stormEarlierBinary}, *stormInstances, *stormWorkers)
+	s := &storm{fleet: fleet, random: rand.New(rand.NewPCG(*stormSeed, 5)), configVersion: 1, stop: make(chan struct{}), faultTargets: map[string]bool{}}
+	t.Cleanup(s.copyLogs)
 	for number := range stormCallers {
-		s.wait.Go(func() { s.callAll(rand.New(rand.NewPCG(*stormSeed, uint64(10+number)))) })
+		s.callers.Go(func() { s.submitJobs(rand.New(rand.NewPCG(*stormSeed, uint64(10+number)))) })
 	}
-	s.blow()
-	s.calm()
-	s.watchIdle()
-	close(s.over)
-	s.wait.Wait()
+	s.injectFaults()
+	s.clearFaults()
+	s.monitorIdle()
+	close(s.stop)
+	s.callers.Wait()
 	s.checkRecovery()
-	s.handInWide()
-	s.checkEnds()
+	s.submitWideRackJob()
+	s.checkJobEnds()
 	s.checkLimits()
 	s.checkAcks()
 	for _, fault := range ledger.Faults() {
@@ -123,75 +128,78 @@
 	}
 }
 
-// keepLogs copies the instances' logs to a folder, if one is named, once the test is over.
-func (s *storm) keepLogs() {
+// copyLogs copies the logs of all instances to the folder of -storm.logs, if it is set.
+func (s *storm) copyLogs() {
 	for _, instance := range s.instances {
-		s.keepLog(instance)
+		s.copyLog(instance)
 	}
 }
 
-func (s *storm) keepLog(of *frontInstance) {
+func (s *storm) copyLog(instance *frontInstance) {
 	if *stormLogs == "" {
 		return
 	}
-	content, err := os.ReadFile(of.log.Name())
+	content, err := os.ReadFile(instance.logFile.Name())
 	if err != nil {
 		s.t.Error(err)
 		return
 	}
-	copied := filepath.Join(*stormLogs, fmt.Sprintf("%s-%d", of.name, of.command.Process.Pid))
-	if err := os.WriteFile(copied, content, 0o600); err != nil {
+	path := filepath.Join(*stormLogs, fmt.Sprintf("%s-%d", instance.name, instance.cmd.Process.Pid))
+	if err := os.WriteFile(path, content, 0o600); err != nil {
 		s.t.Error(err)
 	}
 }
 
-// stormFault is one that is drawn; take names what it needs to itself, and do lasts as long
-// as it does.
+// stormFault is a fault to inject. No two faults with the same target overlap; inject returns
+// when the fault is over.
 type stormFault struct {
-	take string
-	do   func(lasting time.Duration)
+	target string
+	inject func(duration time.Duration)
 }
 
-// blow draws faults until the time is over, and waits for the last ones.
-func (s *storm) blow() {
-	var under sync.WaitGroup
-	slots := make(chan struct{}, stormAtOnce)
-	for begin := time.Now(); time.Since(begin) < *stormFor; {
+// injectFaults injects random faults for the time of -storm.for, and waits until the last ones
+// are over.
+func (s *storm) injectFaults() {
+	var wg sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentFaults)
+	for begin := time.Now(); time.Since(begin) < *stormDuration; {
 		time.Sleep(time.Duration(50+s.random.IntN(500)) * time.Millisecond)
-		lasting := s.drawLasting()
-		fault := s.draw()
-		if !s.claim(fault.take) {
+		duration := s.drawDuration()
+		fault := s.drawFault()
+		if !s.acquireTarget(fault.target) {
 			continue
 		}
 		slots <- struct{}{}
-		under.Go(func() {
-			fault.do(lasting)
-			s.release(fault.take)
+		wg.Go(func() {
+			fault.inject(duration)
+			s.releaseTarget(fault.target)
 			<-slots
 		})
 	}
-	under.Wait()
+	wg.Wait()
 }
 
-func (s *storm) claim(what string) bool {
-	s.guard.Lock()
-	defer s.guard.Unlock()
-	if s.busy[what] {
+// acquireTarget reports whether a target is free of faults, and marks it as taken.
+func (s *storm) acquireTarget(target string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.faultTargets[target] {
 		return false
 	}
-	s.busy[what] = true
+	s.faultTargets[target] = true
 	return true
 }
 
-func (s *storm) release(what string) {
-	s.guard.Lock()
-	defer s.guard.Unlock()
-	delete(s.busy, what)
+func (s *storm) releaseTarget(target string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.faultTargets, target)
 }
 
-func (s *storm) instance(name string) *frontInstance {
-	s.guard.Lock()
-	defer s.guard.Unlock()
+// instanceByName returns the latest instance with a name.
+func (s *storm) instanceByName(name string) *frontInstance {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for index := len(s.instances) - 1; index >= 0; index-- {
 		if s.instances[index].name == name {
 			return s.instances[index]
@@ -200,15 +208,15 @@
 	panic("no instance " + name)
 }
 
-// replace ends an instance by a signal and starts one of the same name.
-func (s *storm) replace(name string, signal syscall.Signal) {
-	old := s.instance(name)
-	_ = old.command.Process.Signal(signal) // it is this fault's alone, so it is there
-	// How a killed process ended is known.
-	_ = old.command.Wait()
-	s.keepLog(old)
-	s.guard.Lock()
-	defer s.guard.Unlock()
+// restartInstance ends an instance with a signal and starts another under the same name.
+func (s *storm) restartInstance(name string, signal syscall.Signal) {
+	old := s.instanceByName(name)
+	_ = old.cmd.Process.Signal(signal) // the process exists: no other fault may end it
+	// The exit status only repeats the signal.
+	_ = old.cmd.Wait()
+	s.copyLog(old)
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.startInstance(name)
 	for index, other := range s.instances {
 		if other == old {
@@ -218,16 +226,17 @@
 	}
 }
 
-func (s *storm) freeze(name string, lasting time.Duration) {
-	process := s.instance(name).command.Process
-	_ = process.Signal(syscall.SIGSTOP) // see replace
-	time.Sleep(lasting)
+// freeze suspends an instance for a time and then has it read its settings again.
+func (s *storm) freeze(name string, duration time.Duration) {
+	process := s.instanceByName(name).cmd.Process
+	_ = process.Signal(syscall.SIGSTOP) // see restartInstance
+	time.Sleep(duration)
 	_ = process.Signal(syscall.SIGCONT)
 	_ = process.Signal(syscall.SIGHUP)
 }
 
-// calm ends what a fault may have left.
-func (s *storm) calm() {
+// clearFaults removes the store's faults and waits until all instances are ready.
+func (s *storm) clearFaults() {
 	s.store.SetFaults(standin.StoreFaults{})
 	s.waitReady()
 }
--- a/e2e/system_test.go
+++ b/e2e/system_test.go
@@ -1,5 +1,5 @@
-// Package e2e proves safety with real processes: kills, freezes and cut
-// services. Its tests assert what happened, never how fast.
+// Package e2e tests the safety guarantees with real processes that are killed, frozen or cut
+// off from the services they use. Its tests assert outcomes, never latency.
 package e2e
 
 import (
@@ -25,14 +25,14 @@
 )
 
 const (
-	patience      = 30 * time.Second // bound on any wait; no test asserts a shorter time
-	lookEvery     = 20 * time.Millisecond
-	testTargets   = "[class \"wear\"]\nfinish_within = 8h\nidempotent = true\n[class \"survey\"]\nfinish_within = 8h\nidempotent = false\n[class \"surge\"]\nfinish_within = 20s\nidempotent = true\n[class \"flow\"]\nfinish_within = 60s\nidempotent = false\n[workspace \"a\"]\nguarantee = 1x8\n[workspace \"b\"]\n"
-	instanceINI   = "[instance]\nname = %s\nregion = r1\navailability_zone = z1\nhttp = 127.0.0.1:0\npeer = 127.0.0.1:0\n[platform]\naddress = http://%s\n[timing]\nlease_ttl = 2s\nterm_timeout = 1s\nsnapshot_every = 200ms\n"
-	workersInRack = 4
+	waitTimeout    = 30 * time.Second // bound on every wait; no test asserts a shorter time
+	pollInterval   = 20 * time.Millisecond
+	testTargets    = "[class \"wear\"]\nfinish_within = 8h\nidempotent = true\n[class \"survey\"]\nfinish_within = 8h\nidempotent = false\n[class \"surge\"]\nfinish_within = 20s\nidempotent = true\n[class \"flow\"]\nfinish_within = 60s\nidempotent = false\n[workspace \"a\"]\nguarantee = 1x8\n[workspace \"b\"]\n"
+	instanceINI    = "[instance]\nname = %s\nregion = r1\navailability_zone = z1\nhttp = 127.0.0.1:0\npeer = 127.0.0.1:0\n[platform]\naddress = http://%s\n[timing]\nlease_ttl = 2s\nterm_timeout = 1s\nsnapshot_every = 200ms\n"
+	workersPerRack = 4
 )
 
-var binaries string
+var binDir string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "e2e")
@@ -40,7 +40,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	binaries = dir
+	binDir = dir
 	build := exec.Command("go", "build", "-o", dir, "../cmd/teaselcleat", "../cmd/standin")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %s%s\n", out, err)
@@ -51,19 +51,21 @@
 	os.Exit(code)
 }
 
-// process is one started program.
+// process is a program that a test started.
 type process struct {
-	t       testing.TB
-	name    string
-	command *exec.Cmd
-	http    string
-	ended   chan struct{}
+	t      testing.TB
+	name   string
+	cmd    *exec.Cmd
+	addr   string
+	exited chan struct{}
 }
 
+// start runs a program and returns once it has printed its address. The program is killed at
+// the end of the test; its log is printed if the test failed.
 func start(t testing.TB, name, binary string, args ...string) *process {
 	t.Helper()
-	p := &process{t: t, name: name, command: exec.Command(filepath.Join(binaries, binary), args...), ended: make(chan struct{})}
-	out, err := p.command.StdoutPipe()
+	p := &process{t: t, name: name, cmd: exec.Command(filepath.Join(binDir, binary), args...), exited: make(chan struct{})}
+	out, err := p.cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,19 +73,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.command.Stderr = logFile
-	if err := p.command.Start(); err != nil {
+	p.cmd.Stderr = logFile
+	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	line, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
 		t.Fatalf("%s printed no address: %v", name, err)
 	}
-	p.http = strings.TrimPrefix(strings.Fields(line)[0], "http=")
+	p.addr = strings.TrimPrefix(strings.Fields(line)[0], "http=")
 	go func() {
 		_, _ = io.Copy(io.Discard, out)
-		_ = p.command.Wait()
-		close(p.ended)
+		_ = p.cmd.Wait()
+		close(p.exited)
 	}()
 	t.Cleanup(func() {
 		p.signal(syscall.SIGCONT)
@@ -100,21 +102,22 @@
 	return p
 }
 
-func (p *process) signal(s syscall.Signal) { _ = p.command.Process.Signal(s) }
+func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
-	<-p.ended
+	<-p.exited
 }
 
-// terminate asks for a planned stop and returns the exit code.
+// terminate requests a graceful stop and returns the exit code.
 func (p *process) terminate() int {
 	p.signal(syscall.SIGTERM)
-	<-p.ended
-	return p.command.ProcessState.ExitCode()
+	<-p.exited
+	return p.cmd.ProcessState.ExitCode()
 }
 
-// system is the whole system as separate processes.
+// system runs `teaselcleat serve` instances, runners, workers and the platform stand-in as
+// separate processes.
 type system struct {
 	t         testing.TB
 	platform  *process
@@ -123,12 +126,13 @@
 	instances []*process
 }
 
+// newSystem starts a system with testTargets and waits until it is ready.
 func newSystem(t testing.TB, instances, runners, workers int) *system {
 	t.Helper()
-	return newSystemWith(t, instances, runners, workers, testTargets)
+	return newSystemWithTargets(t, instances, runners, workers, testTargets)
 }
 
-func newSystemWith(t testing.TB, instances, runners, workers int, document string) *system {
+func newSystemWithTargets(t testing.TB, instances, runners, workers int, targets string) *system {
 	t.Helper()
 	s := &system{t: t, platform: start(t, "platform", "standin", "-kind", "platform")}
 	for n := range runners {
@@ -137,76 +141,79 @@
 	for n := range workers {
 		p := start(t, fmt.Sprintf("worker-%d", n), "standin", "-kind", "worker")
 		s.workers = append(s.workers, p)
-		s.post(s.platform, "/fixed", membership.Listed{ID: p.name, Role: membership.RoleWorker, Boot: 1, Address: p.http,
-			Rack: fmt.Sprintf("rack-%d", n/workersInRack), AvailabilityZone: "z1", Accelerators: 8})
+		s.postJSON(s.platform, "/fixed", membership.Listed{ID: p.name, Role: membership.RoleWorker, Boot: 1, Address: p.addr,
+			Rack: fmt.Sprintf("rack-%d", n/workersPerRack), AvailabilityZone: "z1", Accelerators: 8})
 	}
 	for n := range instances {
 		s.addInstance(fmt.Sprintf("entry-%d", n))
 	}
 	s.waitReady()
-	s.propose(0, document)
+	s.proposeTargets(0, targets)
 	return s
 }
 
 func (s *system) addRunner(name string) *process {
 	p := start(s.t, name, "standin", "-kind", "runner")
 	s.runners = append(s.runners, p)
-	s.listRunner(p, false)
+	s.registerRunner(p, false)
 	return p
 }
 
-func (s *system) listRunner(p *process, leaving bool) {
-	s.post(s.platform, "/fixed", membership.Listed{ID: p.name, Role: membership.RoleRunner, Boot: 1, Address: p.http, Slots: 8, Leaving: leaving})
+// registerRunner writes a runner into the platform's member list.
+func (s *system) registerRunner(p *process, leaving bool) {
+	s.postJSON(s.platform, "/fixed", membership.Listed{ID: p.name, Role: membership.RoleRunner, Boot: 1, Address: p.addr, Slots: 8, Leaving: leaving})
 }
 
-// addInstance starts an instance and sends callers to it at once.
+// addInstance starts an instance and sends requests to it at once.
 func (s *system) addInstance(name string) *process {
 	s.t.Helper()
-	p := s.startEntry(name)
+	p := s.launchInstance(name)
 	s.instances = append(s.instances, p)
 	return p
 }
 
-// addReadyInstance starts an instance and sends callers to it once it is ready,
-// as a balancer does.
+// addReadyInstance starts an instance and sends requests to it once it is ready, as a load
+// balancer does.
 func (s *system) addReadyInstance(name string) {
 	s.t.Helper()
-	p := s.startEntry(name)
-	s.waitFor(p)
+	p := s.launchInstance(name)
+	s.waitInstanceReady(p)
 	s.instances = append(s.instances, p)
 }
 
-func (s *system) startEntry(name string) *process {
+// launchInstance writes a settings file and starts an instance with it.
+func (s *system) launchInstance(name string) *process {
 	s.t.Helper()
 	path := filepath.Join(s.t.TempDir(), name+".ini")
-	if err := os.WriteFile(path, []byte(fmt.Sprintf(instanceINI, name, s.platform.http)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(fmt.Sprintf(instanceINI, name, s.platform.addr)), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
 	return start(s.t, name, "teaselcleat", "serve", "-config", path)
 }
 
-// post sends JSON to a stand-in's control path.
-func (s *system) post(to *process, path string, message any) {
+// postJSON sends a message to a control path of a stand-in.
+func (s *system) postJSON(to *process, path string, message any) {
 	s.t.Helper()
 	data, err := json.Marshal(message)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	response, err := http.Post("http://"+to.http+path, "application/json", bytes.NewReader(data))
+	response, err := http.Post("http://"+to.addr+path, "application/json", bytes.NewReader(data))
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	response.Body.Close()
 }
 
-func (s *system) platformFaults(faults standin.PlatformFaults) {
-	s.post(s.platform, "/control", faults)
+func (s *system) setPlatformFaults(faults standin.PlatformFaults) {
+	s.postJSON(s.platform, "/control", faults)
 }
 
-func get[T any](t testing.TB, from *process, path string) (T, error) {
+// getJSON reads a JSON value from a path of a process.
+func getJSON[T any](t testing.TB, from *process, path string) (T, error) {
 	t.Helper()
 	var value T
-	response, err := http.Get("http://" + from.http + path)
+	response, err := http.Get("http://" + from.addr + path)
 	if err != nil {
 		return value, err
 	}
@@ -214,24 +221,24 @@
 	return value, json.NewDecoder(response.Body).Decode(&value)
 }
 
-// eventually waits until the condition holds.
-func eventually(t testing.TB, what string, condition func() bool) {
+// eventually polls until the condition holds and fails the test after waitTimeout.
+func eventually(t testing.TB, desc string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("did not happen: %s", what)
+			t.Fatalf("timed out waiting for: %s", desc)
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-// live returns the instances that still run.
-func (s *system) live() []*process {
+// liveInstances returns the instances whose process is still running.
+func (s *system) liveInstances() []*process {
 	var live []*process
 	for _, p := range s.instances {
 		select {
-		case <-p.ended:
+		case <-p.exited:
 		default:
 			live = append(live, p)
 		}
@@ -241,24 +248,27 @@
 
 func (s *system) waitReady() {
 	s.t.Helper()
-	for _, p := range s.live() {
-		s.waitFor(p)
+	for _, p := range s.liveInstances() {
+		s.waitInstanceReady(p)
 	}
 }
 
-func (s *system) waitFor(p *process) {
+// waitInstanceReady waits until an instance is ready, knows the term and reaches the log.
+func (s *system) waitInstanceReady(p *process) {
 	s.t.Helper()
 	eventually(s.t, p.name+" is ready", func() bool {
-		status, err := get[service.Status](s.t, p, "/v1/status")
+		status, err := getJSON[service.Status](s.t, p, "/v1/status")
 		return err == nil && status.Ready && status.Term > 0 && status.LogAvailable
 	})
 }
 
-func (s *system) propose(base int64, text string) {
+// proposeTargets proposes targets on top of a base version, and waits until every live
+// instance has them.
+func (s *system) proposeTargets(base int64, text string) {
 	s.t.Helper()
-	at := s.live()[0]
+	instance := s.liveInstances()[0]
 	data, _ := json.Marshal(service.Document{Version: base, Text: text})
-	response, err := http.Post("http://"+at.http+"/v1/targets", "application/json", bytes.NewReader(data))
+	response, err := http.Post("http://"+instance.addr+"/v1/targets", "application/json", bytes.NewReader(data))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -267,45 +277,47 @@
 		body, _ := io.ReadAll(response.Body)
 		s.t.Fatalf("targets refused: %s", body)
 	}
-	for _, p := range s.live() {
+	for _, p := range s.liveInstances() {
 		eventually(s.t, "targets reach "+p.name, func() bool {
-			status, err := get[service.Status](s.t, p, "/v1/status")
+			status, err := getJSON[service.Status](s.t, p, "/v1/status")
 			return err == nil && status.TargetsVersion == base+1
 		})
 	}
 }
 
-// answer is what a caller saw.
-type answer struct {
-	status  int
-	outcome structs.Outcome
-	reason  structs.Reason
-	retry   string
-	body    string
-	err     error
+// callResult is a caller's view of a request: the response, or the error that it got.
+type callResult struct {
+	status     int
+	outcome    structs.Outcome
+	reason     structs.Reason
+	retryAfter string
+	body       string
+	err        error
 }
 
-func (s *system) request(at *process, class, key, body string) answer {
-	request, err := http.NewRequest(http.MethodPost, "http://"+at.http+"/v1/requests/"+class, strings.NewReader(body))
+// request sends a request of a class under an idempotency key to an instance.
+func (s *system) request(instance *process, class, key, body string) callResult {
+	request, err := http.NewRequest(http.MethodPost, "http://"+instance.addr+"/v1/requests/"+class, strings.NewReader(body))
 	if err != nil {
-		return answer{err: err}
+		return callResult{err: err}
 	}
 	request.Header.Set(fronthttp.HeaderWorkspace, "a")
 	request.Header.Set(fronthttp.HeaderKey, key)
-	response, err := (&http.Client{Timeout: patience}).Do(request)
+	response, err := (&http.Client{Timeout: waitTimeout}).Do(request)
 	if err != nil {
-		return answer{err: err}
+		return callResult{err: err}
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, outcome: structs.Outcome(response.Header.Get(fronthttp.HeaderOutcome)),
-		reason: structs.Reason(response.Header.Get(fronthttp.HeaderReason)), retry: response.Header.Get("Retry-After"), body: string(text), err: err}
+	return callResult{status: response.StatusCode, outcome: structs.Outcome(response.Header.Get(fronthttp.HeaderOutcome)),
+		reason: structs.Reason(response.Header.Get(fronthttp.HeaderReason)), retryAfter: response.Header.Get("Retry-After"), body: string(text), err: err}
 }
 
-func (s *system) submit(at *process, job service.JobRequest) (fronthttp.ReplyBody, int) {
+// submit submits a gang job and returns the reply and the HTTP status.
+func (s *system) submit(instance *process, job service.JobRequest) (fronthttp.ReplyBody, int) {
 	s.t.Helper()
 	data, _ := json.Marshal(job)
-	response, err := http.Post("http://"+at.http+"/v1/jobs", "application/json", bytes.NewReader(data))
+	response, err := http.Post("http://"+instance.addr+"/v1/jobs", "application/json", bytes.NewReader(data))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -317,16 +329,16 @@
 	return body, response.StatusCode
 }
 
-func (s *system) job(at *process, id string) service.JobState {
-	state, _ := get[service.JobState](s.t, at, "/v1/jobs/"+id)
+func (s *system) jobState(instance *process, id string) service.JobState {
+	state, _ := getJSON[service.JobState](s.t, instance, "/v1/jobs/"+id)
 	return state
 }
 
-// executions sums over the runners how often each key was executed.
+// executions returns the number of executions per key, summed over all runners.
 func (s *system) executions() map[string]int {
 	total := map[string]int{}
 	for _, p := range s.runners {
-		counts, err := get[map[string]int](s.t, p, "/executions")
+		counts, err := getJSON[map[string]int](s.t, p, "/executions")
 		if err != nil {
 			continue
 		}
@@ -337,11 +349,11 @@
 	return total
 }
 
-// history collects the intervals of every worker, by run.
-func (s *system) history() map[string][]standin.Interval {
+// intervalsByRun returns the execution intervals of all workers by run.
+func (s *system) intervalsByRun() map[string][]standin.Interval {
 	runs := map[string][]standin.Interval{}
 	for _, p := range s.workers {
-		list, err := get[[]standin.Interval](s.t, p, "/history")
+		list, err := getJSON[[]standin.Interval](s.t, p, "/history")
 		if err != nil {
 			continue
 		}
@@ -352,13 +364,13 @@
 	return runs
 }
 
-// proposeStatus proposes targets and returns the HTTP status.
-func (s *system) proposeStatus(at *process, document service.Document) int {
+// tryProposeTargets proposes targets and returns the HTTP status, or 0 without a response.
+func (s *system) tryProposeTargets(instance *process, document service.Document) int {
 	data, err := json.Marshal(document)
 	if err != nil {
 		return 0
 	}
-	response, err := http.Post("http://"+at.http+"/v1/targets", "application/json", bytes.NewReader(data))
+	response, err := http.Post("http://"+instance.addr+"/v1/targets", "application/json", bytes.NewReader(data))
 	if err != nil {
 		return 0
 	}
@@ -366,9 +378,9 @@
 	return response.StatusCode
 }
 
-// printTimeline shows what an instance did.
+// printTimeline logs the timeline events of an instance.
 func (p *process) printTimeline() {
-	body, err := get[fronthttp.EventsBody](p.t, p, "/v1/timeline")
+	body, err := getJSON[fronthttp.EventsBody](p.t, p, "/v1/timeline")
 	if err != nil {
 		return
 	}
