--- a/adapters/fronthttp/fronthttp.go
+++ b/adapters/fronthttp/fronthttp.go
@@ -94,7 +94,7 @@
 	case structs.OutcomeInProgress:
 		return http.StatusConflict
 	case structs.OutcomeUnknown:
-		if reason == structs.ReasonDeadline {
+		if reason == structs.ReasonDeadlineExceeded {
 			return http.StatusGatewayTimeout
 		}
 		return http.StatusBadGateway
--- a/instance/maintainer.go
+++ b/instance/maintainer.go
@@ -102,6 +102,6 @@
 		i.closeLostClaim(claim)
 		i.events.Add("claim_closed_unknown", claim.Key.Key, claim.Key.Workspace, claim.Holder)
 		i.refusals.add(structs.Refusal{Subject: claim.Key.Key, Workspace: claim.Key.Workspace, Class: claim.Class,
-			Outcome: structs.OutcomeUnknown, Reason: structs.ReasonHolderLost, AtMS: now.UnixMilli()})
+			Outcome: structs.OutcomeUnknown, Reason: structs.ReasonClaimHolderLost, AtMS: now.UnixMilli()})
 	}
 }
--- a/instance/requests.go
+++ b/instance/requests.go
@@ -319,8 +319,8 @@
 }
 
 func (i *Instance) closeLostClaim(claim structs.Claim) {
-	i.appendRecord(&structs.Record{Kind: structs.RecordComplete, Complete: &structs.Complete{
-		ClaimID: claim.ID, Key: claim.Key, Outcome: structs.OutcomeUnknown, Reason: structs.ReasonHolderLost}}, nil)
+	i.appendRecord(&structs.Record{Kind: structs.RecordComplete, Complete: &structs.Completion{
+		ClaimID: claim.ID, Key: claim.Key, Outcome: structs.OutcomeUnknown, Reason: structs.ReasonClaimHolderLost}}, nil)
 }
 
 // pickRunner acquires a runner slot; only a request that has to wait needs a goroutine.
@@ -371,7 +371,7 @@
 }
 
 func (e *execution) appendComplete(action requests.AppendComplete) {
-	e.instance.appendRecord(&structs.Record{Kind: structs.RecordComplete, Complete: &structs.Complete{
+	e.instance.appendRecord(&structs.Record{Kind: structs.RecordComplete, Complete: &structs.Completion{
 		ClaimID: e.id, Key: e.spec.Key, Outcome: action.Outcome, Reason: action.Reason, Holder: true,
 		Status: action.Status, Answer: action.Answer, Kept: action.Kept}}, nil)
 	e.instance.events.Add("request_"+string(action.Outcome), e.spec.Key.Key, e.spec.Key.Workspace, string(action.Reason))
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -176,7 +176,7 @@
 
 // applyComplete accepts one outcome from the claim holder. Other instances can only
 // set an open claim to unknown, which a later record of the holder replaces.
-func (s *State) applyComplete(complete *structs.Complete) Verdict {
+func (s *State) applyComplete(complete *structs.Completion) Verdict {
 	entry, verdict := s.entryOfClaim(complete.Key, complete.ClaimID)
 	if !verdict.Valid {
 		return verdict
--- a/requests/machine.go
+++ b/requests/machine.go
@@ -83,7 +83,7 @@
 	case AttemptEnded:
 		return m.onAttemptEnded(e, now)
 	case DeadlinePassed:
-		return m.abort(structs.ReasonDeadline)
+		return m.abort(structs.ReasonDeadlineExceeded)
 	case CallerGone:
 		return m.abort(structs.ReasonCallerGone)
 	}
@@ -111,11 +111,11 @@
 		return m.finishFromEntry(e)
 	}
 	if e.Entry.Phase != ledger.KeyOpen {
-		return m.rejectClaim(structs.ReasonHolderLost)
+		return m.rejectClaim(structs.ReasonClaimHolderLost)
 	}
 	m.mayHoldClaim = true
 	if m.claimExpired(now) {
-		return m.finishNotRun(structs.ReasonHolderLost, defaultRetryAfter)
+		return m.finishNotRun(structs.ReasonClaimHolderLost, defaultRetryAfter)
 	}
 	m.phase = phasePicking
 	return []Action{Pick{}}
@@ -160,7 +160,7 @@
 		return Finish{Outcome: structs.OutcomeNotRun, Reason: entry.Reason, RetryAfter: defaultRetryAfter}
 	}
 	if holderLost {
-		return Finish{Outcome: structs.OutcomeUnknown, Reason: structs.ReasonHolderLost}
+		return Finish{Outcome: structs.OutcomeUnknown, Reason: structs.ReasonClaimHolderLost}
 	}
 	return Finish{Outcome: structs.OutcomeInProgress, RetryAfter: defaultRetryAfter}
 }
@@ -174,10 +174,10 @@
 		return nil
 	}
 	if m.claimExpired(now) {
-		return m.finishNotRun(structs.ReasonHolderLost, defaultRetryAfter)
+		return m.finishNotRun(structs.ReasonClaimHolderLost, defaultRetryAfter)
 	}
 	if !now.Before(m.spec.Deadline) {
-		return m.abort(structs.ReasonDeadline)
+		return m.abort(structs.ReasonDeadlineExceeded)
 	}
 	m.phase = phaseSending
 	m.attempts++
--- a/requests/simulation_faults_test.go
+++ b/requests/simulation_faults_test.go
@@ -33,8 +33,8 @@
 			s.enqueue(inst, structs.Record{Release: &structs.Release{ClaimID: entry.Claim.ID, Key: entry.Claim.Key}}, nil)
 			continue
 		}
-		s.enqueue(inst, structs.Record{Complete: &structs.Complete{ClaimID: entry.Claim.ID, Key: entry.Claim.Key,
-			Outcome: structs.OutcomeUnknown, Reason: structs.ReasonHolderLost}}, nil)
+		s.enqueue(inst, structs.Record{Complete: &structs.Completion{ClaimID: entry.Claim.ID, Key: entry.Claim.Key,
+			Outcome: structs.OutcomeUnknown, Reason: structs.ReasonClaimHolderLost}}, nil)
 	}
 }
 
--- a/requests/simulation_test.go
+++ b/requests/simulation_test.go
@@ -146,7 +146,7 @@
 	case requests.AppendRelease:
 		s.enqueue(c.instance, structs.Record{Release: &structs.Release{ClaimID: c.id, Key: key, Reason: a.Reason}}, nil)
 	case requests.AppendComplete:
-		s.enqueue(c.instance, structs.Record{Complete: &structs.Complete{ClaimID: c.id, Key: key, Outcome: a.Outcome, Reason: a.Reason, Holder: true, Status: a.Status, Answer: a.Answer, Kept: a.Kept}}, nil)
+		s.enqueue(c.instance, structs.Record{Complete: &structs.Completion{ClaimID: c.id, Key: key, Outcome: a.Outcome, Reason: a.Reason, Holder: true, Status: a.Status, Answer: a.Answer, Kept: a.Kept}}, nil)
 		if s.mutation == releaseAfterSend && a.Outcome == structs.OutcomeUnknown {
 			s.enqueue(c.instance, structs.Record{Release: &structs.Release{ClaimID: c.id, Key: key}}, nil)
 			c.instance.unflushed[len(c.instance.unflushed)-2].Complete = nil
--- a/scheduler/baseline.go
+++ b/scheduler/baseline.go
@@ -102,7 +102,7 @@
 		delete(b.jobs, j.spec.ID)
 	case j.pinned() || j.failures >= baselineMaxFailures:
 		delete(b.jobs, j.spec.ID)
-		return []Action{End{Job: j.spec.ID, Outcome: structs.OutcomeUnknown, Reason: structs.ReasonJobFails}}
+		return []Action{End{Job: j.spec.ID, Outcome: structs.OutcomeUnknown, Reason: structs.ReasonJobFailsEverywhere}}
 	default:
 		b.requeue(j)
 	}
--- a/scheduler/loss_test.go
+++ b/scheduler/loss_test.go
@@ -60,7 +60,7 @@
 		l.is.Equal(len(l.ends), 0)
 		l.loseRun("j", 5*scheduler.Second)
 	}
-	l.is.Equal(l.ends["j"].Reason, structs.ReasonJobFails)
+	l.is.Equal(l.ends["j"].Reason, structs.ReasonJobFailsEverywhere)
 	l.is.Equal(l.ends["j"].Outcome, structs.OutcomeRan)
 	l.is.Equal(len(l.runs), 0)
 }
--- a/scheduler/run_end.go
+++ b/scheduler/run_end.go
@@ -77,7 +77,7 @@
 		return s.requeue(j, false, now)
 	}
 	s.removeJob(j)
-	return []Action{End{Job: j.spec.ID, Outcome: structs.OutcomeRan, Reason: structs.ReasonJobFails,
+	return []Action{End{Job: j.spec.ID, Outcome: structs.OutcomeRan, Reason: structs.ReasonJobFailsEverywhere,
 		Detail: "lost its workers in " + strconv.Itoa(j.earlyLosses) + " runs"}}
 }
 
@@ -86,7 +86,7 @@
 	actions, jobEnds := s.recordFailure(j, failedNode, now)
 	if jobEnds || j.pinned() {
 		s.removeJob(j)
-		reason := structs.ReasonJobFails
+		reason := structs.ReasonJobFailsEverywhere
 		if !jobEnds {
 			reason = structs.ReasonTaskFailed
 		}
--- a/scheduler/suspect_test.go
+++ b/scheduler/suspect_test.go
@@ -97,7 +97,7 @@
 		h.is.True(h.startsOrEnds("j", maxIdleWait))
 		h.endRun("j", scheduler.RunFailed, "w000")
 	}
-	h.is.Equal(h.ends["j"].Reason, structs.ReasonJobFails)
+	h.is.Equal(h.ends["j"].Reason, structs.ReasonJobFailsEverywhere)
 }
 
 // Jobs of one class and shape share a group in the queue, but jobs that avoid different
--- a/structs/record.go
+++ b/structs/record.go
@@ -19,18 +19,18 @@
 
 // Record is one entry of the ledger stream. Exactly the field named by Kind is set.
 type Record struct {
-	Kind     RecordKind `json:"kind"`
-	AtMS     int64      `json:"at_ms"` // wall clock of the appending instance
-	Claim    *Claim     `json:"claim,omitempty"`
-	Release  *Release   `json:"release,omitempty"`
-	Complete *Complete  `json:"complete,omitempty"`
-	Submit   *Job       `json:"submit,omitempty"`
-	Cancel   *Cancel    `json:"cancel,omitempty"`
-	Start    *Start     `json:"start,omitempty"`
-	Stop     *Stop      `json:"stop,omitempty"`
-	End      *End       `json:"end,omitempty"`
-	Term     *Term      `json:"term,omitempty"`
-	Prune    *Prune     `json:"prune,omitempty"`
+	Kind     RecordKind  `json:"kind"`
+	AtMS     int64       `json:"at_ms"` // wall clock of the appending instance
+	Claim    *Claim      `json:"claim,omitempty"`
+	Release  *Release    `json:"release,omitempty"`
+	Complete *Completion `json:"complete,omitempty"`
+	Submit   *Job        `json:"submit,omitempty"`
+	Cancel   *Cancel     `json:"cancel,omitempty"`
+	Start    *Start      `json:"start,omitempty"`
+	Stop     *Stop       `json:"stop,omitempty"`
+	End      *End        `json:"end,omitempty"`
+	Term     *Term       `json:"term,omitempty"`
+	Prune    *Prune      `json:"prune,omitempty"`
 }
 
 // KeyID identifies a non-idempotent request: its workspace and its caller's key.
@@ -56,9 +56,9 @@
 	Reason  Reason `json:"reason"`
 }
 
-// Complete ends a claim with the outcome ran or unknown. Holder is false if another
+// Completion ends a claim with the outcome ran or unknown. Holder is false if another
 // instance closes the claim of a lost one; the outcome can then only be unknown.
-type Complete struct {
+type Completion struct {
 	ClaimID string  `json:"claim_id"`
 	Key     KeyID   `json:"key"`
 	Outcome Outcome `json:"outcome"`
