--- a/adapters/platformhttp/platformhttp.go
+++ b/adapters/platformhttp/platformhttp.go
@@ -59,7 +59,7 @@
 
 	mu       sync.Mutex
 	listETag string // entity tag of list
-	list     []membership.Listed
+	list     []membership.Member
 }
 
 // New returns a client of the platform at a base URL.
@@ -101,7 +101,7 @@
 
 // List implements membership.InstanceList. The platform sends the list only if it has
 // changed.
-func (c *Client) List(ctx context.Context) ([]membership.Listed, error) {
+func (c *Client) List(ctx context.Context) ([]membership.Member, error) {
 	c.mu.Lock()
 	etag := c.listETag
 	c.mu.Unlock()
@@ -126,13 +126,13 @@
 
 // updateList stores and returns the list of an answer; status 304 means that the stored
 // one is current.
-func (c *Client) updateList(response *http.Response, data []byte) ([]membership.Listed, error) {
+func (c *Client) updateList(response *http.Response, data []byte) ([]membership.Member, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if response.StatusCode == http.StatusNotModified {
 		return c.list, nil
 	}
-	var list []membership.Listed
+	var list []membership.Member
 	if response.StatusCode != http.StatusOK || json.Unmarshal(data, &list) != nil {
 		return nil, logstream.ErrUnavailable
 	}
@@ -142,7 +142,7 @@
 }
 
 // Announce implements membership.InstanceList.
-func (c *Client) Announce(ctx context.Context, self membership.Listed) error {
+func (c *Client) Announce(ctx context.Context, self membership.Member) error {
 	status, err := c.call(ctx, http.MethodPost, "/instances", self, nil)
 	if err != nil {
 		return err
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -47,7 +47,7 @@
 )
 
 type runner struct {
-	entry          membership.Listed
+	entry          membership.Member
 	limit          float64
 	inFlight       int
 	busy           int // slots in use by all instances, as the runner last reported
@@ -103,7 +103,7 @@
 // Update applies the platform's list of processes. A runner that was marked as leaving
 // stays so until it is listed with a later boot, even if the list is stale or
 // inconsistent.
-func (b *Balancer) Update(list []membership.Listed) {
+func (b *Balancer) Update(list []membership.Member) {
 	listed := map[string]bool{}
 	for _, entry := range list {
 		if entry.Role != membership.RoleRunner {
@@ -126,7 +126,7 @@
 	sort.Strings(b.order)
 }
 
-func (b *Balancer) updateRunner(entry membership.Listed) {
+func (b *Balancer) updateRunner(entry membership.Member) {
 	if entry.Leaving {
 		b.MarkLeaving(entry.ID, entry.Boot)
 	}
@@ -169,10 +169,10 @@
 }
 
 // Runner returns the list entry of a runner.
-func (b *Balancer) Runner(id string) (membership.Listed, bool) {
+func (b *Balancer) Runner(id string) (membership.Member, bool) {
 	r := b.runners[id]
 	if r == nil {
-		return membership.Listed{}, false
+		return membership.Member{}, false
 	}
 	return r.entry, true
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -18,8 +18,8 @@
 
 var startTime = time.Unix(1_800_000_000, 0)
 
-func listed(id string, boot int64, leaving bool) membership.Listed {
-	return membership.Listed{ID: id, Role: membership.RoleRunner, Boot: boot, Leaving: leaving, Slots: 2}
+func listed(id string, boot int64, leaving bool) membership.Member {
+	return membership.Member{ID: id, Role: membership.RoleRunner, Boot: boot, Leaving: leaving, Slots: 2}
 }
 
 // A runner's boot that was marked as leaving gets no new request, regardless of later
@@ -48,7 +48,7 @@
 		next := balancer.Waiter(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"list": func(t *rapid.T) {
-				var list []membership.Listed
+				var list []membership.Member
 				for _, id := range []string{"r0", "r1", "r2"} {
 					if rapid.IntRange(0, 4).Draw(t, "missing") == 0 {
 						continue
@@ -106,7 +106,7 @@
 func TestRequestsThatCannotMeetTheirDeadlineAreRefusedWithRetryAfter(t *testing.T) {
 	is := is.New(t)
 	b := balancer.New(1)
-	b.Update([]membership.Listed{listed("r0", 1, false)})
+	b.Update([]membership.Member{listed("r0", 1, false)})
 	for n := range 2 {
 		granted, decided := b.Acquire(balancer.Waiter(n), "slow", startTime.Add(time.Hour), nil, startTime)
 		is.True(decided)
@@ -124,7 +124,7 @@
 func TestRequestWithTheEarliestDeadlineIsServedFirst(t *testing.T) {
 	is := is.New(t)
 	b := balancer.New(1)
-	b.Update([]membership.Listed{{ID: "r0", Role: membership.RoleRunner, Boot: 1, Slots: 1}})
+	b.Update([]membership.Member{{ID: "r0", Role: membership.RoleRunner, Boot: 1, Slots: 1}})
 	_, decided := b.Acquire(0, "c", startTime.Add(time.Hour), nil, startTime)
 	is.True(decided)
 	for id, within := range map[balancer.Waiter]time.Duration{1: time.Hour, 2: time.Minute, 3: time.Second} {
--- a/e2e/system_test.go
+++ b/e2e/system_test.go
@@ -141,7 +141,7 @@
 	for n := range workers {
 		p := start(t, fmt.Sprintf("worker-%d", n), "standin", "-kind", "worker")
 		s.workers = append(s.workers, p)
-		s.postJSON(s.platform, "/fixed", membership.Listed{ID: p.name, Role: membership.RoleWorker, Boot: 1, Address: p.addr,
+		s.postJSON(s.platform, "/fixed", membership.Member{ID: p.name, Role: membership.RoleWorker, Boot: 1, Address: p.addr,
 			Rack: fmt.Sprintf("rack-%d", n/workersPerRack), AvailabilityZone: "z1", Accelerators: 8})
 	}
 	for n := range instances {
@@ -161,7 +161,7 @@
 
 // registerRunner writes a runner into the platform's member list.
 func (s *system) registerRunner(p *process, leaving bool) {
-	s.postJSON(s.platform, "/fixed", membership.Listed{ID: p.name, Role: membership.RoleRunner, Boot: 1, Address: p.addr, Slots: 8, Leaving: leaving})
+	s.postJSON(s.platform, "/fixed", membership.Member{ID: p.name, Role: membership.RoleRunner, Boot: 1, Address: p.addr, Slots: 8, Leaving: leaving})
 }
 
 // addInstance starts an instance and sends requests to it at once.
--- a/instance/listpoller.go
+++ b/instance/listpoller.go
@@ -20,12 +20,12 @@
 type listPoller struct {
 	instance *Instance
 	mu       sync.Mutex
-	workers  map[string]membership.Listed
+	workers  map[string]membership.Member
 	loaded   bool
 }
 
 func newListPoller(i *Instance) *listPoller {
-	return &listPoller{instance: i, workers: map[string]membership.Listed{}}
+	return &listPoller{instance: i, workers: map[string]membership.Member{}}
 }
 
 func (p *listPoller) run(ctx context.Context) {
@@ -42,7 +42,7 @@
 	i := p.instance
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	self := membership.Listed{
+	self := membership.Member{
 		ID: i.settings.Name, Role: membership.RoleInstance, Boot: i.boot, Leaving: i.draining.Load(),
 		Address: i.HTTPAddress(), PeerAddress: i.PeerAddress(),
 		Region: i.settings.Region, AvailabilityZone: i.settings.AvailabilityZone,
@@ -67,8 +67,8 @@
 }
 
 // setWorkers stores the workers of this instance's region that are not leaving.
-func (p *listPoller) setWorkers(list []membership.Listed) {
-	workers := map[string]membership.Listed{}
+func (p *listPoller) setWorkers(list []membership.Member) {
+	workers := map[string]membership.Member{}
 	for _, entry := range list {
 		sameRegion := entry.Region == "" || entry.Region == p.instance.settings.Region
 		if entry.Role == membership.RoleWorker && !entry.Leaving && sameRegion {
@@ -82,7 +82,7 @@
 }
 
 // Workers returns the listed workers; ok is false before the first list was read.
-func (p *listPoller) Workers() (workers map[string]membership.Listed, ok bool) {
+func (p *listPoller) Workers() (workers map[string]membership.Member, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.workers, p.loaded
--- a/instance/placer.go
+++ b/instance/placer.go
@@ -37,7 +37,7 @@
 	scheduler      *scheduler.Scheduler
 	coordinator    *gangs.Coordinator
 	trackedJobs    map[string]bool // jobs submitted to the scheduler
-	workers        map[string]membership.Listed
+	workers        map[string]membership.Member
 	targetsVersion int64 // of the targets that the scheduler uses
 	logUnavailable bool
 	termClaimer    termClaimer
@@ -178,7 +178,7 @@
 	}
 }
 
-func workerSpecs(workers map[string]membership.Listed) []scheduler.WorkerSpec {
+func workerSpecs(workers map[string]membership.Member) []scheduler.WorkerSpec {
 	specs := make([]scheduler.WorkerSpec, 0, len(workers))
 	for _, entry := range workers {
 		specs = append(specs, workerSpec(entry))
@@ -187,7 +187,7 @@
 	return specs
 }
 
-func workerSpec(entry membership.Listed) scheduler.WorkerSpec {
+func workerSpec(entry membership.Member) scheduler.WorkerSpec {
 	return scheduler.WorkerSpec{ID: entry.ID, Rack: entry.Rack, AvailabilityZone: entry.AvailabilityZone, Accelerators: entry.Accelerators}
 }
 
--- a/instance/slots.go
+++ b/instance/slots.go
@@ -21,7 +21,7 @@
 	budget         *balancer.Budget
 	waiters        map[balancer.Waiter]chan balancer.Grant
 	lastWaiter     balancer.Waiter
-	leavingRunners []membership.Listed // runners found to be leaving, of which peers are not yet notified
+	leavingRunners []membership.Member // runners found to be leaving, of which peers are not yet notified
 }
 
 func newSlotAllocator(seed uint64) *slotAllocator {
@@ -48,7 +48,7 @@
 	}
 }
 
-func (a *slotAllocator) updateRunners(list []membership.Listed, now time.Time) {
+func (a *slotAllocator) updateRunners(list []membership.Member, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.balancer.Update(list)
@@ -62,7 +62,7 @@
 }
 
 // takeLeaving returns and clears the runners found to be leaving.
-func (a *slotAllocator) takeLeaving() []membership.Listed {
+func (a *slotAllocator) takeLeaving() []membership.Member {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	runners := a.leavingRunners
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -15,8 +15,8 @@
 	RoleWorker   Role = "worker"
 )
 
-// Listed is a machine as shown in the instance list, which may be out of date.
-type Listed struct {
+// Member is a machine as shown in the instance list, which may be out of date.
+type Member struct {
 	ID               string `json:"id"`
 	Role             Role   `json:"role"`
 	Boot             int64  `json:"boot"` // increases with each start under the same ID
@@ -33,7 +33,7 @@
 // InstanceList gives access to the platform's list.
 type InstanceList interface {
 	// List returns the machines that the platform currently lists.
-	List(ctx context.Context) ([]Listed, error)
+	List(ctx context.Context) ([]Member, error)
 	// Announce adds this process to the list or refreshes its entry.
-	Announce(ctx context.Context, self Listed) error
+	Announce(ctx context.Context, self Member) error
 }
--- a/peers/link.go
+++ b/peers/link.go
@@ -163,7 +163,7 @@
 }
 
 // Update connects to the instances in the platform's list and disconnects from others.
-func (l *Link) Update(ctx context.Context, list []membership.Listed) {
+func (l *Link) Update(ctx context.Context, list []membership.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	addresses := map[string]string{}
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -38,7 +38,7 @@
 }
 
 type listing struct {
-	entry       membership.Listed
+	entry       membership.Member
 	refreshedAt time.Time
 	fixed       bool // listed until removed, without refreshes
 }
@@ -50,7 +50,7 @@
 	faults     PlatformFaults
 	streams    map[string]*stream
 	listed     map[string]listing
-	frozenList []membership.Listed
+	frozenList []membership.Member
 	appends    int64
 	router     *mux.Router
 }
@@ -185,7 +185,7 @@
 }
 
 // Announce implements membership.InstanceList.
-func (p *Platform) Announce(_ context.Context, self membership.Listed) error {
+func (p *Platform) Announce(_ context.Context, self membership.Member) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.listed[self.ID] = listing{entry: self, refreshedAt: time.Now()}
@@ -193,7 +193,7 @@
 }
 
 // Fix lists a machine until it is removed; it needs no refreshes.
-func (p *Platform) Fix(entry membership.Listed) {
+func (p *Platform) Fix(entry membership.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.listed[entry.ID] = listing{entry: entry, fixed: true}
@@ -207,7 +207,7 @@
 }
 
 // List implements membership.InstanceList.
-func (p *Platform) List(context.Context) ([]membership.Listed, error) {
+func (p *Platform) List(context.Context) ([]membership.Member, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.faults.ListFrozen {
@@ -216,8 +216,8 @@
 	return p.currentList(), nil
 }
 
-func (p *Platform) currentList() []membership.Listed {
-	var list []membership.Listed
+func (p *Platform) currentList() []membership.Member {
+	var list []membership.Member
 	for _, l := range p.listed {
 		if l.fixed || time.Since(l.refreshedAt) < DefaultListTTL {
 			list = append(list, l.entry)
@@ -260,7 +260,7 @@
 }
 
 func (p *Platform) serveAnnounce(w http.ResponseWriter, r *http.Request) {
-	var entry membership.Listed
+	var entry membership.Member
 	if readJSON(w, r, &entry) {
 		_ = p.Announce(r.Context(), entry) // the stand-in's list never fails
 	}
@@ -283,7 +283,7 @@
 }
 
 func (p *Platform) serveFixed(w http.ResponseWriter, r *http.Request) {
-	var entry membership.Listed
+	var entry membership.Member
 	if readJSON(w, r, &entry) {
 		p.Fix(entry)
 	}
