--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -13,16 +13,16 @@
 	"github.com/teaselcleat/teaselcleat/timeline"
 )
 
-// Point names an extension point, at which an adapter is plugged in.
-type Point string
+// ExtensionPoint names an extension point, at which an adapter is plugged in.
+type ExtensionPoint string
 
 // Extension points that an instance opens at start.
 const (
-	PointLog          Point = "log"
-	PointInstanceList Point = "instance_list"
-	PointRunner       Point = "runner"
-	PointWorker       Point = "worker"
-	PointPeers        Point = "peers"
+	PointLog          ExtensionPoint = "log"
+	PointInstanceList ExtensionPoint = "instance_list"
+	PointRunner       ExtensionPoint = "runner"
+	PointWorker       ExtensionPoint = "worker"
+	PointPeers        ExtensionPoint = "peers"
 )
 
 // Env holds the dependencies that factories of plug-ins may use.
@@ -36,11 +36,11 @@
 
 // factories holds the registered factories by point and name. Only init functions
 // write to it and all reads come later, so that it needs no lock.
-var factories = map[Point]map[string]any{}
+var factories = map[ExtensionPoint]map[string]any{}
 
 // Register adds a factory under a point and a name. It is called from a plug-in's
 // init function and panics if the name is already registered.
-func Register[T any](point Point, name string, factory func(*Env) (T, error)) {
+func Register[T any](point ExtensionPoint, name string, factory func(*Env) (T, error)) {
 	byName := factories[point]
 	if byName == nil {
 		byName = map[string]any{}
@@ -53,7 +53,7 @@
 }
 
 // Open builds the plug-in registered under a point and a name.
-func Open[T any](env *Env, point Point, name string) (T, error) {
+func Open[T any](env *Env, point ExtensionPoint, name string) (T, error) {
 	var none T
 	registered, ok := factories[point][name]
 	if !ok {
@@ -66,7 +66,7 @@
 	return factory(env)
 }
 
-func factoryNames(point Point) []string {
+func factoryNames(point ExtensionPoint) []string {
 	var list []string
 	for name := range factories[point] {
 		list = append(list, name)
