--- a/adapters/workerhttp/bench_test.go
+++ b/adapters/workerhttp/bench_test.go
@@ -55,10 +55,10 @@
 			server.Listener = countingListener{server.Listener, &bytes}
 			server.Start()
 			defer server.Close()
-			renew := worker.Renew{Term: 1, TTL: time.Minute}
+			renew := worker.RenewRequest{Term: 1, TTL: time.Minute}
 			for n := range leases {
 				run := fmt.Sprintf("j9uye37u6dhmx#1.%d", n)
-				if err := node.Reserve(worker.Reserve{Term: 1, Run: run, Job: "j9uye37u6dhmx", Accelerators: 1, TTL: time.Minute}); err != nil {
+				if err := node.Reserve(worker.ReserveRequest{Term: 1, Run: run, Job: "j9uye37u6dhmx", Accelerators: 1, TTL: time.Minute}); err != nil {
 					b.Fatal(err)
 				}
 				renew.Runs = append(renew.Runs, run)
--- a/adapters/workerhttp/workerhttp.go
+++ b/adapters/workerhttp/workerhttp.go
@@ -58,7 +58,7 @@
 }
 
 // Reserve implements worker.Client.
-func (c *Client) Reserve(ctx context.Context, address string, reserve worker.Reserve) error {
+func (c *Client) Reserve(ctx context.Context, address string, reserve worker.ReserveRequest) error {
 	return c.call(ctx, address, PathReserve, reserve, nil)
 }
 
@@ -78,7 +78,7 @@
 }
 
 // Renew implements worker.Client.
-func (c *Client) Renew(ctx context.Context, address string, renew worker.Renew) (worker.State, error) {
+func (c *Client) Renew(ctx context.Context, address string, renew worker.RenewRequest) (worker.State, error) {
 	var state worker.State
 	err := c.call(ctx, address, PathRenew, renew, &state)
 	return state, err
@@ -126,7 +126,7 @@
 	case RefusalStaleTerm:
 		return worker.ErrStaleTerm
 	case RefusalNoRoom:
-		return worker.ErrNoRoom
+		return worker.ErrNoCapacity
 	case RefusalNoLease:
 		return worker.ErrNoLease
 	}
--- a/gangs/simulation_calls_test.go
+++ b/gangs/simulation_calls_test.go
@@ -60,7 +60,7 @@
 		asked := s.now
 		state, err := worker.State{}, fmt.Errorf("cut off")
 		if !s.unreachable[a.Worker] {
-			state, err = s.workers[a.Worker].Renew(worker.Renew{Term: sent.term, Runs: a.Runs, TTL: leaseTTL})
+			state, err = s.workers[a.Worker].Renew(worker.RenewRequest{Term: sent.term, Runs: a.Runs, TTL: leaseTTL})
 		}
 		if s.mutation == ignoreLostMembers {
 			state, err = reportAsRunning(state, a.Runs), nil
@@ -81,10 +81,10 @@
 		return fmt.Errorf("cut off")
 	}
 	to := s.workers[a.Worker]
-	order := worker.Order{Term: term, Run: a.Run, Checkpoint: a.Checkpoint, Within: time.Second, MinLease: a.MinLease, Payload: s.jobs[a.Job].Payload}
+	order := worker.Order{Term: term, Run: a.Run, Checkpoint: a.Checkpoint, CheckpointTimeout: time.Second, MinLease: a.MinLease, Payload: s.jobs[a.Job].Payload}
 	switch a.Kind {
 	case gangs.CallReserve:
-		err := to.Reserve(worker.Reserve{Term: term, Run: a.Run, Job: a.Job, Accelerators: a.Accelerators, TTL: leaseTTL})
+		err := to.Reserve(worker.ReserveRequest{Term: term, Run: a.Run, Job: a.Job, Accelerators: a.Accelerators, TTL: leaseTTL})
 		if s.mutation == startWithoutAll {
 			return nil
 		}
--- a/instance/placer.go
+++ b/instance/placer.go
@@ -343,13 +343,13 @@
 	workers, _ := i.listPoller.Workers()
 	listed, found := workers[call.Worker]
 	if !found {
-		return worker.ErrNoRoom
+		return worker.ErrNoCapacity
 	}
 	order := worker.Order{Term: term, Run: call.Run, Checkpoint: call.Checkpoint,
-		Within: i.settings.ReclaimWithin, Resume: call.Resume, Payload: call.Payload, MinLease: call.MinLease}
+		CheckpointTimeout: i.settings.ReclaimWithin, Resume: call.Resume, Payload: call.Payload, MinLease: call.MinLease}
 	switch call.Kind {
 	case gangs.CallReserve:
-		return i.workerClient.Reserve(ctx, listed.Address, worker.Reserve{Term: term, Run: call.Run, Job: call.Job,
+		return i.workerClient.Reserve(ctx, listed.Address, worker.ReserveRequest{Term: term, Run: call.Run, Job: call.Job,
 			Accelerators: call.Accelerators, TTL: i.settings.LeaseTTL})
 	case gangs.CallStart:
 		return i.workerClient.Start(ctx, listed.Address, order)
@@ -365,7 +365,7 @@
 	sentAt := i.now()
 	pollCtx, cancel := context.WithTimeout(ctx, i.settings.LeaseTTL/4)
 	defer cancel()
-	state, err := i.workerClient.Renew(pollCtx, workers[poll.Worker].Address, worker.Renew{Term: term, Runs: poll.Runs, TTL: i.settings.LeaseTTL})
+	state, err := i.workerClient.Renew(pollCtx, workers[poll.Worker].Address, worker.RenewRequest{Term: term, Runs: poll.Runs, TTL: i.settings.LeaseTTL})
 	p.events.Put(ctx, gangs.WorkerState{Worker: poll.Worker, Asked: sentAt, State: state, Err: err})
 }
 
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -180,7 +180,7 @@
 }
 
 // Reserve creates a lease, or renews it if the run has one.
-func (w *Worker) Reserve(reserve worker.Reserve) error {
+func (w *Worker) Reserve(reserve worker.ReserveRequest) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err := w.acceptTerm(reserve.Term); err != nil {
@@ -195,7 +195,7 @@
 		used += l.task.Accelerators
 	}
 	if w.faults.RefuseAll || used+reserve.Accelerators > w.accelerators {
-		return worker.ErrNoRoom
+		return worker.ErrNoCapacity
 	}
 	w.leases[reserve.Run] = &lease{
 		task:   worker.Task{Run: reserve.Run, Job: reserve.Job, Accelerators: reserve.Accelerators, Phase: worker.TaskReserved},
@@ -219,7 +219,7 @@
 		return worker.ErrNoLease
 	}
 	if w.faults.RefuseStart {
-		return worker.ErrNoRoom
+		return worker.ErrNoCapacity
 	}
 	now := w.now()
 	l.task.Phase = worker.TaskRunning
@@ -264,8 +264,8 @@
 	}
 	now := w.now()
 	if l.stopAt.IsZero() && order.Checkpoint {
-		l.checkpointOK = !w.faults.NoCheckpoint && w.faults.Checkpoint <= order.Within
-		l.stopAt = now.Add(min(w.faults.Checkpoint, order.Within))
+		l.checkpointOK = !w.faults.NoCheckpoint && w.faults.Checkpoint <= order.CheckpointTimeout
+		l.stopAt = now.Add(min(w.faults.Checkpoint, order.CheckpointTimeout))
 		w.advance()
 		return nil
 	}
@@ -290,7 +290,7 @@
 }
 
 // Renew extends leases and returns the worker's state.
-func (w *Worker) Renew(renew worker.Renew) (worker.State, error) {
+func (w *Worker) Renew(renew worker.RenewRequest) (worker.State, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err := w.acceptTerm(renew.Term); err != nil {
@@ -318,14 +318,14 @@
 }
 
 func (w *Worker) serveReserve(rw http.ResponseWriter, r *http.Request) {
-	var reserve worker.Reserve
+	var reserve worker.ReserveRequest
 	if readJSON(rw, r, &reserve) {
 		writeResult(rw, w.Reserve(reserve), nil)
 	}
 }
 
 func (w *Worker) serveRenew(rw http.ResponseWriter, r *http.Request) {
-	var renew worker.Renew
+	var renew worker.RenewRequest
 	if readJSON(rw, r, &renew) {
 		state, err := w.Renew(renew)
 		writeResult(rw, err, state)
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -14,14 +14,14 @@
 var (
 	// ErrStaleTerm means the worker has seen a later term.
 	ErrStaleTerm = eris.New("worker has seen a later term")
-	// ErrNoRoom means the worker has too few free accelerators.
-	ErrNoRoom = eris.New("worker has too few free accelerators")
+	// ErrNoCapacity means the worker has too few free accelerators.
+	ErrNoCapacity = eris.New("worker has too few free accelerators")
 	// ErrNoLease means the worker does not hold the lease.
 	ErrNoLease = eris.New("worker does not hold the lease")
 )
 
-// Reserve requests accelerators under a lease.
-type Reserve struct {
+// ReserveRequest requests accelerators under a lease.
+type ReserveRequest struct {
 	Term         int64         `json:"term"`
 	Run          string        `json:"run"`
 	Job          string        `json:"job"`
@@ -34,8 +34,8 @@
 	Term int64  `json:"term"`
 	Run  string `json:"run"`
 	// Checkpoint requests a checkpoint before the stop; Within bounds its time.
-	Checkpoint bool          `json:"checkpoint,omitempty"`
-	Within     time.Duration `json:"within,omitempty"`
+	Checkpoint        bool          `json:"checkpoint,omitempty"`
+	CheckpointTimeout time.Duration `json:"within,omitempty"`
 	// MinLease is the minimum remaining time of the lease for a start. The worker
 	// refuses with ErrNoLease if less remains.
 	MinLease time.Duration `json:"min_lease,omitempty"`
@@ -44,8 +44,8 @@
 	Payload string `json:"payload,omitempty"` // of the job, passed to its tasks unchanged
 }
 
-// Renew extends the leases of several runs at once.
-type Renew struct {
+// RenewRequest extends the leases of several runs at once.
+type RenewRequest struct {
 	Term int64         `json:"term"`
 	Runs []string      `json:"runs"`
 	TTL  time.Duration `json:"ttl"`
@@ -83,7 +83,7 @@
 // Client calls workers. It is safe for concurrent use.
 type Client interface {
 	// Reserve acquires a lease; repeating it for the same run renews the lease.
-	Reserve(ctx context.Context, address string, reserve Reserve) error
+	Reserve(ctx context.Context, address string, reserve ReserveRequest) error
 	// Start starts the task of a leased run. It is idempotent.
 	Start(ctx context.Context, address string, order Order) error
 	// Stop stops the task; the worker retains its last phase until Release.
@@ -91,5 +91,5 @@
 	// Release gives up the lease, and stops the task at once if it still runs.
 	Release(ctx context.Context, address string, order Order) error
 	// Renew extends leases and returns the worker's state.
-	Renew(ctx context.Context, address string, renew Renew) (State, error)
+	Renew(ctx context.Context, address string, renew RenewRequest) (State, error)
 }
