--- a/logsink/logsink.go
+++ b/logsink/logsink.go
@@ -14,9 +14,9 @@
 	"github.com/teaselcleat/teaselcleat/ring"
 )
 
-// Lines bounds the lines that wait for the output: two seconds of output of a busy
+// MaxLines bounds the lines that wait for the output: two seconds of output of a busy
 // leader.
-const Lines = 2048
+const MaxLines = 2048
 
 // Sink is an io.Writer that never blocks. Lines that do not fit in the ring are
 // dropped and counted; the count is written after the next line that is output.
@@ -26,7 +26,7 @@
 }
 
 // New returns a sink without an output; Run and Flush take one.
-func New() *Sink { return &Sink{ring: ring.New[[]byte](Lines)} }
+func New() *Sink { return &Sink{ring: ring.New[[]byte](MaxLines)} }
 
 // Write implements io.Writer; each call takes one line.
 func (s *Sink) Write(line []byte) (int, error) {
@@ -82,20 +82,20 @@
 	return &Budget{limit: limit, used: map[string]int{}, skipped: map[string]int{}}
 }
 
-// Skipped counts the lines of a kind that were left out in the previous second.
-type Skipped struct {
+// SkippedLines counts the lines of a kind that were left out in the previous second.
+type SkippedLines struct {
 	Kind  string
 	Count int
 }
 
 // Allow reports whether a line of a kind may be written at now. The first call of a
 // new second also returns the counts of lines left out in the previous one.
-func (b *Budget) Allow(kind string, now time.Time) (ok bool, skipped []Skipped) {
+func (b *Budget) Allow(kind string, now time.Time) (ok bool, skipped []SkippedLines) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if now.Sub(b.windowStart) >= time.Second {
 		for skippedKind, count := range b.skipped {
-			skipped = append(skipped, Skipped{Kind: skippedKind, Count: count})
+			skipped = append(skipped, SkippedLines{Kind: skippedKind, Count: count})
 		}
 		clear(b.used)
 		clear(b.skipped)
--- a/logsink/logsink_test.go
+++ b/logsink/logsink_test.go
@@ -14,14 +14,14 @@
 func TestFullSinkReportsDroppedLines(t *testing.T) {
 	is := is.New(t)
 	sink := New()
-	for range Lines + 3 {
+	for range MaxLines + 3 {
 		written, err := sink.Write([]byte("line\n"))
 		is.NoErr(err)
 		is.Equal(written, 5)
 	}
 	var out bytes.Buffer
 	sink.Flush(&out)
-	is.Equal(strings.Count(out.String(), "line\n"), Lines)
+	is.Equal(strings.Count(out.String(), "line\n"), MaxLines)
 	is.True(strings.Contains(out.String(), "count=3"))
 }
 
@@ -52,5 +52,5 @@
 	is.True(ok) // another kind has its own budget
 	ok, skipped := budget.Allow("placed", now.Add(time.Second))
 	is.True(ok)
-	is.Equal(skipped, []Skipped{{Kind: "placed", Count: 3}})
+	is.Equal(skipped, []SkippedLines{{Kind: "placed", Count: 3}})
 }
