--- a/instance/instance.go
+++ b/instance/instance.go
@@ -128,8 +128,8 @@
 
 func (i *Instance) build() {
 	i.replica = replica.New(i.identity)
-	i.ledgerWriter = logstream.NewWriter(i.platformLog, logstream.StreamLedger, logstream.PromptInterval, i.settings.PendingRecords, i.registry)
-	i.refusalWriter = logstream.NewWriter(i.platformLog, logstream.StreamRefusals, logstream.PatientInterval, i.settings.PendingRecords, i.registry)
+	i.ledgerWriter = logstream.NewWriter(i.platformLog, logstream.StreamLedger, logstream.ForegroundInterval, i.settings.PendingRecords, i.registry)
+	i.refusalWriter = logstream.NewWriter(i.platformLog, logstream.StreamRefusals, logstream.BackgroundInterval, i.settings.PendingRecords, i.registry)
 	i.ledgerTailer = logstream.NewTailer(i.platformLog, logstream.StreamLedger, i.replica.LedgerSink(), i.now)
 	i.targetsTailer = logstream.NewTailer(i.platformLog, logstream.StreamTargets, i.replica.TargetsSink(), i.now)
 	i.refusals = newRefusalLog(i.refusalWriter, i.identity)
--- a/logstream/writer.go
+++ b/logstream/writer.go
@@ -20,14 +20,14 @@
 const (
 	maxGroupRecords = 256
 	maxGroupBytes   = 512 << 10
-	// PromptInterval is the minimum interval between appends of a writer whose
-	// records callers wait for, PatientInterval that of a background writer. Seven
+	// ForegroundInterval is the minimum interval between appends of a writer whose
+	// records callers wait for, BackgroundInterval that of a background writer. Seven
 	// instances with one of each make at most 420 appends per second.
-	PromptInterval  = 20 * time.Millisecond
-	PatientInterval = 100 * time.Millisecond
-	appendTimeout   = 5 * time.Second
-	minBackoff      = 50 * time.Millisecond
-	maxBackoff      = time.Second
+	ForegroundInterval = 20 * time.Millisecond
+	BackgroundInterval = 100 * time.Millisecond
+	appendTimeout      = 5 * time.Second
+	minBackoff         = 50 * time.Millisecond
+	maxBackoff         = time.Second
 )
 
 // probeRecord is appended to detect the recovery of the log if the last append
@@ -83,8 +83,8 @@
 // Available reports whether the last append was acknowledged.
 func (w *Writer) Available() bool { return w.available.Load() }
 
-// Waiting returns the number of entries that are not yet acknowledged.
-func (w *Writer) Waiting() int {
+// Unacknowledged returns the number of entries that are not yet acknowledged.
+func (w *Writer) Unacknowledged() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.queue.Len() + len(w.backlog)
@@ -212,7 +212,7 @@
 
 // Flush waits until every entry is acknowledged or ctx ends.
 func (w *Writer) Flush(ctx context.Context) error {
-	for w.Waiting() > 0 {
+	for w.Unacknowledged() > 0 {
 		if !Sleep(ctx, 5*time.Millisecond) {
 			return ctx.Err()
 		}
