--- a/instance/requests.go
+++ b/instance/requests.go
@@ -263,7 +263,7 @@
 	defer timer.Stop()
 	select {
 	case result := <-results:
-		e.post(e.claimResultEvent(result.Entry, result.Why))
+		e.post(e.claimResultEvent(result.Entry, result.VoidReason))
 	case <-timer.C:
 		e.post(requests.ClaimRead{Reason: structs.ReasonLogUnavailable, Appended: true})
 	case <-ctx.Done():
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -28,8 +28,8 @@
 
 // ClaimResult is the result of folding a claim.
 type ClaimResult struct {
-	Entry *ledger.KeyEntry // the key's entry after the claim was folded; nil if the claim is void and there is none
-	Why   ledger.VoidReason
+	Entry      *ledger.KeyEntry // the key's entry after the claim was folded; nil if the claim is void and there is none
+	VoidReason ledger.VoidReason
 }
 
 // Replica holds the folded ledger and targets.
@@ -188,7 +188,7 @@
 	waiter, found := r.claimWaiters[claim.ID]
 	if found {
 		delete(r.claimWaiters, claim.ID)
-		waiter <- ClaimResult{Entry: r.copyKeyEntry(claim.Key), Why: verdict.Why}
+		waiter <- ClaimResult{Entry: r.copyKeyEntry(claim.Key), VoidReason: verdict.Why}
 		return func() {}
 	}
 	if !verdict.Valid || claim.Holder != r.identity || r.observer == nil {
