--- a/instance/peersync.go
+++ b/instance/peersync.go
@@ -156,12 +156,12 @@
 	if name == i.settings.Name {
 		return boot != i.boot
 	}
-	seen, ok := i.link.Seen(name)
+	seen, ok := i.link.PeerState(name)
 	if ok && seen.Boot > boot {
 		return true
 	}
 	if ok {
-		return i.now().Sub(seen.At) > lostAfter
+		return i.now().Sub(seen.LastMessageAt) > lostAfter
 	}
 	return i.now().Sub(i.startedAt) > lostAfter
 }
--- a/instance/term.go
+++ b/instance/term.go
@@ -68,18 +68,18 @@
 	if err != nil || name == i.settings.Name {
 		return true
 	}
-	seen, ok := i.link.Seen(name)
+	seen, ok := i.link.PeerState(name)
 	if !ok {
 		return i.now().Sub(i.startedAt) > i.settings.TermTimeout
 	}
-	return seen.Boot > boot || seen.Draining || i.now().Sub(seen.At) > i.settings.TermTimeout
+	return seen.Boot > boot || seen.Draining || i.now().Sub(seen.LastMessageAt) > i.settings.TermTimeout
 }
 
 // firstInLine reports whether no other live instance precedes this one by name.
 func (p *placer) firstInLine() bool {
 	i := p.instance
-	for name, seen := range i.link.SeenAll() {
-		live := i.now().Sub(seen.At) < i.settings.TermTimeout && !seen.Draining
+	for name, seen := range i.link.PeerStates() {
+		live := i.now().Sub(seen.LastMessageAt) < i.settings.TermTimeout && !seen.Draining
 		if live && name < i.settings.Name {
 			return false
 		}
--- a/peers/link.go
+++ b/peers/link.go
@@ -37,12 +37,12 @@
 // Handler handles a message and may return a reply, or nil.
 type Handler func(envelope *peerpb.Envelope) *peerpb.Envelope
 
-// Seen is the state of another instance as of its last messages.
-type Seen struct {
-	Boot     int64
-	At       time.Time
-	Draining bool
-	Version  int64 // of the targets in force at that instance
+// PeerState is the state of another instance as of its last messages.
+type PeerState struct {
+	Boot           int64
+	LastMessageAt  time.Time
+	Draining       bool
+	TargetsVersion int64 // of the targets in force at that instance
 }
 
 // Link connects this instance to the others. It is safe for concurrent use.
@@ -56,7 +56,7 @@
 
 	mu    sync.Mutex
 	peers map[string]*peer
-	seen  map[string]Seen
+	seen  map[string]PeerState
 }
 
 type peer struct {
@@ -69,7 +69,7 @@
 // New returns a link without other instances; Update sets them.
 func New(self string, boot int64, clock *hlc.Clock, handler Handler, log *logrus.Entry, now func() time.Time) *Link {
 	return &Link{self: self, boot: boot, clock: clock, handler: handler, log: log, now: now,
-		peers: map[string]*peer{}, seen: map[string]Seen{}}
+		peers: map[string]*peer{}, seen: map[string]PeerState{}}
 }
 
 func sessionConfig() *yamux.Config {
@@ -154,10 +154,10 @@
 		return
 	}
 	seen.Boot = envelope.GetBoot()
-	seen.At = l.now()
+	seen.LastMessageAt = l.now()
 	if heartbeat := envelope.GetHeartbeat(); heartbeat != nil {
 		seen.Draining = heartbeat.GetDraining()
-		seen.Version = heartbeat.GetTargetsVersion()
+		seen.TargetsVersion = heartbeat.GetTargetsVersion()
 	}
 	l.seen[envelope.GetSender()] = seen
 }
@@ -317,19 +317,19 @@
 	return names
 }
 
-// Seen returns the last state of an instance; ok is false if it has sent no message.
-func (l *Link) Seen(name string) (Seen, bool) {
+// PeerState returns the last state of an instance; ok is false if it has sent no message.
+func (l *Link) PeerState(name string) (PeerState, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	seen, ok := l.seen[name]
 	return seen, ok
 }
 
-// SeenAll returns the last state of every instance that has sent a message.
-func (l *Link) SeenAll() map[string]Seen {
+// PeerStates returns the last state of every instance that has sent a message.
+func (l *Link) PeerStates() map[string]PeerState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := make(map[string]Seen, len(l.seen))
+	all := make(map[string]PeerState, len(l.seen))
 	for name, seen := range l.seen {
 		all[name] = seen
 	}
