--- a/batch/dispatchers.go
+++ b/batch/dispatchers.go
@@ -113,7 +113,7 @@
 		sessions: map[string]*session{},
 		opening:  map[string]time.Time{},
 		backoffs: map[string]sessionBackoff{},
-		dial:     relay.Open,
+		dial:     relay.OpenDelegation,
 	}
 }
 
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -36,8 +36,8 @@
 // Handler answers a call.
 type Handler func(ctx context.Context, call *relaypb.Call) *relaypb.Answer
 
-// KeepHandler serves a delegation session, which a Keep call opens, until it returns.
-type KeepHandler func(ctx context.Context, keep *relaypb.Keep, stream *Stream)
+// DelegationHandler serves a delegation session, which a Keep call opens, until it returns.
+type DelegationHandler func(ctx context.Context, keep *relaypb.Keep, stream *Stream)
 
 func sessionConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
@@ -49,7 +49,7 @@
 
 // Serve accepts sessions until ctx ends. If serveDelegation is nil, the streams of
 // Keep calls are closed.
-func Serve(ctx context.Context, listener net.Listener, handler Handler, serveDelegation KeepHandler) {
+func Serve(ctx context.Context, listener net.Listener, handler Handler, serveDelegation DelegationHandler) {
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
 	var sessions sync.WaitGroup
@@ -67,7 +67,7 @@
 	}
 }
 
-func serveSession(ctx context.Context, connection net.Conn, handler Handler, serveDelegation KeepHandler) {
+func serveSession(ctx context.Context, connection net.Conn, handler Handler, serveDelegation DelegationHandler) {
 	session, err := yamux.Server(connection, sessionConfig())
 	if err != nil {
 		connection.Close()
@@ -85,7 +85,7 @@
 	}
 }
 
-func serveStream(ctx context.Context, conn net.Conn, handler Handler, serveDelegation KeepHandler) {
+func serveStream(ctx context.Context, conn net.Conn, handler Handler, serveDelegation DelegationHandler) {
 	stream := newStream(conn)
 	defer stream.Close()
 	if err := conn.SetDeadline(time.Now().Add(handleTimeout)); err != nil {
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -48,9 +48,9 @@
 	s.onClose()
 }
 
-// Open opens a delegation session with the instance at IP:PORT, on a connection of
+// OpenDelegation opens a delegation session with the instance at IP:PORT, on a connection of
 // its own, so that failed calls to that instance do not close it.
-func Open(ctx context.Context, address string, keep *relaypb.Keep) (*Stream, error) {
+func OpenDelegation(ctx context.Context, address string, keep *relaypb.Keep) (*Stream, error) {
 	connection, err := (&net.Dialer{}).DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, ErrNotSent
