--- a/gangs/simulation_test.go
+++ b/gangs/simulation_test.go
@@ -131,8 +131,8 @@
 	if s.logDown {
 		return
 	}
-	for int(inst.fold.Next) < len(s.log) {
-		record := s.log[inst.fold.Next]
+	for int(inst.fold.NextOffset) < len(s.log) {
+		record := s.log[inst.fold.NextOffset]
 		inst.fold.Apply(&record)
 		if record.Start != nil && inst.term != 0 {
 			entry := inst.fold.Jobs[record.Start.Job]
--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -48,7 +48,7 @@
 				state := ledger.New()
 				for _, record := range list {
 					if verdict := state.Apply(record); !verdict.Valid {
-						b.Fatal(verdict.Why)
+						b.Fatal(verdict.Reason)
 					}
 				}
 				runtime.GC()
@@ -78,7 +78,7 @@
 				state.Apply(decoded)
 			}
 			snapshot := &ledger.Snapshot{}
-			state.Fill(snapshot)
+			state.CopyTo(snapshot)
 			data, err := ledger.Encode(snapshot)
 			if err != nil {
 				b.Fatal(err)
@@ -106,7 +106,7 @@
 			b.ResetTimer()
 			for range b.N {
 				snapshot := &ledger.Snapshot{}
-				state.Fill(snapshot)
+				state.CopyTo(snapshot)
 				if _, err := ledger.Encode(snapshot); err != nil {
 					b.Fatal(err)
 				}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -15,8 +15,8 @@
 	MaxKeys = 400_000
 	// MaxJobs is the maximum number of jobs in the state; further submissions are void.
 	MaxJobs = 200_000
-	// MaxBlamed is the maximum number of workers recorded as having failed a job.
-	MaxBlamed = 8
+	// MaxFailedWorkers is the maximum number of workers recorded as having failed a job.
+	MaxFailedWorkers = 8
 )
 
 // KeyPhase is the phase of a request key.
@@ -32,13 +32,13 @@
 
 // KeyEntry is the state of one request key.
 type KeyEntry struct {
-	Claim    structs.Claim  `json:"claim"`
-	Phase    KeyPhase       `json:"phase"`
-	Reason   structs.Reason `json:"reason,omitempty"`
-	ByHolder bool           `json:"by_holder,omitempty"` // the claim holder itself recorded the phase
-	Status   int            `json:"status,omitempty"`
-	Answer   []byte         `json:"answer,omitempty"`
-	Kept     bool           `json:"kept,omitempty"`
+	Claim           structs.Claim  `json:"claim"`
+	Phase           KeyPhase       `json:"phase"`
+	Reason          structs.Reason `json:"reason,omitempty"`
+	DecidedByHolder bool           `json:"by_holder,omitempty"` // the claim holder itself recorded the phase
+	Status          int            `json:"status,omitempty"`
+	Answer          []byte         `json:"answer,omitempty"`
+	AnswerStored    bool           `json:"kept,omitempty"`
 }
 
 // JobPhase is the phase of a job.
@@ -53,25 +53,25 @@
 
 // JobEntry is the state of one job.
 type JobEntry struct {
-	Job          structs.Job      `json:"job"`
-	Phase        JobPhase         `json:"phase"`
-	Run          string           `json:"run,omitempty"`
-	Members      []structs.Member `json:"members,omitempty"`
-	StartMS      int64            `json:"start_ms,omitempty"`
-	Runs         int              `json:"runs,omitempty"`
-	Cancelled    bool             `json:"cancelled,omitempty"`
-	Checkpointed bool             `json:"checkpointed,omitempty"`
-	Blamed       []string         `json:"blamed,omitempty"`
-	Outcome      structs.Outcome  `json:"outcome,omitempty"`
-	Reason       structs.Reason   `json:"reason,omitempty"`
-	Detail       string           `json:"detail,omitempty"`
-	EndMS        int64            `json:"end_ms,omitempty"`
+	Job           structs.Job      `json:"job"`
+	Phase         JobPhase         `json:"phase"`
+	Run           string           `json:"run,omitempty"`
+	Members       []structs.Member `json:"members,omitempty"`
+	StartMS       int64            `json:"start_ms,omitempty"`
+	Runs          int              `json:"runs,omitempty"`
+	Cancelled     bool             `json:"cancelled,omitempty"`
+	Checkpointed  bool             `json:"checkpointed,omitempty"`
+	FailedWorkers []string         `json:"blamed,omitempty"`
+	Outcome       structs.Outcome  `json:"outcome,omitempty"`
+	Reason        structs.Reason   `json:"reason,omitempty"`
+	Detail        string           `json:"detail,omitempty"`
+	EndMS         int64            `json:"end_ms,omitempty"`
 }
 
 // Verdict is the result of folding a record.
 type Verdict struct {
-	Valid bool
-	Why   VoidReason
+	Valid  bool
+	Reason VoidReason
 }
 
 // VoidReason is the reason for which a record is void.
@@ -79,26 +79,26 @@
 
 // Reasons for which a record is void.
 const (
-	VoidNone      VoidReason = ""
-	VoidMalformed VoidReason = "malformed"
-	VoidTaken     VoidReason = "taken"
-	VoidDuplicate VoidReason = "duplicate"
-	VoidExpired   VoidReason = "expired"
-	VoidFull      VoidReason = "full"
-	VoidNotHolder VoidReason = "not_holder"
-	VoidPhase     VoidReason = "wrong_phase"
-	VoidMissing   VoidReason = "missing"
-	VoidTerm      VoidReason = "stale_term"
-	VoidRepeat    VoidReason = "may_not_repeat"
+	VoidNone         VoidReason = ""
+	VoidMalformed    VoidReason = "malformed"
+	VoidTaken        VoidReason = "taken"
+	VoidDuplicate    VoidReason = "duplicate"
+	VoidExpired      VoidReason = "expired"
+	VoidFull         VoidReason = "full"
+	VoidNotHolder    VoidReason = "not_holder"
+	VoidWrongPhase   VoidReason = "wrong_phase"
+	VoidMissing      VoidReason = "missing"
+	VoidStaleTerm    VoidReason = "stale_term"
+	VoidMayNotRepeat VoidReason = "may_not_repeat"
 )
 
 var valid = Verdict{Valid: true}
 
-func void(why VoidReason) Verdict { return Verdict{Why: why} }
+func void(why VoidReason) Verdict { return Verdict{Reason: why} }
 
 // State is the folded ledger. It is not safe for concurrent use.
 type State struct {
-	Next         int64 // offset of the next record to fold
+	NextOffset   int64 // offset of the next record to fold
 	Keys         map[structs.KeyID]*KeyEntry
 	Jobs         map[string]*JobEntry
 	Term         structs.Term
@@ -112,7 +112,7 @@
 
 // Apply folds the record at offset Next.
 func (s *State) Apply(record *structs.Record) Verdict {
-	s.Next++
+	s.NextOffset++
 	switch {
 	case record.Claim != nil:
 		return s.applyClaim(record.Claim)
@@ -166,11 +166,11 @@
 		return verdict
 	}
 	if !entry.holderMayDecide() {
-		return void(VoidPhase)
+		return void(VoidWrongPhase)
 	}
 	entry.Phase = KeyReleased
 	entry.Reason = release.Reason
-	entry.ByHolder = true
+	entry.DecidedByHolder = true
 	return valid
 }
 
@@ -182,7 +182,7 @@
 		return verdict
 	}
 	if !entry.holderMayDecide() {
-		return void(VoidPhase)
+		return void(VoidWrongPhase)
 	}
 	if !complete.Holder && (entry.Phase != KeyOpen || complete.Outcome != structs.OutcomeUnknown) {
 		return void(VoidNotHolder)
@@ -192,10 +192,10 @@
 		entry.Phase = KeyRan
 	}
 	entry.Reason = complete.Reason
-	entry.ByHolder = complete.Holder
+	entry.DecidedByHolder = complete.Holder
 	entry.Status = complete.Status
 	entry.Answer = complete.Answer
-	entry.Kept = complete.Kept
+	entry.AnswerStored = complete.Kept
 	return valid
 }
 
@@ -211,7 +211,7 @@
 }
 
 func (e *KeyEntry) holderMayDecide() bool {
-	return e.Phase == KeyOpen || (e.Phase == KeyUnknown && !e.ByHolder)
+	return e.Phase == KeyOpen || (e.Phase == KeyUnknown && !e.DecidedByHolder)
 }
 
 func (s *State) applySubmit(job *structs.Job) Verdict {
@@ -236,7 +236,7 @@
 		return void(VoidMissing)
 	}
 	if entry.Phase == JobEnded {
-		return void(VoidPhase)
+		return void(VoidWrongPhase)
 	}
 	entry.Cancelled = true
 	if entry.Phase == JobQueued {
@@ -266,7 +266,7 @@
 		return void(VoidDuplicate)
 	}
 	if entry.Phase != JobQueued || entry.Cancelled {
-		return void(VoidPhase)
+		return void(VoidWrongPhase)
 	}
 	entry.Phase = JobRunning
 	entry.Run = start.Run
@@ -285,7 +285,7 @@
 		return verdict
 	}
 	if entry.Phase != JobRunning || entry.Run != stop.Run {
-		return void(VoidPhase)
+		return void(VoidWrongPhase)
 	}
 	entry.Run = ""
 	entry.Members = nil
@@ -313,15 +313,15 @@
 }
 
 func (e *JobEntry) addFailedWorker(worker string) {
-	if worker == "" || len(e.Blamed) >= MaxBlamed {
+	if worker == "" || len(e.FailedWorkers) >= MaxFailedWorkers {
 		return
 	}
-	for _, name := range e.Blamed {
+	for _, name := range e.FailedWorkers {
 		if name == worker {
 			return
 		}
 	}
-	e.Blamed = append(e.Blamed, worker)
+	e.FailedWorkers = append(e.FailedWorkers, worker)
 }
 
 // applyEnd ends a job under the current term. The record must name the current run of
@@ -332,7 +332,7 @@
 		return verdict
 	}
 	if entry.Phase == JobEnded || entry.Run != end.Run {
-		return void(VoidPhase)
+		return void(VoidWrongPhase)
 	}
 	entry.finish(end.Outcome, end.Reason, atMS)
 	entry.Detail = end.Detail
@@ -341,7 +341,7 @@
 
 func (s *State) jobUnderTerm(job string, term int64) (*JobEntry, Verdict) {
 	if term != s.Term.Number {
-		return nil, void(VoidTerm)
+		return nil, void(VoidStaleTerm)
 	}
 	entry, exists := s.Jobs[job]
 	if !exists {
@@ -352,7 +352,7 @@
 
 func (s *State) applyTerm(term *structs.Term) Verdict {
 	if term.Number != s.Term.Number+1 {
-		return void(VoidTerm)
+		return void(VoidStaleTerm)
 	}
 	s.Term = *term
 	return valid
@@ -363,7 +363,7 @@
 // cannot lead to a second run.
 func (s *State) applyPrune(prune *structs.Prune) Verdict {
 	if prune.BeforeMS <= s.PrunedBefore {
-		return void(VoidPhase)
+		return void(VoidWrongPhase)
 	}
 	s.PrunedBefore = prune.BeforeMS
 	for key, entry := range s.Keys {
--- a/ledger/snapshot.go
+++ b/ledger/snapshot.go
@@ -14,8 +14,8 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// PartBytes is the maximum size of the snapshot data in one record.
-const PartBytes = 192 << 10
+// MaxPartBytes is the maximum size of the snapshot data in one record.
+const MaxPartBytes = 192 << 10
 
 // Snapshot is the folded state of the ledger and targets streams with the offsets
 // that it covers.
@@ -42,10 +42,10 @@
 	Data     []byte `json:"data"`
 }
 
-// Fill copies the state into a snapshot, with entries sorted by key. The entries are
+// CopyTo copies the state into a snapshot, with entries sorted by key. The entries are
 // copies, so that the state may change while the snapshot is encoded.
-func (s *State) Fill(snapshot *Snapshot) {
-	snapshot.LedgerNext = s.Next
+func (s *State) CopyTo(snapshot *Snapshot) {
+	snapshot.LedgerNext = s.NextOffset
 	snapshot.Term = s.Term
 	snapshot.PrunedBefore = s.PrunedBefore
 	for _, entry := range s.Keys {
@@ -57,7 +57,7 @@
 	})
 	for _, entry := range s.Jobs {
 		copied := *entry
-		copied.Blamed = append([]string(nil), entry.Blamed...)
+		copied.FailedWorkers = append([]string(nil), entry.FailedWorkers...)
 		snapshot.Jobs = append(snapshot.Jobs, &copied)
 	}
 	sort.Slice(snapshot.Jobs, func(i, j int) bool { return snapshot.Jobs[i].Job.ID < snapshot.Jobs[j].Job.ID })
@@ -73,7 +73,7 @@
 // Restore replaces the state with that of the snapshot.
 func (s *State) Restore(snapshot *Snapshot) {
 	*s = *New()
-	s.Next = snapshot.LedgerNext
+	s.NextOffset = snapshot.LedgerNext
 	s.Term = snapshot.Term
 	s.PrunedBefore = snapshot.PrunedBefore
 	for _, entry := range snapshot.Keys {
@@ -115,11 +115,11 @@
 
 // Split splits an encoded snapshot into parts for the snapshot stream.
 func Split(id string, data []byte) []Part {
-	count := (len(data) + PartBytes - 1) / PartBytes
+	count := (len(data) + MaxPartBytes - 1) / MaxPartBytes
 	parts := make([]Part, 0, count)
 	for index := range count {
-		start := index * PartBytes
-		end := min(start+PartBytes, len(data))
+		start := index * MaxPartBytes
+		end := min(start+MaxPartBytes, len(data))
 		parts = append(parts, Part{ID: id, Index: index, Count: count, Checksum: crc32.ChecksumIEEE(data), Data: data[start:end]})
 	}
 	return parts
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -80,7 +80,7 @@
 func (s ledgerSink) Next() int64 {
 	s.replica.mu.Lock()
 	defer s.replica.mu.Unlock()
-	return s.replica.ledger.Next
+	return s.replica.ledger.NextOffset
 }
 
 // Gap implements logstream.Sink.
@@ -136,7 +136,7 @@
 
 func (r *Replica) foldRecord(offset int64, record *structs.Record) {
 	r.mu.Lock()
-	if offset != r.ledger.Next {
+	if offset != r.ledger.NextOffset {
 		r.mu.Unlock()
 		return
 	}
@@ -158,7 +158,7 @@
 		return r.notifyClaim(record.Claim, verdict)
 	case record.Submit != nil:
 		for _, waiter := range r.submitWaiters[record.Submit.ID] {
-			waiter <- verdict.Why
+			waiter <- verdict.Reason
 		}
 		delete(r.submitWaiters, record.Submit.ID)
 		return r.notifyJob(record.Submit.ID)
@@ -188,7 +188,7 @@
 	waiter, found := r.claimWaiters[claim.ID]
 	if found {
 		delete(r.claimWaiters, claim.ID)
-		waiter <- ClaimResult{Entry: r.copyKeyEntry(claim.Key), VoidReason: verdict.Why}
+		waiter <- ClaimResult{Entry: r.copyKeyEntry(claim.Key), VoidReason: verdict.Reason}
 		return func() {}
 	}
 	if !verdict.Valid || claim.Holder != r.identity || r.observer == nil {
@@ -353,7 +353,7 @@
 func (r *Replica) Offsets() (ledgerNext, targetsNext int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ledger.Next, r.targets.Next
+	return r.ledger.NextOffset, r.targets.Next
 }
 
 // Snapshot returns a copy of the folded state.
@@ -367,7 +367,7 @@
 		TargetsDocument: r.targets.Document,
 		TargetsLastID:   r.targets.LastID,
 	}
-	r.ledger.Fill(snapshot)
+	r.ledger.CopyTo(snapshot)
 	return snapshot
 }
 
@@ -376,7 +376,7 @@
 func (r *Replica) Restore(snapshot *ledger.Snapshot) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if snapshot.LedgerNext > r.ledger.Next {
+	if snapshot.LedgerNext > r.ledger.NextOffset {
 		r.ledger.Restore(snapshot)
 		r.ledgerGap = false
 	}
--- a/requests/simulation_faults_test.go
+++ b/requests/simulation_faults_test.go
@@ -43,7 +43,7 @@
 func (s *simulation) restoreFromSnapshot() {
 	inst := s.drawInstance()
 	snapshot := &ledger.Snapshot{}
-	inst.fold.Fill(snapshot)
+	inst.fold.CopyTo(snapshot)
 	data, err := ledger.Encode(snapshot)
 	if err != nil {
 		s.t.Fatal(err)
--- a/requests/simulation_test.go
+++ b/requests/simulation_test.go
@@ -192,10 +192,10 @@
 func (s *simulation) read() {
 	inst := s.drawInstance()
 	for range rapid.IntRange(1, 4).Draw(s.t, "records") {
-		if int(inst.fold.Next) >= len(s.log) {
+		if int(inst.fold.NextOffset) >= len(s.log) {
 			return
 		}
-		record := s.log[inst.fold.Next]
+		record := s.log[inst.fold.NextOffset]
 		verdict := inst.fold.Apply(&record)
 		if record.Claim != nil {
 			s.deliverVerdict(inst, record.Claim, verdict)
@@ -209,7 +209,7 @@
 			continue
 		}
 		c.claiming = false
-		if verdict.Why == ledger.VoidExpired {
+		if verdict.Reason == ledger.VoidExpired {
 			c.pendingEvents = append(c.pendingEvents, requests.ClaimRead{Reason: structs.ReasonKeyExpired})
 			return
 		}
