--- a/adapters/runnerhttp/runnerhttp.go
+++ b/adapters/runnerhttp/runnerhttp.go
@@ -99,7 +99,7 @@
 	if !connected {
 		return failedResult(requests.AttemptNotSent, structs.ReasonNoUpstream, load)
 	}
-	return failedResult(requests.AttemptBroken, structs.ReasonUpstreamFailed, load)
+	return failedResult(requests.AttemptInterrupted, structs.ReasonUpstreamFailed, load)
 }
 
 func failedResult(kind requests.AttemptKind, reason structs.Reason, load balancer.Result) upstream.Result {
@@ -110,7 +110,7 @@
 // broken.
 func readResult(ctx context.Context, attempt upstream.Attempt, response *http.Response) upstream.Result {
 	if response.Header.Get(HeaderAttempt) != attempt.ID {
-		return failedResult(requests.AttemptBroken, structs.ReasonAnswerMismatched, balancer.ResultFailed)
+		return failedResult(requests.AttemptInterrupted, structs.ReasonAnswerMismatched, balancer.ResultFailed)
 	}
 	body, reason := readBody(response, attempt.MaxAnswer)
 	if reason != structs.ReasonNone {
@@ -118,7 +118,7 @@
 		if ctx.Err() != nil {
 			load = balancer.ResultAbandoned
 		}
-		return failedResult(requests.AttemptBroken, reason, load)
+		return failedResult(requests.AttemptInterrupted, reason, load)
 	}
 	busy := busySlots(response)
 	if refusal := response.Header.Get(HeaderNotStarted); response.StatusCode == http.StatusServiceUnavailable && refusal != "" {
--- a/adapters/runnerhttp/runnerhttp_test.go
+++ b/adapters/runnerhttp/runnerhttp_test.go
@@ -34,12 +34,12 @@
 	}{
 		{"healthy", standin.RunnerFaults{}, requests.AttemptAnswered, structs.ReasonNone, 1},
 		{"leaving", standin.RunnerFaults{Leaving: true}, requests.AttemptRefused, structs.ReasonUpstreamRefused, 0},
-		{"reset before executing", standin.RunnerFaults{ResetBefore: true}, requests.AttemptBroken, structs.ReasonUpstreamFailed, 0},
-		{"reset after executing", standin.RunnerFaults{ResetAfter: true}, requests.AttemptBroken, structs.ReasonUpstreamFailed, 1},
-		{"truncated", standin.RunnerFaults{Truncate: true}, requests.AttemptBroken, structs.ReasonAnswerTruncated, 1},
-		{"no stated end", standin.RunnerFaults{Endless: true}, requests.AttemptBroken, structs.ReasonAnswerTruncated, 1},
-		{"answer of another attempt", standin.RunnerFaults{OtherAttempt: true}, requests.AttemptBroken, structs.ReasonAnswerMismatched, 1},
-		{"over the size limit", standin.RunnerFaults{AnswerBytes: 4096}, requests.AttemptBroken, structs.ReasonAnswerTooLarge, 1},
+		{"reset before executing", standin.RunnerFaults{ResetBefore: true}, requests.AttemptInterrupted, structs.ReasonUpstreamFailed, 0},
+		{"reset after executing", standin.RunnerFaults{ResetAfter: true}, requests.AttemptInterrupted, structs.ReasonUpstreamFailed, 1},
+		{"truncated", standin.RunnerFaults{Truncate: true}, requests.AttemptInterrupted, structs.ReasonAnswerTruncated, 1},
+		{"no stated end", standin.RunnerFaults{Endless: true}, requests.AttemptInterrupted, structs.ReasonAnswerTruncated, 1},
+		{"answer of another attempt", standin.RunnerFaults{OtherAttempt: true}, requests.AttemptInterrupted, structs.ReasonAnswerMismatched, 1},
+		{"over the size limit", standin.RunnerFaults{AnswerBytes: 4096}, requests.AttemptInterrupted, structs.ReasonAnswerTooLarge, 1},
 		{"complete error answer", standin.RunnerFaults{Status: 500}, requests.AttemptAnswered, structs.ReasonNone, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	is.Equal((<-done).Ended.Kind, requests.AttemptBroken)
+	is.Equal((<-done).Ended.Kind, requests.AttemptInterrupted)
 	runner.SetFaults(standin.RunnerFaults{})
 	next := newAttempt(server.URL)
 	next.ID = "a2"
--- a/instance/requests.go
+++ b/instance/requests.go
@@ -62,7 +62,7 @@
 		return refusal
 	}
 	lost := entry.Phase == ledger.KeyOpen && i.claimHolderLost(entry.Claim)
-	return requests.AnswerOf(entry, request.Class, xxhash.Sum64(request.Body), lost)
+	return requests.AnswerFromEntry(entry, request.Class, xxhash.Sum64(request.Body), lost)
 }
 
 // admitRequest performs the checks that precede the state machine of a request.
@@ -217,9 +217,9 @@
 		switch a := action.(type) {
 		case requests.AppendClaim:
 			e.startAction(e.claimKey)
-		case requests.Pick:
+		case requests.PickRunner:
 			e.pickRunner(a.Exclude)
-		case requests.Send:
+		case requests.SendAttempt:
 			e.startAction(func(ctx context.Context) { e.sendAttempt(ctx, a) })
 		case requests.Abandon:
 			if e.cancel != nil {
@@ -340,13 +340,13 @@
 
 func (e *execution) postGrant(grant balancer.Grant) {
 	if grant.Runner == "" {
-		e.post(requests.RunnerRefused{Reason: grant.Refusal.Reason, RetryAfter: grant.Refusal.RetryAfter})
+		e.post(requests.SlotRefused{Reason: grant.Refusal.Reason, RetryAfter: grant.Refusal.RetryAfter})
 		return
 	}
 	e.post(requests.RunnerPicked{Runner: grant.Runner})
 }
 
-func (e *execution) sendAttempt(ctx context.Context, action requests.Send) {
+func (e *execution) sendAttempt(ctx context.Context, action requests.SendAttempt) {
 	i := e.instance
 	started := time.Now()
 	ctx, cancel := context.WithDeadline(ctx, e.spec.Deadline)
@@ -373,7 +373,7 @@
 func (e *execution) appendComplete(action requests.AppendComplete) {
 	e.instance.appendRecord(&structs.Record{Kind: structs.RecordComplete, Complete: &structs.Completion{
 		ClaimID: e.id, Key: e.spec.Key, Outcome: action.Outcome, Reason: action.Reason, Holder: true,
-		Status: action.Status, Answer: action.Answer, Kept: action.Kept}}, nil)
+		Status: action.Status, Answer: action.Answer, Kept: action.AnswerStored}}, nil)
 	e.instance.events.Add("request_"+string(action.Outcome), e.spec.Key.Key, e.spec.Key.Workspace, string(action.Reason))
 }
 
--- a/requests/events.go
+++ b/requests/events.go
@@ -29,8 +29,8 @@
 // RunnerPicked reports that the request was assigned a slot of a runner.
 type RunnerPicked struct{ Runner string }
 
-// RunnerRefused reports that no slot will be available in time.
-type RunnerRefused struct {
+// SlotRefused reports that no slot will be available in time.
+type SlotRefused struct {
 	Reason     structs.Reason
 	RetryAfter time.Duration
 }
@@ -46,8 +46,8 @@
 	AttemptRefused
 	// AttemptAnswered means that the complete answer of this attempt arrived.
 	AttemptAnswered
-	// AttemptBroken means that bytes were sent and no complete answer arrived.
-	AttemptBroken
+	// AttemptInterrupted means that bytes were sent and no complete answer arrived.
+	AttemptInterrupted
 )
 
 // AttemptEnded is the result of the latest attempt.
@@ -71,7 +71,7 @@
 func (Started) isEvent()        {}
 func (ClaimRead) isEvent()      {}
 func (RunnerPicked) isEvent()   {}
-func (RunnerRefused) isEvent()  {}
+func (SlotRefused) isEvent()    {}
 func (AttemptEnded) isEvent()   {}
 func (DeadlinePassed) isEvent() {}
 func (CallerGone) isEvent()     {}
@@ -82,11 +82,11 @@
 // AppendClaim requests that the claim is appended and read back (ClaimRead).
 type AppendClaim struct{}
 
-// Pick requests a slot of a runner (RunnerPicked or RunnerRefused).
-type Pick struct{ Exclude []string }
+// PickRunner requests a slot of a runner (RunnerPicked or SlotRefused).
+type PickRunner struct{ Exclude []string }
 
-// Send requests an attempt at a runner (AttemptEnded).
-type Send struct {
+// SendAttempt requests an attempt at a runner (AttemptEnded).
+type SendAttempt struct {
 	Runner  string
 	Attempt int
 }
@@ -100,11 +100,11 @@
 
 // AppendComplete requests that the outcome of the claim is appended.
 type AppendComplete struct {
-	Outcome structs.Outcome
-	Reason  structs.Reason
-	Status  int
-	Answer  []byte
-	Kept    bool
+	Outcome      structs.Outcome
+	Reason       structs.Reason
+	Status       int
+	Answer       []byte
+	AnswerStored bool
 }
 
 // Finish returns the final answer to the caller. Answers of requests that ran are
@@ -119,8 +119,8 @@
 }
 
 func (AppendClaim) isAction()    {}
-func (Pick) isAction()           {}
-func (Send) isAction()           {}
+func (PickRunner) isAction()     {}
+func (SendAttempt) isAction()    {}
 func (Abandon) isAction()        {}
 func (AppendRelease) isAction()  {}
 func (AppendComplete) isAction() {}
--- a/requests/machine.go
+++ b/requests/machine.go
@@ -15,12 +15,12 @@
 const (
 	// MaxAttempts is the maximum number of attempts, regardless of the retry budget.
 	MaxAttempts = 4
-	// ClaimValid is the maximum time from the creation of a claim to the first byte
+	// MaxClaimAge is the maximum time from the creation of a claim to the first byte
 	// sent. An instance that was paused for longer releases its claim, since other
 	// instances may already have recorded the outcome as unknown.
-	ClaimValid = 10 * time.Second
-	// MaxKeptAnswer is the maximum size in bytes of an answer that is stored with its key.
-	MaxKeptAnswer = 16 << 10
+	MaxClaimAge = 10 * time.Second
+	// MaxStoredAnswerBytes is the maximum size in bytes of an answer that is stored with its key.
+	MaxStoredAnswerBytes = 16 << 10
 	// defaultRetryAfter is reported to callers if there is no better estimate.
 	defaultRetryAfter = 2 * time.Second
 )
@@ -78,7 +78,7 @@
 		return m.onClaimRead(e, now)
 	case RunnerPicked:
 		return m.onRunnerPicked(e, now)
-	case RunnerRefused:
+	case SlotRefused:
 		return m.onRunnerRefused(e)
 	case AttemptEnded:
 		return m.onAttemptEnded(e, now)
@@ -93,7 +93,7 @@
 func (m *Machine) start(now time.Time) []Action {
 	if m.spec.Idempotent {
 		m.phase = phasePicking
-		return []Action{Pick{}}
+		return []Action{PickRunner{}}
 	}
 	m.phase = phaseClaiming
 	m.claimedAt = now
@@ -118,7 +118,7 @@
 		return m.finishNotRun(structs.ReasonClaimHolderLost, defaultRetryAfter)
 	}
 	m.phase = phasePicking
-	return []Action{Pick{}}
+	return []Action{PickRunner{}}
 }
 
 // onClaimUnread ends a request whose claim may or may not be in the log. Nothing was
@@ -142,12 +142,12 @@
 }
 
 func (m *Machine) finishFromEntry(e ClaimRead) []Action {
-	return m.finish(AnswerOf(e.Entry, m.spec.Class, m.spec.Digest, e.HolderLost))
+	return m.finish(AnswerFromEntry(e.Entry, m.spec.Class, m.spec.Digest, e.HolderLost))
 }
 
-// AnswerOf returns the answer to a request whose key was claimed by another request.
+// AnswerFromEntry returns the answer to a request whose key was claimed by another request.
 // holderLost reports that the instance that holds an open claim is gone.
-func AnswerOf(entry *ledger.KeyEntry, class string, digest uint64, holderLost bool) Finish {
+func AnswerFromEntry(entry *ledger.KeyEntry, class string, digest uint64, holderLost bool) Finish {
 	if entry.Claim.Digest != digest || entry.Claim.Class != class {
 		return Finish{Outcome: structs.OutcomeNotRun, Reason: structs.ReasonKeyConflict}
 	}
@@ -166,7 +166,7 @@
 }
 
 func (m *Machine) claimExpired(now time.Time) bool {
-	return m.mayHoldClaim && now.Sub(m.claimedAt) > ClaimValid && !m.maybeSent
+	return m.mayHoldClaim && now.Sub(m.claimedAt) > MaxClaimAge && !m.maybeSent
 }
 
 func (m *Machine) onRunnerPicked(e RunnerPicked, now time.Time) []Action {
@@ -182,10 +182,10 @@
 	m.phase = phaseSending
 	m.attempts++
 	m.triedRunners = append(m.triedRunners, e.Runner)
-	return []Action{Send{Runner: e.Runner, Attempt: m.attempts}}
+	return []Action{SendAttempt{Runner: e.Runner, Attempt: m.attempts}}
 }
 
-func (m *Machine) onRunnerRefused(e RunnerRefused) []Action {
+func (m *Machine) onRunnerRefused(e SlotRefused) []Action {
 	if m.phase != phasePicking {
 		return nil
 	}
@@ -226,16 +226,16 @@
 		return fallback()
 	}
 	m.phase = phasePicking
-	return []Action{Pick{Exclude: m.triedRunners}}
+	return []Action{PickRunner{Exclude: m.triedRunners}}
 }
 
 func (m *Machine) finishRan(e AttemptEnded) []Action {
 	var actions []Action
 	if m.mayHoldClaim {
 		complete := AppendComplete{Outcome: structs.OutcomeRan, Status: e.Status}
-		if len(e.Answer) <= MaxKeptAnswer {
+		if len(e.Answer) <= MaxStoredAnswerBytes {
 			complete.Answer = e.Answer
-			complete.Kept = true
+			complete.AnswerStored = true
 		}
 		actions = append(actions, complete)
 	}
--- a/requests/simulation_test.go
+++ b/requests/simulation_test.go
@@ -139,14 +139,14 @@
 			c.claiming = false
 			c.pendingEvents = append(c.pendingEvents, requests.ClaimRead{Entry: &ledger.KeyEntry{Claim: structs.Claim{ID: c.id}, Phase: ledger.KeyOpen}})
 		}
-	case requests.Pick:
+	case requests.PickRunner:
 		c.pendingEvents = append(c.pendingEvents, requests.RunnerPicked{Runner: "r"})
-	case requests.Send:
+	case requests.SendAttempt:
 		c.attemptPending = true
 	case requests.AppendRelease:
 		s.enqueue(c.instance, structs.Record{Release: &structs.Release{ClaimID: c.id, Key: key, Reason: a.Reason}}, nil)
 	case requests.AppendComplete:
-		s.enqueue(c.instance, structs.Record{Complete: &structs.Completion{ClaimID: c.id, Key: key, Outcome: a.Outcome, Reason: a.Reason, Holder: true, Status: a.Status, Answer: a.Answer, Kept: a.Kept}}, nil)
+		s.enqueue(c.instance, structs.Record{Complete: &structs.Completion{ClaimID: c.id, Key: key, Outcome: a.Outcome, Reason: a.Reason, Holder: true, Status: a.Status, Answer: a.Answer, Kept: a.AnswerStored}}, nil)
 		if s.mutation == releaseAfterSend && a.Outcome == structs.OutcomeUnknown {
 			s.enqueue(c.instance, structs.Record{Release: &structs.Release{ClaimID: c.id, Key: key}}, nil)
 			c.instance.unflushed[len(c.instance.unflushed)-2].Complete = nil
@@ -252,9 +252,9 @@
 	case 1:
 		end.Kind = requests.AttemptRefused
 	case 2:
-		end.Kind = requests.AttemptBroken
+		end.Kind = requests.AttemptInterrupted
 	case 3:
-		end.Kind = requests.AttemptBroken
+		end.Kind = requests.AttemptInterrupted
 		s.runAtRunner(c)
 	case 4:
 		end.Kind = requests.AttemptAnswered
