--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -15,8 +15,8 @@
 
 // Limits, rates and intervals of the balancer.
 const (
-	// MaxWaiting is the maximum number of requests that wait for a slot.
-	MaxWaiting        = 4096
+	// MaxQueued is the maximum number of requests that wait for a slot.
+	MaxQueued         = 4096
 	defaultSlots      = 8
 	decreaseFactor    = 0.7
 	minLimit          = 1.0
@@ -57,19 +57,19 @@
 	leaving        bool
 }
 
-// Waiter identifies a waiting request.
-type Waiter uint64
+// WaiterID identifies a waiting request.
+type WaiterID uint64
 
 type queuedRequest struct {
-	id       Waiter
+	id       WaiterID
 	class    string
 	deadline time.Time
 	exclude  []string
 }
 
-// Grant assigns a slot to a waiting request, or refuses the request.
-type Grant struct {
-	Waiter  Waiter
+// AcquireResult assigns a slot to a waiting request, or refuses the request.
+type AcquireResult struct {
+	Waiter  WaiterID
 	Runner  string // empty if refused
 	Refusal Refusal
 }
@@ -100,10 +100,10 @@
 	}
 }
 
-// Update applies the platform's list of processes. A runner that was marked as leaving
+// UpdateRunners applies the platform's list of processes. A runner that was marked as leaving
 // stays so until it is listed with a later boot, even if the list is stale or
 // inconsistent.
-func (b *Balancer) Update(list []membership.Member) {
+func (b *Balancer) UpdateRunners(list []membership.Member) {
 	listed := map[string]bool{}
 	for _, entry := range list {
 		if entry.Role != membership.RoleRunner {
@@ -179,22 +179,22 @@
 
 // Acquire requests a slot. It returns a grant with a runner, a grant with a refusal,
 // or false if the request was queued under the given identifier.
-func (b *Balancer) Acquire(id Waiter, class string, deadline time.Time, exclude []string, now time.Time) (Grant, bool) {
+func (b *Balancer) Acquire(id WaiterID, class string, deadline time.Time, exclude []string, now time.Time) (AcquireResult, bool) {
 	if len(b.queue) == 0 {
 		if r := b.pickRunner(exclude, now); r != nil {
 			r.inFlight++
-			return Grant{Waiter: id, Runner: r.entry.ID}, true
+			return AcquireResult{Waiter: id, Runner: r.entry.ID}, true
 		}
 	}
 	if refusal, refused := b.refusalFor(class, deadline, now); refused {
-		return Grant{Waiter: id, Refusal: refusal}, true
+		return AcquireResult{Waiter: id, Refusal: refusal}, true
 	}
 	request := queuedRequest{id: id, class: class, deadline: deadline, exclude: exclude}
 	at := sort.Search(len(b.queue), func(i int) bool { return b.latestStart(b.queue[i]).After(b.latestStart(request)) })
 	b.queue = append(b.queue, queuedRequest{})
 	copy(b.queue[at+1:], b.queue[at:])
 	b.queue[at] = request
-	return Grant{}, false
+	return AcquireResult{}, false
 }
 
 func (b *Balancer) latestStart(request queuedRequest) time.Time {
@@ -218,7 +218,7 @@
 	ahead := b.countAhead(deadline.Add(-service))
 	queueWait := time.Duration(float64(service) * float64(ahead+1) / capacity)
 	retryAfter := max(queueWait, minRetryAfter)
-	if len(b.queue) >= MaxWaiting {
+	if len(b.queue) >= MaxQueued {
 		return Refusal{Reason: structs.ReasonQueueFull, RetryAfter: retryAfter}, true
 	}
 	if now.Add(queueWait + service).After(deadline) {
@@ -299,9 +299,9 @@
 	return false
 }
 
-// Done releases a slot. busy is the number of slots in use that the runner reported,
+// Release releases a slot. busy is the number of slots in use that the runner reported,
 // or negative if unknown.
-func (b *Balancer) Done(id, class string, result Result, latency time.Duration, busy int, now time.Time) {
+func (b *Balancer) Release(id, class string, result Result, latency time.Duration, busy int, now time.Time) {
 	r := b.runners[id]
 	if r == nil {
 		return
@@ -344,7 +344,7 @@
 }
 
 // Cancel removes a request from the queue and reports whether it was queued.
-func (b *Balancer) Cancel(id Waiter) bool {
+func (b *Balancer) Cancel(id WaiterID) bool {
 	for i, request := range b.queue {
 		if request.id == id {
 			b.queue = append(b.queue[:i], b.queue[i+1:]...)
@@ -356,12 +356,12 @@
 
 // Dispatch assigns free slots to waiting requests in order of their latest start, and
 // refuses the requests that can no longer meet their deadline.
-func (b *Balancer) Dispatch(now time.Time) []Grant {
-	var grants []Grant
+func (b *Balancer) Dispatch(now time.Time) []AcquireResult {
+	var grants []AcquireResult
 	for len(b.queue) > 0 {
 		first := b.queue[0]
 		if now.After(b.latestStart(first)) {
-			grants = append(grants, Grant{Waiter: first.id, Refusal: Refusal{Reason: structs.ReasonCannotMeetTarget, RetryAfter: minRetryAfter}})
+			grants = append(grants, AcquireResult{Waiter: first.id, Refusal: Refusal{Reason: structs.ReasonCannotMeetTarget, RetryAfter: minRetryAfter}})
 			b.queue = b.queue[1:]
 			continue
 		}
@@ -370,11 +370,11 @@
 			return grants
 		}
 		r.inFlight++
-		grants = append(grants, Grant{Waiter: first.id, Runner: r.entry.ID})
+		grants = append(grants, AcquireResult{Waiter: first.id, Runner: r.entry.ID})
 		b.queue = b.queue[1:]
 	}
 	return grants
 }
 
-// Waiting returns the number of waiting requests.
-func (b *Balancer) Waiting() int { return len(b.queue) }
+// QueueLength returns the number of waiting requests.
+func (b *Balancer) QueueLength() int { return len(b.queue) }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -33,7 +33,7 @@
 		boots := map[string]int64{"r0": 1, "r1": 1, "r2": 1}
 		listedBoots := map[string]int64{} // by runner, the boot in the latest list
 		waiting := 0
-		checkGrant := func(granted balancer.Grant) {
+		checkGrant := func(granted balancer.AcquireResult) {
 			if granted.Runner == "" {
 				return
 			}
@@ -45,7 +45,7 @@
 				t.Fatalf("%s uses %d of 2 slots", granted.Runner, slotsInUse[granted.Runner])
 			}
 		}
-		next := balancer.Waiter(0)
+		next := balancer.WaiterID(0)
 		t.Repeat(map[string]func(*rapid.T){
 			"list": func(t *rapid.T) {
 				var list []membership.Member
@@ -60,7 +60,7 @@
 					listedBoots[id] = boots[id]
 					list = append(list, listed(id, boots[id], leaving))
 				}
-				b.Update(list)
+				b.UpdateRunners(list)
 			},
 			"restart": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"r0", "r1", "r2"}).Draw(t, "runner")
@@ -87,7 +87,7 @@
 				if result == balancer.ResultLeaving {
 					leavingBoots[id] = max(leavingBoots[id], listedBoots[id])
 				}
-				b.Done(id, "c", result, 10*time.Millisecond, -1, now)
+				b.Release(id, "c", result, 10*time.Millisecond, -1, now)
 				for _, granted := range b.Dispatch(now) {
 					waiting--
 					checkGrant(granted)
@@ -95,8 +95,8 @@
 			},
 			"pass": func(t *rapid.T) { now = now.Add(time.Second) },
 			"": func(t *rapid.T) {
-				if b.Waiting() != waiting {
-					t.Fatalf("%d requests wait, want %d", b.Waiting(), waiting)
+				if b.QueueLength() != waiting {
+					t.Fatalf("%d requests wait, want %d", b.QueueLength(), waiting)
 				}
 			},
 		})
@@ -106,13 +106,13 @@
 func TestRequestsThatCannotMeetTheirDeadlineAreRefusedWithRetryAfter(t *testing.T) {
 	is := is.New(t)
 	b := balancer.New(1)
-	b.Update([]membership.Member{listed("r0", 1, false)})
+	b.UpdateRunners([]membership.Member{listed("r0", 1, false)})
 	for n := range 2 {
-		granted, decided := b.Acquire(balancer.Waiter(n), "slow", startTime.Add(time.Hour), nil, startTime)
+		granted, decided := b.Acquire(balancer.WaiterID(n), "slow", startTime.Add(time.Hour), nil, startTime)
 		is.True(decided)
 		is.Equal(granted.Runner, "r0")
 	}
-	b.Done("r0", "slow", balancer.ResultAnswered, 10*time.Second, 2, startTime)
+	b.Release("r0", "slow", balancer.ResultAnswered, 10*time.Second, 2, startTime)
 	_, decided := b.Acquire(10, "slow", startTime.Add(time.Hour), nil, startTime)
 	is.True(decided) // gets the slot that was just released
 	granted, decided := b.Acquire(11, "slow", startTime.Add(5*time.Second), nil, startTime)
@@ -124,24 +124,24 @@
 func TestRequestWithTheEarliestDeadlineIsServedFirst(t *testing.T) {
 	is := is.New(t)
 	b := balancer.New(1)
-	b.Update([]membership.Member{{ID: "r0", Role: membership.RoleRunner, Boot: 1, Slots: 1}})
+	b.UpdateRunners([]membership.Member{{ID: "r0", Role: membership.RoleRunner, Boot: 1, Slots: 1}})
 	_, decided := b.Acquire(0, "c", startTime.Add(time.Hour), nil, startTime)
 	is.True(decided)
-	for id, within := range map[balancer.Waiter]time.Duration{1: time.Hour, 2: time.Minute, 3: time.Second} {
+	for id, within := range map[balancer.WaiterID]time.Duration{1: time.Hour, 2: time.Minute, 3: time.Second} {
 		_, decided := b.Acquire(id, "c", startTime.Add(within), nil, startTime)
 		is.True(!decided)
 	}
-	b.Done("r0", "c", balancer.ResultAnswered, time.Millisecond, 0, startTime)
+	b.Release("r0", "c", balancer.ResultAnswered, time.Millisecond, 0, startTime)
 	is.Equal(fmt.Sprint(b.Dispatch(startTime)[0].Waiter), "3")
 }
 
 func TestRetriesStayWithinBudget(t *testing.T) {
 	is := is.New(t)
-	budget := balancer.NewBudget()
+	budget := balancer.NewRetryBudget()
 	spent := 0
 	for range 1000 {
-		budget.Request()
-		for budget.Spend() {
+		budget.AddRequest()
+		for budget.TrySpend() {
 			spent++
 		}
 	}
--- a/balancer/budget.go
+++ b/balancer/budget.go
@@ -6,20 +6,20 @@
 	budgetCap        = 50.0
 )
 
-// Budget limits retries to a fraction of the requests, so that retries do not amplify
+// RetryBudget limits retries to a fraction of the requests, so that retries do not amplify
 // an overload. It is not safe for concurrent use.
-type Budget struct {
+type RetryBudget struct {
 	tokens float64
 }
 
-// NewBudget returns a full budget.
-func NewBudget() *Budget { return &Budget{tokens: budgetCap} }
+// NewRetryBudget returns a full budget.
+func NewRetryBudget() *RetryBudget { return &RetryBudget{tokens: budgetCap} }
 
-// Request adds the fraction of a retry that one request earns.
-func (b *Budget) Request() { b.tokens = min(budgetCap, b.tokens+budgetPerRequest) }
+// AddRequest adds the fraction of a retry that one request earns.
+func (b *RetryBudget) AddRequest() { b.tokens = min(budgetCap, b.tokens+budgetPerRequest) }
 
-// Spend consumes one retry. It returns false if the budget is exhausted.
-func (b *Budget) Spend() bool {
+// TrySpend consumes one retry. It returns false if the budget is exhausted.
+func (b *RetryBudget) TrySpend() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/instance/requests.go
+++ b/instance/requests.go
@@ -338,7 +338,7 @@
 	})
 }
 
-func (e *execution) postGrant(grant balancer.Grant) {
+func (e *execution) postGrant(grant balancer.AcquireResult) {
 	if grant.Runner == "" {
 		e.post(requests.SlotRefused{Reason: grant.Refusal.Reason, RetryAfter: grant.Refusal.RetryAfter})
 		return
--- a/instance/slots.go
+++ b/instance/slots.go
@@ -18,21 +18,21 @@
 type slotAllocator struct {
 	mu             sync.Mutex
 	balancer       *balancer.Balancer
-	budget         *balancer.Budget
-	waiters        map[balancer.Waiter]chan balancer.Grant
-	lastWaiter     balancer.Waiter
+	budget         *balancer.RetryBudget
+	waiters        map[balancer.WaiterID]chan balancer.AcquireResult
+	lastWaiter     balancer.WaiterID
 	leavingRunners []membership.Member // runners found to be leaving, of which peers are not yet notified
 }
 
 func newSlotAllocator(seed uint64) *slotAllocator {
-	return &slotAllocator{balancer: balancer.New(seed), budget: balancer.NewBudget(), waiters: map[balancer.Waiter]chan balancer.Grant{}}
+	return &slotAllocator{balancer: balancer.New(seed), budget: balancer.NewRetryBudget(), waiters: map[balancer.WaiterID]chan balancer.AcquireResult{}}
 }
 
 // run grants slots periodically, as a runner may become usable by passage of time alone.
 func (a *slotAllocator) run(ctx context.Context) {
 	for logstream.Sleep(ctx, grantInterval) {
 		a.mu.Lock()
-		if a.balancer.Waiting() > 0 {
+		if a.balancer.QueueLength() > 0 {
 			a.grantSlots(time.Now())
 		}
 		a.mu.Unlock()
@@ -51,7 +51,7 @@
 func (a *slotAllocator) updateRunners(list []membership.Member, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.balancer.Update(list)
+	a.balancer.UpdateRunners(list)
 	a.grantSlots(now)
 }
 
@@ -72,12 +72,12 @@
 
 // ticket identifies a request that waits for a slot.
 type ticket struct {
-	id     balancer.Waiter
-	grants chan balancer.Grant
+	id     balancer.WaiterID
+	grants chan balancer.AcquireResult
 }
 
 // acquire requests a slot. It returns a grant or a refusal, or a ticket to wait with.
-func (a *slotAllocator) acquire(class string, deadline time.Time, exclude []string) (grant balancer.Grant, t *ticket) {
+func (a *slotAllocator) acquire(class string, deadline time.Time, exclude []string) (grant balancer.AcquireResult, t *ticket) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.lastWaiter++
@@ -85,25 +85,25 @@
 	if decided {
 		return grant, nil
 	}
-	t = &ticket{id: a.lastWaiter, grants: make(chan balancer.Grant, 1)}
+	t = &ticket{id: a.lastWaiter, grants: make(chan balancer.AcquireResult, 1)}
 	a.waiters[t.id] = t.grants
 	return grant, t
 }
 
 // await waits for a slot or a refusal. If ctx ends first, ok is false and no slot is
 // held.
-func (a *slotAllocator) await(ctx context.Context, t *ticket) (grant balancer.Grant, ok bool) {
+func (a *slotAllocator) await(ctx context.Context, t *ticket) (grant balancer.AcquireResult, ok bool) {
 	select {
 	case grant = <-t.grants:
 		return grant, true
 	case <-ctx.Done():
 		a.cancelWait(t.id, t.grants)
-		return balancer.Grant{}, false
+		return balancer.AcquireResult{}, false
 	}
 }
 
 // cancelWait withdraws a waiting request and returns a slot granted in the meantime.
-func (a *slotAllocator) cancelWait(id balancer.Waiter, waiter chan balancer.Grant) {
+func (a *slotAllocator) cancelWait(id balancer.WaiterID, waiter chan balancer.AcquireResult) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.waiters, id)
@@ -113,7 +113,7 @@
 	select {
 	case grant := <-waiter:
 		if grant.Runner != "" {
-			a.balancer.Done(grant.Runner, "", balancer.ResultAbandoned, 0, -1, time.Now())
+			a.balancer.Release(grant.Runner, "", balancer.ResultAbandoned, 0, -1, time.Now())
 		}
 	default:
 	}
@@ -124,7 +124,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	a.balancer.Done(runner, "", balancer.ResultAbandoned, 0, -1, now)
+	a.balancer.Release(runner, "", balancer.ResultAbandoned, 0, -1, now)
 	a.grantSlots(now)
 }
 
@@ -146,13 +146,13 @@
 		}
 	}
 	now := time.Now()
-	a.balancer.Done(runner, class, result.Load, took, result.Busy, now)
+	a.balancer.Release(runner, class, result.Load, took, result.Busy, now)
 	a.grantSlots(now)
-	return failed && a.budget.Spend()
+	return failed && a.budget.TrySpend()
 }
 
 func (a *slotAllocator) countRequest() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.budget.Request()
+	a.budget.AddRequest()
 }
