--- a/gangs/coordinator.go
+++ b/gangs/coordinator.go
@@ -15,11 +15,11 @@
 
 // Config holds the term and the timeouts of a Coordinator.
 type Config struct {
-	Term          int64
-	LeaseTTL      time.Duration
-	ReclaimWithin time.Duration
-	// RecordWait bounds how long a run waits until its start is read back from the log.
-	RecordWait time.Duration
+	Term           int64
+	LeaseTTL       time.Duration
+	ReclaimTimeout time.Duration
+	// RecordTimeout bounds how long a run waits until its start is read back from the log.
+	RecordTimeout time.Duration
 }
 
 // Coordinator manages the gang runs of one term. It is not safe for concurrent use.
@@ -278,7 +278,7 @@
 		return c.withdraw(g, g.firstUnacked(), now)
 	case g.startUnrecorded || g.startRecorded:
 		return c.startOrRenew(g, now)
-	case now.Sub(g.phaseStarted) > c.config.RecordWait:
+	case now.Sub(g.phaseStarted) > c.config.RecordTimeout:
 		return c.withdraw(g, "", now)
 	case reserved && now.Sub(g.roundStarted) > c.config.LeaseTTL/2:
 		return g.reserveAll(now)
--- a/gangs/events.go
+++ b/gangs/events.go
@@ -101,10 +101,10 @@
 
 // WorkerState is the result of a Poll. Err is set if the worker did not answer.
 type WorkerState struct {
-	Worker string
-	Asked  time.Time // when the poll was sent, or earlier
-	State  worker.State
-	Err    error
+	Worker   string
+	PolledAt time.Time // when the poll was sent, or earlier
+	State    worker.State
+	Err      error
 }
 
 // Tick triggers the time-dependent steps. LogAvailable reports whether the log
--- a/gangs/regression_test.go
+++ b/gangs/regression_test.go
@@ -22,7 +22,7 @@
 )
 
 func newCoordinator() *gangs.Coordinator {
-	return gangs.New(gangs.Config{Term: 1, LeaseTTL: leaseTTL, ReclaimWithin: time.Second, RecordWait: 3 * time.Second})
+	return gangs.New(gangs.Config{Term: 1, LeaseTTL: leaseTTL, ReclaimTimeout: time.Second, RecordTimeout: 3 * time.Second})
 }
 
 // calls returns the calls of one kind among actions.
@@ -99,9 +99,9 @@
 	after := c.Step(gangs.StopRun{Run: "j#0", Reason: structs.ReasonCancelled}, startTime)
 	is.Equal(len(after), 0) // a start call of the previous leader may be in flight to either worker
 	state := worker.State{Tasks: []worker.Task{{Run: "j#0", Phase: worker.TaskRunning}}}
-	after = c.Step(gangs.WorkerState{Worker: "w0", Asked: startTime, State: state}, startTime)
+	after = c.Step(gangs.WorkerState{Worker: "w0", PolledAt: startTime, State: state}, startTime)
 	is.Equal(len(calls(after, gangs.CallRelease)), 0)
-	after = c.Step(gangs.WorkerState{Worker: "w1", Asked: startTime, State: state}, startTime)
+	after = c.Step(gangs.WorkerState{Worker: "w1", PolledAt: startTime, State: state}, startTime)
 	is.True(len(calls(after, gangs.CallRelease)) >= 2) // both members; a release may be sent twice
 }
 
@@ -110,8 +110,8 @@
 	c := newCoordinator()
 	c.Step(gangs.Adopt{Job: "j", Run: "j#0", Members: twoMembers}, startTime)
 	state := worker.State{Tasks: []worker.Task{{Run: "j#0", Phase: worker.TaskReserved}}}
-	c.Step(gangs.WorkerState{Worker: "w0", Asked: startTime, State: state}, startTime)
-	after := c.Step(gangs.WorkerState{Worker: "w1", Asked: startTime, State: state}, startTime)
+	c.Step(gangs.WorkerState{Worker: "w0", PolledAt: startTime, State: state}, startTime)
+	after := c.Step(gangs.WorkerState{Worker: "w1", PolledAt: startTime, State: state}, startTime)
 	for _, action := range after {
 		if stop, ok := action.(gangs.AppendStop); ok {
 			is.True(stop.Stop.NotStarted) // so that a job that is not idempotent may run again
--- a/gangs/running.go
+++ b/gangs/running.go
@@ -19,10 +19,10 @@
 			continue
 		}
 		reported := reportedPhase(e.State, g.run)
-		if reported != "" && e.Asked.After(m.leaseRenewed) {
-			m.leaseRenewed = e.Asked
+		if reported != "" && e.PolledAt.After(m.leaseRenewed) {
+			m.leaseRenewed = e.PolledAt
 		}
-		if e.Asked.Before(g.phaseStarted) {
+		if e.PolledAt.Before(g.phaseStarted) {
 			continue // the poll predates the current phase
 		}
 		m.phase = reported
@@ -93,7 +93,7 @@
 		return c.finishRun(g, now)
 	case g.phase == phaseStopping && stopped == len(g.members):
 		return c.finishStop(g, checkpointed == len(g.members), now)
-	case g.phase == phaseStopping && now.Sub(g.phaseStarted) > c.config.ReclaimWithin+c.config.LeaseTTL:
+	case g.phase == phaseStopping && now.Sub(g.phaseStarted) > c.config.ReclaimTimeout+c.config.LeaseTTL:
 		return c.finishStop(g, false, now)
 	}
 	return nil
--- a/gangs/simulation_calls_test.go
+++ b/gangs/simulation_calls_test.go
@@ -65,7 +65,7 @@
 		if s.mutation == ignoreLostMembers {
 			state, err = reportAsRunning(state, a.Runs), nil
 		}
-		inst.step(s, gangs.WorkerState{Worker: a.Worker, Asked: asked, State: state, Err: err})
+		inst.step(s, gangs.WorkerState{Worker: a.Worker, PolledAt: asked, State: state, Err: err})
 	}
 }
 
--- a/gangs/simulation_test.go
+++ b/gangs/simulation_test.go
@@ -149,7 +149,7 @@
 	case mine && inst.term != inst.fold.Term.Number:
 		inst.term = inst.fold.Term.Number
 		inst.busy = map[string]bool{}
-		inst.coordinator = gangs.New(gangs.Config{Term: inst.term, LeaseTTL: leaseTTL, ReclaimWithin: time.Second, RecordWait: 3 * time.Second})
+		inst.coordinator = gangs.New(gangs.Config{Term: inst.term, LeaseTTL: leaseTTL, ReclaimTimeout: time.Second, RecordTimeout: 3 * time.Second})
 		for _, entry := range s.runningJobs(inst) {
 			inst.busy[entry.Job.ID] = true
 			inst.step(s, gangs.Adopt{Job: entry.Job.ID, Run: entry.Run, Members: entry.Members})
--- a/instance/placer.go
+++ b/instance/placer.go
@@ -129,7 +129,7 @@
 	p.logUnavailable = false
 	p.trackedJobs = map[string]bool{}
 	p.scheduler = scheduler.New(scheduler.Config{Workers: workerSpecs(p.workers), Epoch: term})
-	p.coordinator = gangs.New(gangs.Config{Term: term, LeaseTTL: i.settings.LeaseTTL, ReclaimWithin: i.settings.ReclaimWithin, RecordWait: recordTimeout})
+	p.coordinator = gangs.New(gangs.Config{Term: term, LeaseTTL: i.settings.LeaseTTL, ReclaimTimeout: i.settings.ReclaimWithin, RecordTimeout: recordTimeout})
 	live := i.replica.LiveJobs()
 	sort.Slice(live, func(a, b int) bool { return submittedBefore(live[a], live[b]) })
 	for _, entry := range live {
@@ -366,7 +366,7 @@
 	pollCtx, cancel := context.WithTimeout(ctx, i.settings.LeaseTTL/4)
 	defer cancel()
 	state, err := i.workerClient.Renew(pollCtx, workers[poll.Worker].Address, worker.RenewRequest{Term: term, Runs: poll.Runs, TTL: i.settings.LeaseTTL})
-	p.events.Put(ctx, gangs.WorkerState{Worker: poll.Worker, Asked: sentAt, State: state, Err: err})
+	p.events.Put(ctx, gangs.WorkerState{Worker: poll.Worker, PolledAt: sentAt, State: state, Err: err})
 }
 
 // drain waits until another instance is the leader, while this one still renews the
