--- a/batch/batch_test.go
+++ b/batch/batch_test.go
@@ -23,13 +23,13 @@
 func TestTermIsClaimedOnlyAfterObservedSilence(t *testing.T) {
 	is := is.New(t)
 	e := newElection("a", "a/1", 100*time.Millisecond)
-	e.observe(jobs.Term{Epoch: 4, Holder: "b/1"}, testNow)
+	e.observe(jobs.Term{Epoch: 4, Leader: "b/1"}, testNow)
 	is.True(!e.shouldClaim(testNow, testNow.Add(time.Hour))) // no read has been answered since the term was observed
 	silentAt := testNow.Add(termTimeout)
 	is.True(!e.shouldClaim(silentAt, silentAt)) // claimDelay has not passed
 	is.True(e.shouldClaim(silentAt, silentAt.Add(100*time.Millisecond)))
 	is.True(!e.shouldClaim(silentAt, silentAt.Add(200*time.Millisecond))) // claimInterval has not passed since the last claim
-	e.observe(jobs.Term{Epoch: 5, Holder: "c/1"}, silentAt.Add(time.Second))
+	e.observe(jobs.Term{Epoch: 5, Leader: "c/1"}, silentAt.Add(time.Second))
 	is.True(!e.shouldClaim(silentAt.Add(time.Second), silentAt.Add(2*time.Second)))
 }
 
@@ -39,7 +39,7 @@
 	e.observe(jobs.Term{Epoch: 4}, testNow)
 	is.True(e.shouldClaim(testNow, testNow))
 	e = newElection("a", "a/2", time.Second)
-	e.observe(jobs.Term{Epoch: 4, Holder: "a/1"}, testNow) // a former incarnation of this instance
+	e.observe(jobs.Term{Epoch: 4, Leader: "a/1"}, testNow) // a former incarnation of this instance
 	is.True(e.shouldClaim(testNow, testNow))
 }
 
@@ -282,9 +282,9 @@
 		store := &lossyStore{}
 		instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), discardLog())
 		l := &leader{instance: instance, clock: instance.clock, log: discardLog()}
-		renewed := jobs.Term{Epoch: 3, Holder: "a/1", Renewals: 7}
+		renewed := jobs.Term{Epoch: 3, Leader: "a/1", Renewals: 7}
 		writer := newFencedWriter(l, renewed, 1)
-		record, err := jobs.TermRecord(jobs.Term{Epoch: 3, Holder: "a/1", Renewals: 6})
+		record, err := jobs.TermRecord(jobs.Term{Epoch: 3, Leader: "a/1", Renewals: 6})
 		is.NoErr(err)
 		instance.fold.apply(statePart, Batch{Records: []jobs.Record{record}, Offsets: []int64{0}})
 		is.Equal(writer.states.tryAppend(t.Context(), nil), ErrUnknown)
@@ -332,7 +332,7 @@
 func newTestWriter(store Store, epoch int64) *fencedWriter {
 	instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), discardLog())
 	l := &leader{instance: instance, clock: instance.clock, log: discardLog()}
-	return newFencedWriter(l, jobs.Term{Epoch: epoch, Holder: "a/1"}, 1)
+	return newFencedWriter(l, jobs.Term{Epoch: epoch, Leader: "a/1"}, 1)
 }
 
 // Progress goes to its own part and only states share a part with the term, so that instances that
@@ -374,8 +374,8 @@
 		writer := newTestWriter(store, 3)
 		progress, err := jobs.ProgressRecord("a1", &jobs.Progress{State: jobs.StateRunning})
 		is.NoErr(err)
-		first := []jobs.Record{jobs.MarkRecord(3, 1), progress}
-		second := []jobs.Record{jobs.MarkRecord(3, 2), progress}
+		first := []jobs.Record{jobs.GroupMarkRecord(3, 1), progress}
+		second := []jobs.Record{jobs.GroupMarkRecord(3, 2), progress}
 		instance := writer.leader.instance
 		instance.fold.apply(7, Batch{Records: first, Offsets: []int64{0, 1}})
 		is.NoErr(writer.progress.tryAppend(t.Context(), first))
--- a/batch/bounds_test.go
+++ b/batch/bounds_test.go
@@ -92,7 +92,7 @@
 		l.instance.applyRecord(t, partOf("a1", 8), jobs.CancelRecord("a1"), nil)
 		forgotten := func() bool {
 			last := store.parts[progressPart(8)][len(store.parts[progressPart(8)])-1]
-			return last.Key == jobs.ForgetProgressRecord("a1").Key && len(last.Value) == 0
+			return last.Key == jobs.DeleteProgressRecord("a1").Key && len(last.Value) == 0
 		}
 		time.Sleep(10 * time.Minute)
 		is.True(!forgotten())
--- a/batch/calls.go
+++ b/batch/calls.go
@@ -147,10 +147,10 @@
 	i.foldLock.Lock()
 	defer i.foldLock.Unlock()
 	job := i.fold.table.Job(id)
-	if job == nil || job.Told {
+	if job == nil || job.FinalStateReported {
 		return false
 	}
-	job.Told = true
+	job.FinalStateReported = true
 	return true
 }
 
@@ -223,7 +223,7 @@
 func (i *Instance) Waiting(queue string) int {
 	i.foldLock.Lock()
 	defer i.foldLock.Unlock()
-	return i.fold.table.Waiting(queue)
+	return i.fold.table.QueuedCount(queue)
 }
 
 func (i *Instance) hasJob(id string) bool {
--- a/batch/claim.go
+++ b/batch/claim.go
@@ -11,7 +11,7 @@
 // claimTerm tries to win the next term. The fold shows whether it succeeded.
 func (i *Instance) claimTerm(ctx context.Context, current jobs.Term) {
 	if i.lastClaim.Epoch <= current.Epoch {
-		i.lastClaim = jobs.Term{Epoch: current.Epoch + 1, Holder: i.identity}
+		i.lastClaim = jobs.Term{Epoch: current.Epoch + 1, Leader: i.identity}
 		i.claimSequence = i.randomSequence()
 	}
 	record, err := jobs.TermRecord(i.lastClaim)
@@ -23,7 +23,7 @@
 	defer cancel()
 	fence := &Fence{Epoch: i.lastClaim.Epoch, Sequence: i.claimSequence}
 	err = i.store.Append(ctx, statePart, []jobs.Record{record}, fence)
-	i.log.WithField("epoch", i.lastClaim.Epoch).WithField("former", current.Holder).WithField("result", errorText(err)).Info("term_claimed")
+	i.log.WithField("epoch", i.lastClaim.Epoch).WithField("former", current.Leader).WithField("result", errorText(err)).Info("term_claimed")
 	if err == nil {
 		i.refreshTerm(ctx)
 	}
--- a/batch/election.go
+++ b/batch/election.go
@@ -63,7 +63,7 @@
 	if term == e.term && !e.changedAt.IsZero() {
 		return
 	}
-	stillOpen := term.Holder == "" && e.term.Holder == "" && term.Epoch == e.term.Epoch
+	stillOpen := term.Leader == "" && e.term.Leader == "" && term.Epoch == e.term.Epoch
 	e.term = term
 	e.changedAt = now
 	if !stillOpen {
@@ -76,7 +76,7 @@
 func (e *election) reset() { e.changedAt = time.Time{} }
 
 // isLeader reports whether the log names this process as the leader.
-func (e *election) isLeader() bool { return e.term.Holder == e.identity }
+func (e *election) isLeader() bool { return e.term.Leader == e.identity }
 
 // shouldClaim reports whether to claim the next term now. It is called only while this process is
 // not the leader. answeredAt is when the newest read of the log was answered: silence after that
@@ -107,7 +107,7 @@
 // isVacant reports whether the term has no active leader: it was handed over, or its leader was a
 // former incarnation of this instance, has requested a claim or is silent.
 func (e *election) isVacant(answeredAt time.Time) bool {
-	return e.term.Holder == "" || e.claimRequested() || e.heldByFormerIncarnation() || answeredAt.Sub(e.changedAt) >= termTimeout
+	return e.term.Leader == "" || e.claimRequested() || e.heldByFormerIncarnation() || answeredAt.Sub(e.changedAt) >= termTimeout
 }
 
 // heldByFormerIncarnation reports whether the leader was a former incarnation of this instance.
@@ -115,7 +115,7 @@
 
 // leaderName returns the name of the instance that holds a term; empty if none does.
 func leaderName(term jobs.Term) string {
-	name, _, _ := strings.Cut(term.Holder, "/")
+	name, _, _ := strings.Cut(term.Leader, "/")
 	return name
 }
 
@@ -127,7 +127,7 @@
 	switch {
 	case previous.Epoch != won.Epoch-1:
 		return placing.FormerUnknown
-	case previous.Holder == "":
+	case previous.Leader == "":
 		return placing.FormerHandedOver
 	case leaderName(previous) == name:
 		return placing.FormerEnded
--- a/batch/election_test.go
+++ b/batch/election_test.go
@@ -13,11 +13,11 @@
 // and go on, also if terms were missed in between.
 func TestFateOfTheFormerHolder(t *testing.T) {
 	is := is.New(t)
-	won := jobs.Term{Epoch: 7, Holder: "a/2"}
-	is.Equal(formerLeaderFate(jobs.Term{Epoch: 6, Holder: "a/1"}, won, "a"), placing.FormerEnded)
+	won := jobs.Term{Epoch: 7, Leader: "a/2"}
+	is.Equal(formerLeaderFate(jobs.Term{Epoch: 6, Leader: "a/1"}, won, "a"), placing.FormerEnded)
 	is.Equal(formerLeaderFate(jobs.Term{Epoch: 6}, won, "a"), placing.FormerHandedOver)
-	is.Equal(formerLeaderFate(jobs.Term{Epoch: 6, Holder: "b/1"}, won, "a"), placing.FormerUnknown)
-	is.Equal(formerLeaderFate(jobs.Term{Epoch: 5, Holder: "a/1"}, won, "a"), placing.FormerUnknown)
+	is.Equal(formerLeaderFate(jobs.Term{Epoch: 6, Leader: "b/1"}, won, "a"), placing.FormerUnknown)
+	is.Equal(formerLeaderFate(jobs.Term{Epoch: 5, Leader: "a/1"}, won, "a"), placing.FormerUnknown)
 	is.Equal(formerLeaderFate(jobs.Term{Epoch: 5}, won, "a"), placing.FormerUnknown)
-	is.Equal(formerLeaderFate(jobs.Term{Epoch: 6, Holder: "ab/1"}, won, "a"), placing.FormerUnknown)
+	is.Equal(formerLeaderFate(jobs.Term{Epoch: 6, Leader: "ab/1"}, won, "a"), placing.FormerUnknown)
 }
--- a/batch/expire.go
+++ b/batch/expire.go
@@ -28,14 +28,14 @@
 		if job.Parts&(1<<part) == 0 {
 			continue
 		}
-		if err := l.appendTombstones(ctx, part, jobs.ForgetCallRecords(id)); err != nil {
+		if err := l.appendTombstones(ctx, part, jobs.DeleteCallerRecords(id)); err != nil {
 			return err
 		}
 	}
-	if err := l.appendTombstones(ctx, progressPart(i.settings.StoreParts), []jobs.Record{jobs.ForgetProgressRecord(id)}); err != nil {
+	if err := l.appendTombstones(ctx, progressPart(i.settings.StoreParts), []jobs.Record{jobs.DeleteProgressRecord(id)}); err != nil {
 		return err
 	}
-	return l.appendTombstones(ctx, statePart, []jobs.Record{jobs.ForgetStateRecord(id)})
+	return l.appendTombstones(ctx, statePart, []jobs.Record{jobs.DeleteStateRecord(id)})
 }
 
 func (l *leader) appendTombstones(ctx context.Context, part int, records []jobs.Record) error {
--- a/batch/follower.go
+++ b/batch/follower.go
@@ -324,8 +324,8 @@
 			w.log.WithField("error", err.Error()).Error("record_unreadable")
 			continue
 		}
-		if change.Job != "" && w.trackDirty.Load() {
-			w.dirty[change.Job] = true
+		if change.JobID != "" && w.trackDirty.Load() {
+			w.dirty[change.JobID] = true
 		}
 	}
 	w.wake()
--- a/batch/handover_test.go
+++ b/batch/handover_test.go
@@ -22,7 +22,7 @@
 	l := &leader{instance: instance, clock: instance.clock, log: discardLog(), epoch: epoch, ctx: ctx,
 		engine: placing.New(instance.limits(), epoch, instance.clock.WallMS), events: ring.New[event](eventQueueSize), pools: map[string]bool{}, entries: map[string]placing.WorkerEntry{}}
 	l.dispatchers = newDispatchers(l)
-	l.writer = newFencedWriter(l, jobs.Term{Epoch: epoch, Holder: "a/1"}, 1)
+	l.writer = newFencedWriter(l, jobs.Term{Epoch: epoch, Leader: "a/1"}, 1)
 	l.workerList = l.newWorkerListFollower()
 	l.loadEngine(placing.FormerHandedOver)
 	l.spawn(ctx, l.writer.run)
@@ -63,7 +63,7 @@
 		l.instance.applyRecord(t, partOf("a1", 8), record, err)
 		time.Sleep(time.Second)
 		is.Equal(metrics.GetOrRegisterCounter("decisions.job_taken", l.instance.metrics.registry).Count(), int64(1))
-		record, err = jobs.TermRecord(jobs.Term{Epoch: 4, Holder: "b/1"})
+		record, err = jobs.TermRecord(jobs.Term{Epoch: 4, Leader: "b/1"})
 		l.instance.applyRecord(t, statePart, record, err)
 		<-loopDone
 		is.True(l.termLost)
--- a/batch/stalltakeover.go
+++ b/batch/stalltakeover.go
@@ -76,7 +76,7 @@
 func (i *Instance) probeProgressPart(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	return i.store.Append(ctx, progressPart(i.settings.StoreParts), []jobs.Record{jobs.CheckRecord()}, nil)
+	return i.store.Append(ctx, progressPart(i.settings.StoreParts), []jobs.Record{jobs.ProbeRecord()}, nil)
 }
 
 // recordProgressAttempt records the state of an append of progress that began at startedAt. The
--- a/batch/status.go
+++ b/batch/status.go
@@ -45,12 +45,12 @@
 	i.foldLock.Lock()
 	defer i.foldLock.Unlock()
 	status.Term = i.fold.table.Term()
-	status.Jobs = i.fold.table.Counts()
+	status.Jobs = i.fold.table.CountByState()
 	if config != nil {
 		status.ConfigVersion = config.Version
 		for index := range config.Queues {
 			name := config.Queues[index].Name
-			status.Waiting[name] = i.fold.table.Waiting(name)
+			status.Waiting[name] = i.fold.table.QueuedCount(name)
 		}
 	}
 	return status
--- a/batch/successor_test.go
+++ b/batch/successor_test.go
@@ -18,13 +18,13 @@
 func TestTermIsClaimedAtOnceWhenItsHolderAsks(t *testing.T) {
 	is := is.New(t)
 	vote := newElection("a", "a/1", 200*time.Millisecond)
-	vote.observe(jobs.Term{Epoch: 4, Holder: "b/1"}, testNow)
+	vote.observe(jobs.Term{Epoch: 4, Leader: "b/1"}, testNow)
 	vote.requestClaim(3)
 	is.True(!vote.shouldClaim(testNow, testNow))
 	vote.requestClaim(4)
 	is.True(vote.shouldClaim(testNow, testNow))
 	is.True(!vote.shouldClaim(testNow, testNow)) // a claim is in flight
-	vote.observe(jobs.Term{Epoch: 5, Holder: "c/1"}, testNow)
+	vote.observe(jobs.Term{Epoch: 5, Leader: "c/1"}, testNow)
 	is.True(!vote.shouldClaim(testNow, testNow.Add(claimInterval)))
 }
 
--- a/batch/writer.go
+++ b/batch/writer.go
@@ -73,7 +73,7 @@
 // is read back.
 func (w *fencedWriter) writeProgress(ctx context.Context, progress []jobs.Record) error {
 	w.progress.groupCount++
-	mark := jobs.MarkRecord(w.progress.epoch, w.progress.groupCount)
+	mark := jobs.GroupMarkRecord(w.progress.epoch, w.progress.groupCount)
 	return w.progress.append(ctx, append([]jobs.Record{mark}, progress...))
 }
 
@@ -249,14 +249,14 @@
 func (i *Instance) progressWasRead(records []jobs.Record) bool {
 	i.foldLock.Lock()
 	defer i.foldLock.Unlock()
-	return i.fold.table.Mark() == string(records[0].Value)
+	return i.fold.table.GroupMark() == string(records[0].Value)
 }
 
 // openTerm removes the leader from the term from the next renewal on, which is due at once.
 func (w *fencedWriter) openTerm() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.term.Holder = ""
+	w.term.Leader = ""
 	w.renewNow = true
 }
 
--- a/command/fleet.go
+++ b/command/fleet.go
@@ -42,7 +42,7 @@
 // delegates.
 func printStatus(out io.Writer, status *batch.Status) {
 	fmt.Fprintf(out, "instance=%s leading=%t epoch=%d holder=%s config=%d ready=%t draining=%t log_age_ms=%d jobs=%v waiting=%v keeping=%d",
-		status.Instance, status.Leading, status.Term.Epoch, status.Term.Holder, status.ConfigVersion, status.Ready,
+		status.Instance, status.Leading, status.Term.Epoch, status.Term.Leader, status.ConfigVersion, status.Ready,
 		status.Draining, status.LogAgeMS, status.Jobs, status.Waiting, status.Keeping)
 	if len(status.Evacuated) > 0 {
 		fmt.Fprintf(out, " evacuated=%s", strings.Join(status.Evacuated, ","))
--- a/jobs/invalid_records_test.go
+++ b/jobs/invalid_records_test.go
@@ -55,7 +55,7 @@
 			return
 		}
 		for _, job := range table.All() {
-			if job.Submission.Runs()*job.Submission.TasksOfRun() > MaxTasks {
+			if job.Submission.OccurrenceCount()*job.Submission.TasksPerOccurrence() > MaxTasksPerJob {
 				t.Error("a submission with too many tasks was accepted")
 			}
 		}
--- a/jobs/job.go
+++ b/jobs/job.go
@@ -31,22 +31,22 @@
 // Step is one stage of a job: a number of equal tasks that start after the steps
 // in After have ended.
 type Step struct {
-	Tasks          int       `json:"n"`
-	Need           Resources `json:"r"`
-	EstimateMS     int64     `json:"e,omitempty"`  // the caller's estimate of one task's duration
-	After          []int     `json:"d,omitempty"`  // indexes of earlier steps
-	Checkpoints    bool      `json:"k,omitempty"`  // tasks can resume from a checkpoint
-	Gang           bool      `json:"g,omitempty"`  // all tasks must run at the same time
-	OneRack        bool      `json:"o,omitempty"`  // tasks run slowly unless all are in one rack
-	Speculative    bool      `json:"s,omitempty"`  // a task may run in several copies at once
-	Lasting        bool      `json:"l,omitempty"`  // tasks are long-running: they end only when the job is cancelled
-	Fills          bool      `json:"f,omitempty"`  // tasks are fillers: they run on cores that others leave unused
-	RequiredLabel  string    `json:"q,omitempty"`  // label that a worker must have
-	DataRack       string    `json:"t,omitempty"`  // rack that holds the input data
-	PerWorker      int       `json:"p,omitempty"`  // maximum number of the step's tasks on one worker; 0 is no limit
-	Image          string    `json:"i,omitempty"`  // image of the tasks; tasks of the same image behave alike
-	ResponseTarget int64     `json:"rt,omitempty"` // milliseconds; for long-running tasks that serve users
-	MayMiss        int       `json:"mm,omitempty"` // maximum number of long-running tasks that are unavailable at once
+	Tasks            int       `json:"n"`
+	Need             Resources `json:"r"`
+	EstimateMS       int64     `json:"e,omitempty"`  // the caller's estimate of one task's duration
+	After            []int     `json:"d,omitempty"`  // indexes of earlier steps
+	Checkpoints      bool      `json:"k,omitempty"`  // tasks can resume from a checkpoint
+	Gang             bool      `json:"g,omitempty"`  // all tasks must run at the same time
+	OneRack          bool      `json:"o,omitempty"`  // tasks run slowly unless all are in one rack
+	Speculative      bool      `json:"s,omitempty"`  // a task may run in several copies at once
+	LongRunning      bool      `json:"l,omitempty"`  // tasks are long-running: they end only when the job is cancelled
+	Filler           bool      `json:"f,omitempty"`  // tasks are fillers: they run on cores that others leave unused
+	RequiredLabel    string    `json:"q,omitempty"`  // label that a worker must have
+	DataRack         string    `json:"t,omitempty"`  // rack that holds the input data
+	MaxPerWorker     int       `json:"p,omitempty"`  // maximum number of the step's tasks on one worker; 0 is no limit
+	Image            string    `json:"i,omitempty"`  // image of the tasks; tasks of the same image behave alike
+	ResponseTargetMS int64     `json:"rt,omitempty"` // milliseconds; for long-running tasks that serve users
+	MaxUnavailable   int       `json:"mm,omitempty"` // maximum number of long-running tasks that are unavailable at once
 }
 
 // Submission is a job as accepted, with the queue's priority, attempts and targets
@@ -72,14 +72,14 @@
 	MaxAttempts int     `json:"a"`           // number of failed runs of a task that fails its job
 	Stretch     float64 `json:"x"`           // completion objective as a multiple of the critical path
 	TargetMS    int64   `json:"l"`           // added to the completion objective
-	Advised     bool    `json:"v,omitempty"` // an external service advises which workers may run a step
+	NeedsAdvice bool    `json:"v,omitempty"` // an external service advises which workers may run a step
 }
 
-// Runs returns how often the steps run.
-func (s *Submission) Runs() int { return max(1, s.Occurrences) }
+// OccurrenceCount returns how often the steps run.
+func (s *Submission) OccurrenceCount() int { return max(1, s.Occurrences) }
 
-// TasksOfRun returns the number of tasks in one occurrence.
-func (s *Submission) TasksOfRun() int {
+// TasksPerOccurrence returns the number of tasks in one occurrence.
+func (s *Submission) TasksPerOccurrence() int {
 	total := 0
 	for index := range s.Steps {
 		total += s.Steps[index].Tasks
@@ -87,9 +87,9 @@
 	return total
 }
 
-// MaxTasks is the maximum number of tasks of a job over all occurrences. It bounds
+// MaxTasksPerJob is the maximum number of tasks of a job over all occurrences. It bounds
 // the size of the progress, which is a single record.
-const MaxTasks = 3000
+const MaxTasksPerJob = 3000
 
 // validate returns an error if the record is not a valid submission of the job, since
 // other writers may append to the same stream.
@@ -97,7 +97,7 @@
 	if s.ID != id {
 		return eris.Errorf("submission of %q under %q", s.ID, id)
 	}
-	if len(s.Steps) == 0 || s.Occurrences < 0 || s.Occurrences > MaxTasks {
+	if len(s.Steps) == 0 || s.Occurrences < 0 || s.Occurrences > MaxTasksPerJob {
 		return eris.Errorf("submission of %s has no steps or an invalid number of occurrences", id)
 	}
 	tasks := 0
@@ -107,7 +107,7 @@
 		}
 		tasks += s.Steps[index].Tasks
 	}
-	if tasks*s.Runs() > MaxTasks {
+	if tasks*s.OccurrenceCount() > MaxTasksPerJob {
 		return eris.Errorf("submission of %s has more tasks than allowed", id)
 	}
 	return nil
@@ -119,7 +119,7 @@
 			return false
 		}
 	}
-	return s.Tasks >= 1 && s.Tasks <= MaxTasks && s.Need.MilliCores >= 0 && s.Need.MemoryMB >= 0 && s.Need.Accelerators >= 0
+	return s.Tasks >= 1 && s.Tasks <= MaxTasksPerJob && s.Need.MilliCores >= 0 && s.Need.MemoryMB >= 0 && s.Need.Accelerators >= 0
 }
 
 // TaskKey identifies a task.
--- a/jobs/jobs_test.go
+++ b/jobs/jobs_test.go
@@ -77,11 +77,11 @@
 func TestOlderTermIsIgnored(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
-	for offset, term := range []Term{{Epoch: 3, Holder: "x"}, {Epoch: 2, Holder: "y"}} {
+	for offset, term := range []Term{{Epoch: 3, Leader: "x"}, {Epoch: 2, Leader: "y"}} {
 		record, err := TermRecord(term)
 		mustApply(t, table, mustRecord(t, record, err), 0, int64(offset))
 	}
-	is.Equal(table.Term().Holder, "x")
+	is.Equal(table.Term().Leader, "x")
 }
 
 func TestDeletedJobsAreRemovedFromTheFold(t *testing.T) {
@@ -90,13 +90,13 @@
 	submission, err := SubmissionRecord(exampleSubmission("a"))
 	mustApply(t, table, mustRecord(t, submission, err), 1, 0)
 	mustApply(t, table, mustProgress(t, "a", &Progress{State: StateDone}), 0, 0)
-	for offset, record := range ForgetCallRecords("a") {
+	for offset, record := range DeleteCallerRecords("a") {
 		mustApply(t, table, record, 1, int64(offset+1))
 	}
-	mustApply(t, table, ForgetProgressRecord("a"), 0, 1)
+	mustApply(t, table, DeleteProgressRecord("a"), 0, 1)
 	is.True(table.Job("a") != nil) // a duplicate of the submission still finds the state
 	is.Equal(table.Job("a").State(), StateDone)
-	mustApply(t, table, ForgetStateRecord("a"), 2, 2)
+	mustApply(t, table, DeleteStateRecord("a"), 2, 2)
 	is.True(table.Job("a") == nil)
 }
 
@@ -114,7 +114,7 @@
 	mustApply(t, table, StateRecord("a", StateRunning), 0, 4) // older than the page of newest records
 	mustApply(t, table, CancelRecord("a"), 1, 1)
 	is.Equal(table.Job("a").State(), StateDone)
-	for offset, record := range ForgetCallRecords("a") {
+	for offset, record := range DeleteCallerRecords("a") {
 		mustApply(t, table, record, 1, int64(offset+2))
 	}
 	mustApply(t, table, mustRecord(t, submission, err), 1, 7)
@@ -159,7 +159,7 @@
 		table := NewTable()
 		if _, err := table.Apply(Record{Key: key, Value: value}, 0, 0); err == nil {
 			table.All()
-			table.Counts()
+			table.CountByState()
 		}
 		_, _ = DecodeProgress(value)
 	})
--- a/jobs/progress.go
+++ b/jobs/progress.go
@@ -56,11 +56,11 @@
 	State   State  `json:"-"`
 	Reason  string `json:"y,omitempty"` // reason of the failure
 	EndedMS int64  `json:"e,omitempty"` // Unix milliseconds of the final state
-	// TurnedMS is when a step with dependencies became ready, in Unix milliseconds; the
+	// ReadyMS is when a step with dependencies became ready, in Unix milliseconds; the
 	// latest such time if there are several steps. 0 if no such step is ready yet.
-	TurnedMS int64          `json:"u,omitempty"`
-	Done     Bits           `json:"d,omitempty"` // tasks that are done
-	Tasks    []TaskProgress `json:"t,omitempty"` // tasks that are not done and had a run placed
+	ReadyMS int64          `json:"u,omitempty"`
+	Done    Bits           `json:"d,omitempty"` // tasks that are done
+	Tasks   []TaskProgress `json:"t,omitempty"` // tasks that are not done and had a run placed
 }
 
 // progressRecord is the stored form of Progress. The incarnations of the tasks' workers
--- a/jobs/record.go
+++ b/jobs/record.go
@@ -30,7 +30,7 @@
 // Term names the leader. Its epoch fences the leader's orders and appends.
 type Term struct {
 	Epoch    int64  `json:"e"`
-	Holder   string `json:"h"`           // instance name and boot; empty after the term was handed over
+	Leader   string `json:"h"`           // instance name and boot; empty after the term was handed over
 	Renewals int64  `json:"n,omitempty"` // incremented by each renewal
 	Stalled  bool   `json:"s,omitempty"` // the leader cannot write progress
 }
@@ -68,33 +68,33 @@
 	return Record{Key: statePrefix + id, Value: []byte{stateLetter(state)}}
 }
 
-// MarkRecord returns the record that identifies a progress group by the epoch of the
+// GroupMarkRecord returns the record that identifies a progress group by the epoch of the
 // term and the group's number in it. A new leader writes it alone, so that the store
 // rejects the progress of previous leaders.
-func MarkRecord(epoch, number int64) Record {
+func GroupMarkRecord(epoch, number int64) Record {
 	return Record{Key: markKey, Value: fmt.Appendf(nil, "%d.%d", epoch, number)}
 }
 
-// CheckRecord returns a record without content, which an instance appends to check
+// ProbeRecord returns a record without content, which an instance appends to check
 // whether a part accepts appends.
-func CheckRecord() Record { return Record{Key: checkKey} }
+func ProbeRecord() Record { return Record{Key: checkKey} }
 
 // CancelRecord returns the record that cancels a job.
 func CancelRecord(id string) Record { return Record{Key: cancelPrefix + id, Value: []byte{'1'}} }
 
-// ForgetCallRecords returns the records that delete the submission and the
+// DeleteCallerRecords returns the records that delete the submission and the
 // cancellation of a job. They are appended to every part that holds such records,
-// before ForgetProgressRecord and ForgetStateRecord.
-func ForgetCallRecords(id string) []Record {
+// before DeleteProgressRecord and DeleteStateRecord.
+func DeleteCallerRecords(id string) []Record {
 	return []Record{{Key: submissionPrefix + id}, {Key: cancelPrefix + id}}
 }
 
-// ForgetProgressRecord returns the record that deletes a job's progress.
-func ForgetProgressRecord(id string) Record { return Record{Key: progressPrefix + id} }
+// DeleteProgressRecord returns the record that deletes a job's progress.
+func DeleteProgressRecord(id string) Record { return Record{Key: progressPrefix + id} }
 
-// ForgetStateRecord returns the record that deletes a job's state. It is appended
+// DeleteStateRecord returns the record that deletes a job's state. It is appended
 // last, so that a duplicate of the submission finds the final state until then.
-func ForgetStateRecord(id string) Record { return Record{Key: statePrefix + id} }
+func DeleteStateRecord(id string) Record { return Record{Key: statePrefix + id} }
 
 func encode(key string, value any) (Record, error) {
 	encoded, err := json.Marshal(value)
--- a/jobs/table.go
+++ b/jobs/table.go
@@ -11,9 +11,9 @@
 type Job struct {
 	Submission         *Submission // nil until the submission is read; other records may come first
 	Progress           []byte      // value of the newest progress record; nil before the first task is placed and on instances that do not read progress
-	Shown              State       // state in the newest state record; empty before the first
+	RecordedState      State       // state in the newest state record; empty before the first
 	Cancelled          bool        // a cancellation was read
-	Told               bool        // this instance reported the final state to a caller
+	FinalStateReported bool        // this instance reported the final state to a caller
 	Parts              uint64      // bit set of the stream's parts in which caller records of the job were read
 	progressNextOffset int64       // offset of Progress plus 1
 	stateNextOffset    int64       // offset of Shown plus 1
@@ -26,11 +26,11 @@
 	switch {
 	case j.progressState.Final():
 		return j.progressState
-	case j.Shown.Final():
-		return j.Shown
+	case j.RecordedState.Final():
+		return j.RecordedState
 	case j.Cancelled:
 		return StateCancelled
-	case j.progressState == StateRunning || j.Shown == StateRunning:
+	case j.progressState == StateRunning || j.RecordedState == StateRunning:
 		return StateRunning
 	}
 	return StateQueued
@@ -38,8 +38,8 @@
 
 // Change describes the effect of a record on the fold.
 type Change struct {
-	Job  string // ID of the changed job, or empty
-	Term bool   // the term changed or was renewed
+	JobID       string // ID of the changed job, or empty
+	TermChanged bool   // the term changed or was renewed
 }
 
 // Table is the fold of the work stream. It is not safe for concurrent use.
@@ -107,8 +107,8 @@
 	return list
 }
 
-// Counts returns the number of jobs by state.
-func (t *Table) Counts() map[State]int {
+// CountByState returns the number of jobs by state.
+func (t *Table) CountByState() map[State]int {
 	counts := map[State]int{}
 	for _, job := range t.jobs {
 		if job.Submission != nil {
@@ -118,8 +118,8 @@
 	return counts
 }
 
-// Waiting returns the number of a queue's jobs of which no task was placed.
-func (t *Table) Waiting(queue string) int {
+// QueuedCount returns the number of a queue's jobs of which no task was placed.
+func (t *Table) QueuedCount(queue string) int {
 	count := 0
 	for _, job := range t.jobs {
 		if job.Submission != nil && job.Submission.Queue.Name == queue && job.State() == StateQueued {
@@ -185,7 +185,7 @@
 		return Change{}, nil
 	}
 	t.term = *term
-	return Change{Term: true}, nil
+	return Change{TermChanged: true}, nil
 }
 
 func (t *Table) ensureJob(id string) *Job {
@@ -199,10 +199,10 @@
 
 func (t *Table) applySubmission(id string, record Record, part int) (Change, error) {
 	if len(record.Value) == 0 {
-		if job := t.jobs[id]; job != nil && job.Progress == nil && job.Shown == "" {
+		if job := t.jobs[id]; job != nil && job.Progress == nil && job.RecordedState == "" {
 			delete(t.jobs, id)
 		}
-		return Change{Job: id}, nil
+		return Change{JobID: id}, nil
 	}
 	if job := t.jobs[id]; job != nil && job.Submission != nil {
 		job.Parts |= 1 << part
@@ -218,7 +218,7 @@
 	job := t.ensureJob(id)
 	job.Submission = submission
 	job.Parts |= 1 << part
-	return Change{Job: id}, nil
+	return Change{JobID: id}, nil
 }
 
 func (t *Table) applyCancel(id string, record Record, part int) Change {
@@ -228,7 +228,7 @@
 	job := t.ensureJob(id)
 	job.Parts |= 1 << part
 	job.Cancelled = true
-	return Change{Job: id}
+	return Change{JobID: id}
 }
 
 func (t *Table) applyProgress(id string, record Record, offset int64) (Change, error) {
@@ -246,7 +246,7 @@
 	job.Progress = record.Value
 	job.progressState = state
 	job.progressNextOffset = offset + 1
-	return Change{Job: id}, nil
+	return Change{JobID: id}, nil
 }
 
 func (t *Table) applyState(id string, record Record, offset int64) (Change, error) {
@@ -255,17 +255,17 @@
 	}
 	if len(record.Value) == 0 {
 		delete(t.jobs, id)
-		return Change{Job: id}, nil
+		return Change{JobID: id}, nil
 	}
 	state, err := decodeState(record.Value)
 	if err != nil {
 		return Change{}, err
 	}
 	job := t.ensureJob(id)
-	job.Shown = state
+	job.RecordedState = state
 	job.stateNextOffset = offset + 1
-	return Change{Job: id}, nil
+	return Change{JobID: id}, nil
 }
 
-// Mark returns the value of the newest mark of a progress group.
-func (t *Table) Mark() string { return t.groupMark }
+// GroupMark returns the value of the newest mark of a progress group.
+func (t *Table) GroupMark() string { return t.groupMark }
--- a/placing/advice.go
+++ b/placing/advice.go
@@ -47,7 +47,7 @@
 // hasValidTicket reports whether the policy of the unit's queue permits a node to run it
 // now. It is true for queues without advice.
 func (u *unit) hasValidTicket(node *node) bool {
-	if !u.job.queue.Advised {
+	if !u.job.queue.NeedsAdvice {
 		return true
 	}
 	advice := u.step.advice
@@ -57,7 +57,7 @@
 // hasAnyTicket reports whether the policy of the unit's queue permits a node to run it by
 // any answer so far; the ticket may have expired.
 func (u *unit) hasAnyTicket(node *node) bool {
-	if !u.job.queue.Advised {
+	if !u.job.queue.NeedsAdvice {
 		return true
 	}
 	advice := u.step.advice
@@ -66,13 +66,13 @@
 
 // forbiddenOn reports whether the policy of the unit's queue never permits a node to run it.
 func (u *unit) forbiddenOn(node *node) bool {
-	return u.job.queue.Advised && u.step.advice != nil && u.step.advice.forbidden[node.entry.ID]
+	return u.job.queue.NeedsAdvice && u.step.advice != nil && u.step.advice.forbidden[node.entry.ID]
 }
 
 // queueForAdvice adds a unit that is not placed, or not completely, to the candidates of
 // the next advice request.
 func (e *Engine) queueForAdvice(unit *unit) {
-	if unit.job.queue.Advised {
+	if unit.job.queue.NeedsAdvice {
 		e.adviceQueue = append(e.adviceQueue, unit)
 	}
 }
--- a/placing/advice_order_test.go
+++ b/placing/advice_order_test.go
@@ -69,7 +69,7 @@
 	step := testStep(tasks, 8)
 	step.Gang = gang
 	job := testJob(id, 1, step)
-	job.Queue.Advised = true
+	job.Queue.NeedsAdvice = true
 	a.cluster.submit(job)
 }
 
--- a/placing/advice_test.go
+++ b/placing/advice_test.go
@@ -32,7 +32,7 @@
 	is := is.New(t)
 	c := newCluster(1)
 	job := testJob(hexID(1), 1, testStep(3, 8))
-	job.Queue.Advised = true
+	job.Queue.NeedsAdvice = true
 	c.submit(job)
 	plan := c.step()
 	is.Equal(len(plan.Starts), 0)
@@ -56,7 +56,7 @@
 	is := is.New(t)
 	c := newCluster(1)
 	job := testJob(hexID(1), 1, testStep(1, 8))
-	job.Queue.Advised = true
+	job.Queue.NeedsAdvice = true
 	c.submit(job)
 	plan := c.step()
 	c.engine.Advised(*plan.Ask, false, nil, 0, c.now, c.now)
--- a/placing/capacity_search_test.go
+++ b/placing/capacity_search_test.go
@@ -16,7 +16,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(1)
 			spread := testStep(5, 1)
-			spread.Gang, spread.PerWorker = gang, 1
+			spread.Gang, spread.MaxPerWorker = gang, 1
 			c.submit(testJob(hexID(1), 0, spread))
 			decided := make(chan struct{})
 			go func() {
@@ -38,7 +38,7 @@
 	is := is.New(t)
 	s := newDelaySim(t, 1, 3)
 	step := testStep(3, 1)
-	step.Lasting, step.PerWorker = true, 1
+	step.LongRunning, step.MaxPerWorker = true, 1
 	job := s.submit(testJob(hexID(1), 0, step))
 	s.run(3 * time.Second)
 	is.Equal(s.countRunning(job, 0), 3)
--- a/placing/delay_advice_test.go
+++ b/placing/delay_advice_test.go
@@ -14,7 +14,7 @@
 	s := newDelaySim(t, 16, 6)
 	s.adviceLatency, s.ticketLifetime = 500*time.Millisecond, 1500*time.Millisecond
 	wide := wideGang(90, 4) // needs almost every worker
-	wide.PerWorker, wide.EstimateMS = 1, defaultRunTime.Milliseconds()
+	wide.MaxPerWorker, wide.EstimateMS = 1, defaultRunTime.Milliseconds()
 	s.submit(advisedJob(1, 1, wide))
 	s.run(time.Second)
 	long := testStep(1, 1)
--- a/placing/delay_cases_test.go
+++ b/placing/delay_cases_test.go
@@ -25,7 +25,7 @@
 			c := newCluster(3) // 12 workers
 			c.backOffAll()
 			step := testStep(7, 8)
-			step.Lasting = longRunning
+			step.LongRunning = longRunning
 			job := testJob(hexID(1), 1, step)
 			c.submit(job)
 			is.True(c.startsWithin(job.ID, overdueAfter))
@@ -196,7 +196,7 @@
 	s := newDelaySim(t, 4, 3)
 	s.run(time.Second)
 	step := testStep(3, 4)
-	step.PerWorker, step.RequiredLabel, step.EstimateMS = 1, "r1-1", defaultRunTime.Milliseconds()
+	step.MaxPerWorker, step.RequiredLabel, step.EstimateMS = 1, "r1-1", defaultRunTime.Milliseconds()
 	job := testJob(hexID(1), 1, step)
 	job.Queue.MaxAttempts = 5
 	s.submit(job)
@@ -236,7 +236,7 @@
 	s := newDelaySim(t, 8, 6)
 	s.run(time.Second)
 	full := testStep(24, 8)
-	full.PerWorker, full.Need.MilliCores = 1, 64000
+	full.MaxPerWorker, full.Need.MilliCores = 1, 64000
 	s.runTimes[hexID(2)] = time.Hour
 	s.submit(testJob(hexID(2), 1, full))
 	s.run(time.Second)
--- a/placing/delay_data_rack_test.go
+++ b/placing/delay_data_rack_test.go
@@ -135,7 +135,7 @@
 			s.run(time.Second)
 			s.termLength = termLength
 			step := dataRackStep(2, 1)
-			step.Lasting, step.EstimateMS = true, 0
+			step.LongRunning, step.EstimateMS = true, 0
 			job := s.submit(testJob(hexID(1), 1, step))
 			is.True(s.waitForStart(job, 0) <= maxIdleDelay)
 		})
--- a/placing/delay_failed_task_test.go
+++ b/placing/delay_failed_task_test.go
@@ -44,7 +44,7 @@
 	s := newDelaySim(t, 2, 6)
 	s.run(time.Second)
 	step := wideGang(6, 4)
-	step.PerWorker, step.RequiredLabel = 1, "r1-1"
+	step.MaxPerWorker, step.RequiredLabel = 1, "r1-1"
 	job := testJob(hexID(1), 1, step)
 	s.submitFailingOnce(job)
 	is.True(s.waitForStart(job.ID, 0) <= maxIdleDelay)
--- a/placing/delay_headroom_test.go
+++ b/placing/delay_headroom_test.go
@@ -77,7 +77,7 @@
 				s.run(time.Second)
 				s.termLength, s.termStart = termLength, s.now
 				step := testStep(2, 1)
-				step.Lasting, step.EstimateMS = true, estimate.Milliseconds()
+				step.LongRunning, step.EstimateMS = true, estimate.Milliseconds()
 				job := s.submit(testJob(hexID(1), 1, step))
 				is.True(s.waitForStart(job, 0) <= maxIdleDelay)
 			})
--- a/placing/delay_sim_test.go
+++ b/placing/delay_sim_test.go
@@ -136,7 +136,7 @@
 		case stopped && s.now.Sub(stop) >= s.stopDelay:
 			how = EndStopped
 			delete(s.stopSentAt, key)
-		case s.percentDone(key, run) < 100 || s.stepOf(key).Lasting:
+		case s.percentDone(key, run) < 100 || s.stepOf(key).LongRunning:
 			continue
 		case s.failures[key.Job] > 0:
 			s.failures[key.Job]--
@@ -157,7 +157,7 @@
 	if runTime == 0 {
 		runTime = defaultRunTime
 	}
-	if s.stepOf(key).Lasting {
+	if s.stepOf(key).LongRunning {
 		return 100
 	}
 	return min(100, int(100*s.now.Sub(run.startedAt)/runTime))
@@ -299,13 +299,13 @@
 	start := s.now
 	spec := &s.jobs[id].Steps[step]
 	wanted := 1
-	if spec.Lasting {
+	if spec.LongRunning {
 		wanted = spec.Tasks
 	}
 	_, usedPercent := s.poolUsage(id, step)
 	for s.countRunning(id, step) < wanted && s.now.Sub(start) < delaySimTimeout {
 		var fitsTwice bool
-		if fitsTwice, usedPercent = s.poolUsage(id, step); !fitsTwice || usedPercent >= 50 && !spec.Lasting {
+		if fitsTwice, usedPercent = s.poolUsage(id, step); !fitsTwice || usedPercent >= 50 && !spec.LongRunning {
 			s.t.Fatalf("the test setup is wrong: fits twice %t, %d percent in use", fitsTwice, usedPercent)
 		}
 		s.tick()
--- a/placing/delay_similar_step_test.go
+++ b/placing/delay_similar_step_test.go
@@ -12,7 +12,7 @@
 
 func advisedJob(number, priority int, step jobs.Step) *jobs.Submission {
 	job := testJob(hexID(number), priority, step)
-	job.Queue.Advised = true
+	job.Queue.NeedsAdvice = true
 	return job
 }
 
--- a/placing/delay_suspect_test.go
+++ b/placing/delay_suspect_test.go
@@ -24,7 +24,7 @@
 	s := newDelaySim(t, 2, 6)
 	s.run(time.Second)
 	suspects := testStep(12, 1)
-	suspects.PerWorker = 1
+	suspects.MaxPerWorker = 1
 	suspects.EstimateMS = defaultRunTime.Milliseconds()
 	job := testJob(hexID(2), 1, suspects)
 	s.submit(job)
--- a/placing/engine_test.go
+++ b/placing/engine_test.go
@@ -153,9 +153,9 @@
 	done, err := jobs.ProgressRecord(submission.ID, &jobs.Progress{State: jobs.StateDone})
 	is.NoErr(err)
 	for _, stored := range []*jobs.Job{
-		{Submission: submission, Progress: running.Value, Shown: jobs.StateDone},
-		{Submission: submission, Progress: done.Value, Shown: jobs.StateRunning},
-		{Submission: submission, Shown: jobs.StateDone},
+		{Submission: submission, Progress: running.Value, RecordedState: jobs.StateDone},
+		{Submission: submission, Progress: done.Value, RecordedState: jobs.StateRunning},
+		{Submission: submission, RecordedState: jobs.StateDone},
 	} {
 		e := testEngine(2)
 		e.Load([]*jobs.Job{stored}, FormerHandedOver, testStart)
@@ -167,7 +167,7 @@
 		is.Equal(len(plan.Starts), 0)
 		is.True(len(plan.Stops) > 0)
 		is.Equal(string(plan.Records[0].Value[:1]), "d")
-		is.Equal(len(plan.States) == 1, stored.Shown != jobs.StateDone)
+		is.Equal(len(plan.States) == 1, stored.RecordedState != jobs.StateDone)
 	}
 }
 
--- a/placing/fit.go
+++ b/placing/fit.go
@@ -26,7 +26,7 @@
 // count, as they use only what others leave.
 func (s *step) need() jobs.Resources {
 	need := s.spec.Need
-	if s.spec.Fills {
+	if s.spec.Filler {
 		need.MilliCores = 0
 	}
 	return need
@@ -53,8 +53,8 @@
 	count := quotient(free.Accelerators, need.Accelerators, limit)
 	count = quotient(free.MilliCores, need.MilliCores, count)
 	count = quotient(free.MemoryMB, need.MemoryMB, count)
-	if step.spec.PerWorker > 0 && count > 0 {
-		count = min(count, step.spec.PerWorker-node.countTasksOf(step))
+	if step.spec.MaxPerWorker > 0 && count > 0 {
+		count = min(count, step.spec.MaxPerWorker-node.countTasksOf(step))
 	}
 	return max(0, count)
 }
@@ -118,7 +118,7 @@
 // many tasks or fewer with the same key is not repeated, unless workers are ruled out for
 // this one step.
 func (v *view) fit(unit *unit, strict bool) []placement {
-	cacheable := unit.avoidWorker == "" && unit.step.spec.PerWorker == 0 && !unit.isolated && !unit.job.queue.Advised
+	cacheable := unit.avoidWorker == "" && unit.step.spec.MaxPerWorker == 0 && !unit.isolated && !unit.job.queue.NeedsAdvice
 	key := v.fitKeyOf(unit, strict)
 	tasks := 1
 	if unit.step.spec.Gang {
--- a/placing/headroom.go
+++ b/placing/headroom.go
@@ -230,5 +230,5 @@
 
 // yieldsHeadroom reports whether a unit must leave reserved headroom alone.
 func (v *view) yieldsHeadroom(unit *unit) bool {
-	return unit.deferrable && !unit.isolated && !unit.step.spec.Lasting && v.headroom[unit.step.class()] != nil
+	return unit.deferrable && !unit.isolated && !unit.step.spec.LongRunning && v.headroom[unit.step.class()] != nil
 }
--- a/placing/idle_test.go
+++ b/placing/idle_test.go
@@ -143,7 +143,7 @@
 	}
 	c := newCluster(1)
 	step := testStep(len(c.workerIDs)+1, 1)
-	step.PerWorker = 1
+	step.MaxPerWorker = 1
 	c.submit(testJob(hexID(1), 0, step))
 	c.steps(5)
 }
--- a/placing/job.go
+++ b/placing/job.go
@@ -112,7 +112,7 @@
 	}
 	job := &job{submission: submission, queue: queue, state: jobs.StateQueued, recordedState: jobs.StateQueued, acceptedAt: now.Add(-age)}
 	job.acceptedMS = nowMS - age.Milliseconds()
-	for index := range submission.Runs() {
+	for index := range submission.OccurrenceCount() {
 		job.occurrences = append(job.occurrences, newOccurrence(job, index))
 	}
 	return job
@@ -120,7 +120,7 @@
 
 func newOccurrence(job *job, number int) *occurrence {
 	submission := job.submission
-	occurrence := &occurrence{remainingTasks: submission.TasksOfRun()}
+	occurrence := &occurrence{remainingTasks: submission.TasksPerOccurrence()}
 	if submission.Occurrences > 0 {
 		occurrence.scheduledMS = submission.FirstAtMS + int64(number)*submission.PeriodMS
 	}
@@ -167,7 +167,7 @@
 	if j.state.Final() {
 		progress.EndedMS = j.endedMS
 	} else {
-		progress.TurnedMS = j.readyMS
+		progress.ReadyMS = j.readyMS
 		j.recordTasks(progress)
 	}
 	record, err := jobs.ProgressRecord(j.submission.ID, progress)
@@ -198,15 +198,15 @@
 // restoreJob restores a job from the log. A former leader may have written only its
 // progress or only its final state: then the other is written too.
 func (e *Engine) restoreJob(job *job, stored *jobs.Job, now time.Time) {
-	if stored.Shown != "" {
-		job.recordedState = stored.Shown
+	if stored.RecordedState != "" {
+		job.recordedState = stored.RecordedState
 	}
 	if stored.Progress != nil {
 		e.restoreProgress(job, stored.Progress)
 	}
-	if stored.Shown.Final() && !job.state.Final() {
+	if stored.RecordedState.Final() && !job.state.Final() {
 		// The former leader did not write its progress, or that was dropped.
-		e.finish(job, stored.Shown, "", now)
+		e.finish(job, stored.RecordedState, "", now)
 	}
 	if job.state != job.recordedState {
 		e.markDirty(job)
@@ -237,7 +237,7 @@
 		job.endedAt = job.acceptedAt.Add(time.Duration(progress.EndedMS-job.acceptedMS) * time.Millisecond)
 		return
 	}
-	job.readyMS = progress.TurnedMS
+	job.readyMS = progress.ReadyMS
 	tasks := job.allTasks()
 	for flat, task := range tasks {
 		if progress.Done.Has(flat) {
--- a/placing/long_running_test.go
+++ b/placing/long_running_test.go
@@ -11,7 +11,7 @@
 
 func longRunningStep(tasks int) jobs.Step {
 	step := testStep(tasks, 1)
-	step.Lasting = true
+	step.LongRunning = true
 	return step
 }
 
@@ -20,7 +20,7 @@
 	var rows []RunningTask
 	for _, run := range c.engine.nodes[id].runs {
 		row := RunningTask{Task: run.task.key, Run: run.number, Percent: 100}
-		if run.task.step.spec.ResponseTarget > 0 {
+		if run.task.step.spec.ResponseTargetMS > 0 {
 			row.Load = load
 		}
 		rows = append(rows, row)
@@ -62,8 +62,8 @@
 	is := is.New(t)
 	c := newCluster(1)
 	step := longRunningStep(2)
-	step.PerWorker = 1
-	step.MayMiss = 1
+	step.MaxPerWorker = 1
+	step.MaxUnavailable = 1
 	c.submit(testJob(hexID(1), 1, step))
 	c.steps(2)
 	for _, id := range c.workerIDs {
@@ -104,10 +104,10 @@
 	is := is.New(t)
 	c := newCluster(1)
 	serving := longRunningStep(1)
-	serving.ResponseTarget = 100
+	serving.ResponseTargetMS = 100
 	c.submit(testJob(hexID(1), 0, serving))
 	filler := testStep(3, 1)
-	filler.Fills = true
+	filler.Filler = true
 	c.submit(testJob(hexID(2), 2, filler))
 	c.steps(2)
 	worker := c.engine.jobs[hexID(1)].allTasks()[0].run.node.entry.ID
--- a/placing/loss.go
+++ b/placing/loss.go
@@ -174,7 +174,7 @@
 		return
 	}
 	losses.early = 0
-	if worked >= longRunningProof && run.task.step.spec.Lasting {
+	if worked >= longRunningProof && run.task.step.spec.LongRunning {
 		losses.total = 0
 	}
 	if losses != run.task.losses {
--- a/placing/node.go
+++ b/placing/node.go
@@ -61,7 +61,7 @@
 // they use only what others leave.
 func (r *run) need() jobs.Resources {
 	need := r.task.step.spec.Need
-	if r.task.step.spec.Fills {
+	if r.task.step.spec.Filler {
 		need.MilliCores = 0
 	}
 	return need
--- a/placing/pace.go
+++ b/placing/pace.go
@@ -82,7 +82,7 @@
 	n.paceControl.observeRatio(ratio, now)
 	percent := n.paceControl.allowedPercent()
 	for _, run := range n.runs {
-		if !run.task.step.spec.Fills || run.phase != phaseRunning || run.currentPace() == percent || now.Sub(run.paceSentAt) < paceRetryInterval {
+		if !run.task.step.spec.Filler || run.phase != phaseRunning || run.currentPace() == percent || now.Sub(run.paceSentAt) < paceRetryInterval {
 			continue
 		}
 		run.paceSentAt = now
@@ -99,9 +99,9 @@
 			continue
 		}
 		spec := run.task.step.spec
-		hasFiller = hasFiller || spec.Fills
-		if spec.ResponseTarget > 0 {
-			ratio = max(ratio, float64(row.Load)/float64(spec.ResponseTarget))
+		hasFiller = hasFiller || spec.Filler
+		if spec.ResponseTargetMS > 0 {
+			ratio = max(ratio, float64(row.Load)/float64(spec.ResponseTargetMS))
 		}
 	}
 	return ratio, hasFiller
--- a/placing/preempt.go
+++ b/placing/preempt.go
@@ -223,7 +223,7 @@
 func (s *victimSearch) planOneMore(node *node) *preemptionPlan {
 	need := s.unit.step.need()
 	fitting := s.view.capacityFor(node, s.unit.step, need, len(s.unit.tasks))
-	if limit := s.unit.step.spec.PerWorker; limit > 0 && node.countTasksOf(s.unit.step)+fitting >= limit {
+	if limit := s.unit.step.spec.MaxPerWorker; limit > 0 && node.countTasksOf(s.unit.step)+fitting >= limit {
 		return nil
 	}
 	free := s.view.free[node.at]
@@ -301,7 +301,7 @@
 	job := r.task.step.job
 	lowerPriority := job.queue.Priority > unit.job.queue.Priority
 	overGuarantee := job.queue.Priority == 0 && unit.overGuarantee[job.submission.Workspace]
-	return (lowerPriority || overGuarantee) && !r.task.step.spec.Lasting && r.stopSentAt.IsZero() && r.task.run == r
+	return (lowerPriority || overGuarantee) && !r.task.step.spec.LongRunning && r.stopSentAt.IsZero() && r.task.run == r
 }
 
 func gangVictim(step *step, now time.Time) victim {
--- a/placing/rack_delay.go
+++ b/placing/rack_delay.go
@@ -74,7 +74,7 @@
 // Units of the same kind share the counts of a pass.
 func (e *Engine) rackFitCounts(unit *unit, view *view, now time.Time) map[string]int {
 	key := view.fitKeyOf(unit, true)
-	cacheable := unit.step.spec.PerWorker == 0 && !unit.job.queue.Advised
+	cacheable := unit.step.spec.MaxPerWorker == 0 && !unit.job.queue.NeedsAdvice
 	if n := view.rackFitCounts[key]; n != nil && cacheable {
 		return n
 	}
@@ -126,7 +126,7 @@
 func (u *unit) fitCountOn(n *node) int {
 	free := n.entry.Capacity
 	for _, run := range n.runs {
-		if run.task.step.spec.Lasting && run.stopSentAt.IsZero() {
+		if run.task.step.spec.LongRunning && run.stopSentAt.IsZero() {
 			free = free.Sub(run.need())
 		}
 	}
@@ -134,8 +134,8 @@
 	count := quotient(free.Accelerators, need.Accelerators, math.MaxInt32)
 	count = quotient(free.MilliCores, need.MilliCores, count)
 	count = quotient(free.MemoryMB, need.MemoryMB, count)
-	if u.step.spec.PerWorker > 0 {
-		count = min(count, u.step.spec.PerWorker-n.countTasksOf(u.step))
+	if u.step.spec.MaxPerWorker > 0 {
+		count = min(count, u.step.spec.MaxPerWorker-n.countTasksOf(u.step))
 	}
 	return max(0, count)
 }
--- a/placing/report.go
+++ b/placing/report.go
@@ -204,7 +204,7 @@
 		return
 	}
 	task.lastEndedRun = end.Run
-	if task.step.spec.Lasting && end.How == EndFailed {
+	if task.step.spec.LongRunning && end.How == EndFailed {
 		task.longRunningEnded(run, now)
 	}
 	if end.Checkpoint != "" {
@@ -219,7 +219,7 @@
 }
 
 func (e *Engine) taskDone(job *job, task *task, now time.Time) {
-	if task.step.spec.Lasting {
+	if task.step.spec.LongRunning {
 		return
 	}
 	if task.step.spec.Gang {
@@ -241,7 +241,7 @@
 // taskFailed counts an attempt. A gang's attempt counts once, however many of its members
 // report the failure.
 func (e *Engine) taskFailed(job *job, task *task, end EndedTask, now time.Time) {
-	if task.step.spec.Lasting {
+	if task.step.spec.LongRunning {
 		return
 	}
 	if task.step.spec.Gang {
--- a/placing/runs.go
+++ b/placing/runs.go
@@ -99,7 +99,7 @@
 	run.startedAt = now
 	run.percentAt = now
 	run.task.capacitySince = time.Time{}
-	if !run.task.step.spec.Lasting {
+	if !run.task.step.spec.LongRunning {
 		run.task.startBackoff = startBackoff{}
 	}
 }
--- a/placing/sim_idle_test.go
+++ b/placing/sim_idle_test.go
@@ -167,7 +167,7 @@
 			continue
 		}
 		switch {
-		case spec.Lasting:
+		case spec.LongRunning:
 			list = append(list, f.waitingLongRunning(key, spec)...)
 		case spec.Gang && !f.runningSteps[key], !spec.Gang && !f.runningJobs[key.Job]:
 			list = append(list, waitingUnit{step: key, index: -1})
@@ -278,7 +278,7 @@
 		}
 	}
 	count := 0
-	for free.Fits(spec.Need) && count < 2*spec.Tasks && (spec.PerWorker == 0 || running+count < spec.PerWorker) {
+	for free.Fits(spec.Need) && count < 2*spec.Tasks && (spec.MaxPerWorker == 0 || running+count < spec.MaxPerWorker) {
 		free = free.Sub(spec.Need)
 		count++
 	}
--- a/placing/sim_mixed_test.go
+++ b/placing/sim_mixed_test.go
@@ -65,7 +65,7 @@
 		}
 		s.profiles[jobs.TaskKey{Job: id, Step: i}] = profile
 		steps = append(steps, step)
-		if step.Lasting {
+		if step.LongRunning {
 			break
 		}
 	}
@@ -97,17 +97,17 @@
 		step.RequiredLabel = soleLabel
 		step.Tasks = 1
 	case !step.Gang && chance(15):
-		step.Lasting, profile.longRunning, profile.runTime = true, true, time.Hour
+		step.LongRunning, profile.longRunning, profile.runTime = true, true, time.Hour
 		profile.failPercent /= 4
 		step.Tasks = min(3, step.Tasks)
 	case chance(10):
-		step.PerWorker = 1 + s.rng.IntN(2)
+		step.MaxPerWorker = 1 + s.rng.IntN(2)
 	}
 	if step.Gang {
 		step.OneRack = chance(60)
 		slots := 8 / max(1, int(accelerators))
-		if step.PerWorker > 0 {
-			slots = min(slots, step.PerWorker)
+		if step.MaxPerWorker > 0 {
+			slots = min(slots, step.MaxPerWorker)
 		}
 		step.Tasks = 1 + s.rng.IntN(max(1, slots*workerCount*45/100))
 	}
@@ -184,7 +184,7 @@
 
 func (s *simulation) cancelLongRunning() {
 	for _, job := range s.jobs {
-		if job.Steps[len(job.Steps)-1].Lasting {
+		if job.Steps[len(job.Steps)-1].LongRunning {
 			s.appendRecords([]jobs.Record{jobs.CancelRecord(job.ID)})
 			s.leader.engine.Learn(s.table.Job(job.ID), s.now)
 		}
--- a/placing/speed.go
+++ b/placing/speed.go
@@ -98,7 +98,7 @@
 // it with that of its siblings.
 func (e *Engine) compareSpeed(run *run, now time.Time) {
 	step := run.task.step
-	if run.speedCompared || run.resumed || run.throttled || step.spec.Gang || step.spec.Lasting || step.spec.Fills || run.startedAt.IsZero() {
+	if run.speedCompared || run.resumed || run.throttled || step.spec.Gang || step.spec.LongRunning || step.spec.Filler || run.startedAt.IsZero() {
 		return
 	}
 	elapsed := now.Sub(run.startedAt)
--- a/placing/speed_test.go
+++ b/placing/speed_test.go
@@ -27,7 +27,7 @@
 // their speeds, with reports at different times. The run times of tasks differ slightly.
 func mixedFleet(is *is.I, speedOf func(number int) float64) (e *Engine, now time.Time) {
 	step := testStep(2*speedWorkers, 1)
-	step.PerWorker = 2
+	step.MaxPerWorker = 2
 	e = testEngine(1)
 	e.Load([]*jobs.Job{{Submission: testJob("0000000000000001", 2, step)}}, FormerHandedOver, testStart)
 	e.Complete()
--- a/placing/stall.go
+++ b/placing/stall.go
@@ -86,7 +86,7 @@
 // once if it cannot finish in time and saves no checkpoints, otherwise as late as possible.
 func (e *Engine) mustStopBeforeLeave(run *run, now time.Time) bool {
 	left := run.node.leaveAt.Sub(now)
-	if run.task.step.spec.Lasting {
+	if run.task.step.spec.LongRunning {
 		return run.task.step.disruptionAllowed(run) || left < e.limits.StopWithin+leaveMargin
 	}
 	if e.remainingTime(run, now) <= left {
@@ -107,7 +107,7 @@
 			unavailable++
 		}
 	}
-	return unavailable < max(1, s.spec.MayMiss)
+	return unavailable < max(1, s.spec.MaxUnavailable)
 }
 
 // remainingTime estimates the remaining duration of a run from its progress so far.
@@ -123,7 +123,7 @@
 // stalled reports whether the reports of a worker show a run without progress. The time
 // since the newest report does not count, as progress in it is unknown.
 func (e *Engine) stalled(run *run, now time.Time) bool {
-	if run.task.step.spec.Lasting || run.task.step.spec.Fills || !run.seen {
+	if run.task.step.spec.LongRunning || run.task.step.spec.Filler || !run.seen {
 		return false
 	}
 	expected := e.expectedRuntime(run.task.step.job, run.task.key.Step)
--- a/placing/stall_test.go
+++ b/placing/stall_test.go
@@ -97,7 +97,7 @@
 	is := is.New(t)
 	c := newCluster(1)
 	gang := gangStep(2, 4)
-	gang.PerWorker = 1
+	gang.MaxPerWorker = 1
 	c.submit(testJob(hexID(1), 1, gang))
 	c.steps(2)
 	c.submit(testJob(hexID(2), 2, testStep(1, 4)))
--- a/placing/start_delay.go
+++ b/placing/start_delay.go
@@ -138,7 +138,7 @@
 
 // expectedToRun reports whether users expect some of a unit's tasks to run: no task of its job
 // runs, or its tasks are long-running.
-func (u *unit) expectedToRun() bool { return u.step.spec.Lasting || !u.job.hasRunningTask() }
+func (u *unit) expectedToRun() bool { return u.step.spec.LongRunning || !u.job.hasRunningTask() }
 
 // hasRunningTask reports whether a task of the job runs on a worker that answers.
 func (j *job) hasRunningTask() bool {
@@ -190,7 +190,7 @@
 // poolIdle reports whether a unit's pool is idle; for long-running tasks every pool counts as
 // idle.
 func (c *delayCheck) poolIdle(unit *unit) bool {
-	return unit.step.spec.Lasting || c.shareInUse(unit.job.queue.Pool) < idlePoolUse
+	return unit.step.spec.LongRunning || c.shareInUse(unit.job.queue.Pool) < idlePoolUse
 }
 
 // shareInUse returns the share in use, in cores, of the present workers of a pool; 1 if none
@@ -226,7 +226,7 @@
 // fitCount returns how many tasks like those of a unit fit on workers that may run them.
 func (c *delayCheck) fitCount(unit *unit) int {
 	key := c.usable.fitKeyOf(unit, false)
-	cacheable := unit.step.spec.PerWorker == 0 && !unit.job.queue.Advised
+	cacheable := unit.step.spec.MaxPerWorker == 0 && !unit.job.queue.NeedsAdvice
 	if cached, ok := c.fitCounts[key]; ok && cacheable {
 		return cached
 	}
--- a/placing/urgent_test.go
+++ b/placing/urgent_test.go
@@ -154,7 +154,7 @@
 	c := newCluster(2)
 	for i := range 8 {
 		filler := testStep(7, 1)
-		filler.PerWorker = 7
+		filler.MaxPerWorker = 7
 		filler.Need.MilliCores = 9000 // no second job fits on the worker, so one accelerator stays free
 		c.submit(testJob(hexID(i+1), 2, filler))
 	}
