--- a/replay/setup.go
+++ b/replay/setup.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "settings are not INI")
 	}
-	parsed, faults := targets.FromFile(file, map[string]bool{sectionInventory: true})
+	parsed, faults := targets.ParseFile(file, map[string]bool{sectionInventory: true})
 	inventory, inventoryFaults := readInventory(file)
 	if faults = append(faults, inventoryFaults...); len(faults) > 0 {
 		return nil, &targets.FaultsError{Faults: faults}
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -105,7 +105,7 @@
 func (s targetsSink) Next() int64 {
 	s.replica.mu.Lock()
 	defer s.replica.mu.Unlock()
-	return s.replica.targets.Next
+	return s.replica.targets.NextOffset
 }
 
 // Gap implements logstream.Sink.
@@ -201,7 +201,7 @@
 func (r *Replica) foldProposal(offset int64, proposal *structs.Proposal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if offset != r.targets.Next {
+	if offset != r.targets.NextOffset {
 		return
 	}
 	decision := r.targets.Apply(proposal)
@@ -353,7 +353,7 @@
 func (r *Replica) Offsets() (ledgerNext, targetsNext int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ledger.NextOffset, r.targets.Next
+	return r.ledger.NextOffset, r.targets.NextOffset
 }
 
 // Snapshot returns a copy of the folded state.
@@ -362,7 +362,7 @@
 	defer r.mu.Unlock()
 	snapshot := &ledger.Snapshot{
 		AtMS:            atMS,
-		TargetsNext:     r.targets.Next,
+		TargetsNext:     r.targets.NextOffset,
 		TargetsVersion:  r.targets.Version,
 		TargetsDocument: r.targets.Document,
 		TargetsLastID:   r.targets.LastID,
@@ -380,7 +380,7 @@
 		r.ledger.Restore(snapshot)
 		r.ledgerGap = false
 	}
-	if snapshot.TargetsNext <= r.targets.Next {
+	if snapshot.TargetsNext <= r.targets.NextOffset {
 		return nil
 	}
 	r.targetsGap = false
--- a/targets/fold.go
+++ b/targets/fold.go
@@ -9,11 +9,11 @@
 // and its document is valid, so of two racing proposals one is refused. The version never goes
 // down.
 type Fold struct {
-	Next     int64    // offset of the next proposal to apply
-	Version  int64    // version in force; 0 before the first
-	Document string   // the document in force
-	LastID   string   // identifier of the last accepted proposal
-	Targets  *Targets // the parsed document
+	NextOffset int64    // offset of the next proposal to apply
+	Version    int64    // version in force; 0 before the first
+	Document   string   // the document in force
+	LastID     string   // identifier of the last accepted proposal
+	Targets    *Targets // the parsed document
 }
 
 // NewFold returns the state before the first proposal.
@@ -32,7 +32,7 @@
 // Apply applies the proposal at the next offset. A proposal that was appended twice because
 // its answer was lost is accepted once.
 func (f *Fold) Apply(proposal *structs.Proposal) Decision {
-	f.Next++
+	f.NextOffset++
 	if proposal.ID != "" && proposal.ID == f.LastID {
 		return Decision{Accepted: true, Version: f.Version}
 	}
@@ -52,13 +52,13 @@
 
 // Restore replaces the state by that of a snapshot, unless the snapshot is older.
 func (f *Fold) Restore(next, version int64, document, lastID string) error {
-	if version < f.Version || next < f.Next {
+	if version < f.Version || next < f.NextOffset {
 		return nil
 	}
 	parsed, err := Parse(document)
 	if err != nil {
 		return err
 	}
-	*f = Fold{Next: next, Version: version, Document: document, LastID: lastID, Targets: parsed}
+	*f = Fold{NextOffset: next, Version: version, Document: document, LastID: lastID, Targets: parsed}
 	return nil
 }
--- a/targets/targets.go
+++ b/targets/targets.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "targets document is not INI")
 	}
-	parsed, faults := FromFile(file, nil)
+	parsed, faults := ParseFile(file, nil)
 	if len(faults) > 0 {
 		return nil, &FaultsError{Faults: faults}
 	}
@@ -104,9 +104,9 @@
 	return ini.LoadOptions{AllowNonUniqueSections: true, KeyValueDelimiters: "="}
 }
 
-// FromFile reads the class, workspace and zone sections of a file. It ignores the sections in
+// ParseFile reads the class, workspace and zone sections of a file. It ignores the sections in
 // skip, which belong to other readers.
-func FromFile(file *ini.File, skip map[string]bool) (*Targets, []Fault) {
+func ParseFile(file *ini.File, skip map[string]bool) (*Targets, []Fault) {
 	r := &reader{targets: &Targets{Classes: map[string]Class{}, Workspaces: map[string]Workspace{}, Evacuated: map[string]bool{}}}
 	for _, section := range file.Sections() {
 		if skip[section.Name()] {
--- a/targets/targets_test.go
+++ b/targets/targets_test.go
@@ -83,12 +83,12 @@
 			},
 			"fold": func(t *rapid.T) {
 				fold := draw()
-				if int(fold.Next) == len(log) {
+				if int(fold.NextOffset) == len(log) {
 					return
 				}
 				before := fold.Version
-				proposal := log[fold.Next]
-				repeated := fold.Next > 0 && proposal.ID == log[fold.Next-1].ID
+				proposal := log[fold.NextOffset]
+				repeated := fold.NextOffset > 0 && proposal.ID == log[fold.NextOffset-1].ID
 				decision := fold.Apply(&proposal)
 				if decision.Accepted && proposal.Base != before && !repeated {
 					t.Fatalf("a proposal based on version %d was accepted at version %d", proposal.Base, before)
@@ -102,7 +102,7 @@
 				fold := draw()
 				before := fold.Version
 				from := rapid.SampledFrom(snapshots).Draw(t, "snapshot")
-				if err := fold.Restore(from.Next, from.Version, from.Document, from.LastID); err != nil {
+				if err := fold.Restore(from.NextOffset, from.Version, from.Document, from.LastID); err != nil {
 					t.Fatal(err)
 				}
 				if fold.Version < before {
@@ -113,15 +113,15 @@
 				fold := draw()
 				from := rapid.SampledFrom(snapshots).Draw(t, "snapshot")
 				*fold = *targets.NewFold()
-				if err := fold.Restore(from.Next, from.Version, from.Document, from.LastID); err != nil {
+				if err := fold.Restore(from.NextOffset, from.Version, from.Document, from.LastID); err != nil {
 					t.Fatal(err)
 				}
 			},
 			"": func(t *rapid.T) {
 				for _, a := range folds {
 					for _, b := range folds {
-						if a.Next == b.Next && (a.Version != b.Version || a.Document != b.Document) {
-							t.Fatalf("instances at offset %d have versions %d and %d", a.Next, a.Version, b.Version)
+						if a.NextOffset == b.NextOffset && (a.Version != b.Version || a.Document != b.Document) {
+							t.Fatalf("instances at offset %d have versions %d and %d", a.NextOffset, a.Version, b.Version)
 						}
 					}
 				}
