--- a/batch/shards.go
+++ b/batch/shards.go
@@ -40,7 +40,7 @@
 }
 
 func (d *dispatchers) updateSharing() {
-	shared := d.sharing.See(len(d.workers))
+	shared := d.sharing.Update(len(d.workers))
 	if shared == d.shared {
 		return
 	}
@@ -67,7 +67,7 @@
 		}
 		candidates = append(candidates, sharing.Instance{Name: name, Zone: instance.Zone, Weight: instance.CPUShare})
 	}
-	chosen := sharing.Wanted(counts, candidates)
+	chosen := sharing.SelectDelegates(counts, candidates)
 	missing := len(chosen) - len(d.opening)
 	for _, s := range d.sessions {
 		if !s.draining {
@@ -112,7 +112,7 @@
 	instances := d.leader.instance.registeredInstances()
 	for name, s := range d.sessions {
 		if !s.draining {
-			s.maxWorkers = sharing.Most(instances[name].CPUShare)
+			s.maxWorkers = sharing.MaxShardSize(instances[name].CPUShare)
 			delegates = append(delegates, sharing.Instance{Name: name, Zone: instances[name].Zone, Weight: instances[name].CPUShare})
 		}
 	}
@@ -131,7 +131,7 @@
 		avoid = w.avoidInstance
 	}
 	if w.state == assigned {
-		chosen := sharing.Choose(w.entry.Name, w.entry.Zone, avoid, delegates)
+		chosen := sharing.ChooseDelegate(w.entry.Name, w.entry.Zone, avoid, delegates)
 		if w.instance != chosen && !d.openingRecently(now) && !d.mayRemain(w, avoid) {
 			d.release(w)
 		}
@@ -143,7 +143,7 @@
 	} else if len(d.opening) > 0 && now.Sub(w.unassignedSince) < capacityWait {
 		return
 	}
-	d.assignTo(w, sharing.Choose(w.entry.Name, w.entry.Zone, avoid, delegates))
+	d.assignTo(w, sharing.ChooseDelegate(w.entry.Name, w.entry.Zone, avoid, delegates))
 }
 
 // awaitsSession reports whether a worker should wait for sessions that are being opened. With no
--- a/sharing/sharing.go
+++ b/sharing/sharing.go
@@ -44,9 +44,9 @@
 	on bool
 }
 
-// See updates the switch with the number of listed workers and returns whether delegates are
+// Update updates the switch with the number of listed workers and returns whether delegates are
 // used.
-func (s *Switch) See(workers int) bool {
+func (s *Switch) Update(workers int) bool {
 	switch {
 	case workers >= shardingMinWorkers:
 		s.on = true
@@ -56,10 +56,10 @@
 	return s.on
 }
 
-// Wanted selects the delegates, given the number of workers of each availability zone. Each
+// SelectDelegates selects the delegates, given the number of workers of each availability zone. Each
 // zone gets as many as its workers need, in an order of the instances that does not change
 // when others come or go. Workers of zones without instances are spread over all other zones.
-func Wanted(workers map[string]int, candidates []Instance) []string {
+func SelectDelegates(workers map[string]int, candidates []Instance) []string {
 	ranked := slices.Clone(candidates)
 	slices.SortFunc(ranked, func(a, b Instance) int {
 		return compareScores(score(b.Name, "", b.weight()), score(a.Name, "", a.weight()), a.Name, b.Name)
@@ -106,20 +106,20 @@
 	return delegates
 }
 
-// Most is the largest shard of a delegate with a given share of a core before some workers are
+// MaxShardSize is the largest shard of a delegate with a given share of a core before some workers are
 // moved: a quarter more than its capacity.
-func Most(weight float64) int {
+func MaxShardSize(weight float64) int {
 	return int(overloadFactor * capacity(Instance{Weight: weight}))
 }
 
 // capacity is the intended shard size of an instance.
 func capacity(instance Instance) float64 { return shardSize * instance.weight() / defaultWeight }
 
-// Choose returns the delegate for a worker, by weighted rendezvous hashing among the delegates
+// ChooseDelegate returns the delegate for a worker, by weighted rendezvous hashing among the delegates
 // of its availability zone, or all if there are none. A delegate that comes or goes moves its
 // own shard only. The instance named by avoid is chosen only if it is the only one. The result
 // is empty if there are no delegates.
-func Choose(worker, zone, avoid string, delegates []Instance) string {
+func ChooseDelegate(worker, zone, avoid string, delegates []Instance) string {
 	best, bestScore, bestSameZone := "", math.Inf(-1), false
 	for _, instance := range delegates {
 		if instance.Name == avoid && len(delegates) > 1 {
--- a/sharing/sharing_test.go
+++ b/sharing/sharing_test.go
@@ -32,16 +32,16 @@
 func TestSharingBeginsWhereOneInstanceIsNotEnough(t *testing.T) {
 	is := is.New(t)
 	var sharding Switch
-	is.True(!sharding.See(370))
-	is.True(sharding.See(shardingMinWorkers))
-	is.True(sharding.See(shardingStopWorkers))
-	is.True(!sharding.See(shardingStopWorkers - 1))
-	is.True(!sharding.See(shardingStopWorkers))
+	is.True(!sharding.Update(370))
+	is.True(sharding.Update(shardingMinWorkers))
+	is.True(sharding.Update(shardingStopWorkers))
+	is.True(!sharding.Update(shardingStopWorkers - 1))
+	is.True(!sharding.Update(shardingStopWorkers))
 }
 
 func TestSelectedDelegatesCoverEveryZone(t *testing.T) {
 	is := is.New(t)
-	delegates := Wanted(map[string]int{"z0": 750, "z1": 750, "z2": 750, "z3": 750}, instances(4, 75))
+	delegates := SelectDelegates(map[string]int{"z0": 750, "z1": 750, "z2": 750, "z3": 750}, instances(4, 75))
 	is.True(len(delegates) >= 3000/shardSize)
 	is.True(len(delegates) <= 3000/shardSize+4)
 	for zone := range 4 {
@@ -58,9 +58,9 @@
 // The loss of one of few delegates must not affect half of the workers.
 func TestAtLeastMinDelegatesAreSelected(t *testing.T) {
 	is := is.New(t)
-	is.True(len(Wanted(map[string]int{"z0": 130}, instances(2, 5))) >= minDelegates)
-	is.Equal(len(Wanted(map[string]int{"z0": 5000}, instances(1, 3))), 3) // all instances
-	is.Equal(len(Wanted(map[string]int{"elsewhere": 600}, instances(2, 20))), 5)
+	is.True(len(SelectDelegates(map[string]int{"z0": 130}, instances(2, 5))) >= minDelegates)
+	is.Equal(len(SelectDelegates(map[string]int{"z0": 5000}, instances(1, 3))), 3) // all instances
+	is.Equal(len(SelectDelegates(map[string]int{"elsewhere": 600}, instances(2, 20))), 5)
 }
 
 // Delegates with a smaller share of a core get fewer workers.
@@ -69,23 +69,23 @@
 	delegates := []Instance{{Name: "small", Weight: 0.2}, {Name: "large", Weight: 0.8}}
 	count := map[string]int{}
 	for number := range 2000 {
-		count[Choose(fmt.Sprintf("w%d", number), "", "", delegates)]++
+		count[ChooseDelegate(fmt.Sprintf("w%d", number), "", "", delegates)]++
 	}
 	is.True(count["large"] > 3*count["small"])
 	is.True(count["large"] < 5*count["small"])
-	is.True(Most(0.2) < Most(0.8))
+	is.True(MaxShardSize(0.2) < MaxShardSize(0.8))
 }
 
 func TestWorkerIsAssignedInItsZoneButNotToTheAvoidedInstance(t *testing.T) {
 	is := is.New(t)
 	delegates := instances(3, 4)
-	chosen := Choose("w1", "z1", "", delegates)
+	chosen := ChooseDelegate("w1", "z1", "", delegates)
 	is.Equal(chosen[:2], "z1")
-	second := Choose("w1", "z1", chosen, delegates)
+	second := ChooseDelegate("w1", "z1", chosen, delegates)
 	is.Equal(second[:2], "z1")
 	is.True(second != chosen)
-	is.Equal(Choose("w1", "z1", "only", []Instance{{Name: "only"}}), "only")
-	is.Equal(Choose("w1", "z1", "", nil), "")
+	is.Equal(ChooseDelegate("w1", "z1", "only", []Instance{{Name: "only"}}), "only")
+	is.Equal(ChooseDelegate("w1", "z1", "", nil), "")
 }
 
 // When an instance leaves, no worker moves between two others, and the order in which
@@ -98,7 +98,7 @@
 		slices.Reverse(remaining)
 		for number := range 50 {
 			worker, zone := fmt.Sprintf("w%d", number), fmt.Sprintf("z%d", number%5)
-			before, after := Choose(worker, zone, "", delegates), Choose(worker, zone, "", remaining)
+			before, after := ChooseDelegate(worker, zone, "", delegates), ChooseDelegate(worker, zone, "", remaining)
 			if before != removed && before != after {
 				t.Fatalf("%s moved from %s to %s when %s was removed", worker, before, after, removed)
 			}
@@ -111,6 +111,6 @@
 func BenchmarkChoose(b *testing.B) {
 	delegates := instances(10, 6)
 	for b.Loop() {
-		Choose("0123456789abcdef", "z3", "", delegates)
+		ChooseDelegate("0123456789abcdef", "z3", "", delegates)
 	}
 }
