--- a/instance/jobs.go
+++ b/instance/jobs.go
@@ -136,7 +136,7 @@
 	}
 	if workers := i.listedWorkerSpecs(); len(workers) > 0 {
 		spec := scheduler.JobSpec{Workspace: request.Workspace, Class: request.Class, Shape: request.Shape, Idempotent: class.Idempotent}
-		if problem := scheduler.Unholdable(workers, current, spec); problem != "" {
+		if problem := scheduler.UnschedulableReason(workers, current, spec); problem != "" {
 			return refuse(structs.ReasonImpossibleShape, 0, problem)
 		}
 	}
--- a/instance/placer.go
+++ b/instance/placer.go
@@ -155,7 +155,7 @@
 func (p *placer) adoptRun(entry *ledger.JobEntry, current *targets.Targets) {
 	p.trackedJobs[entry.Job.ID] = true
 	now := p.schedulerTime()
-	p.scheduler.Step(scheduler.Adopted{Job: jobSpec(entry, current), Run: entry.Run, Members: entry.Members, Started: scheduler.Time(entry.StartMS)}, now)
+	p.scheduler.Step(scheduler.RunAdopted{Job: jobSpec(entry, current), Run: entry.Run, Members: entry.Members, Started: scheduler.Time(entry.StartMS)}, now)
 	p.coordinator.Step(gangs.Adopt{Job: entry.Job.ID, Run: entry.Run, Members: entry.Members}, p.instance.now())
 }
 
@@ -173,8 +173,8 @@
 	submit := scheduler.Time(entry.Job.SubmitMS)
 	return scheduler.JobSpec{
 		ID: entry.Job.ID, Workspace: entry.Job.Key.Workspace, Class: entry.Job.Class, Shape: entry.Job.Shape,
-		Submit: submit, Deadline: submit + scheduler.Time(finishWithin.Milliseconds()),
-		Declared: scheduler.Time(entry.Job.DeclaredS) * scheduler.Second, Idempotent: entry.Job.Idempotent,
+		SubmitTime: submit, Deadline: submit + scheduler.Time(finishWithin.Milliseconds()),
+		DeclaredRunTime: scheduler.Time(entry.Job.DeclaredS) * scheduler.Second, Idempotent: entry.Job.Idempotent,
 	}
 }
 
@@ -235,7 +235,7 @@
 	switch {
 	case entry.Phase == ledger.JobEnded || entry.Cancelled:
 		if p.trackedJobs[id] {
-			p.stepScheduler(ctx, scheduler.Cancelled{Job: id})
+			p.stepScheduler(ctx, scheduler.JobCancelled{Job: id})
 		}
 		if entry.Phase == ledger.JobEnded {
 			delete(p.trackedJobs, id)
@@ -244,7 +244,7 @@
 		p.stepCoordinator(ctx, gangs.StartRead{Run: entry.Run, Valid: true})
 	case !p.trackedJobs[id]:
 		p.trackedJobs[id] = true
-		p.stepScheduler(ctx, scheduler.Submitted{Job: jobSpec(entry, current)})
+		p.stepScheduler(ctx, scheduler.JobSubmitted{Job: jobSpec(entry, current)})
 	}
 }
 
@@ -260,7 +260,7 @@
 	case scheduler.Place:
 		p.launchRun(ctx, a)
 	case scheduler.Preempt:
-		i.events.Add("run_preempted", a.Job, "", "for "+a.For)
+		i.events.Add("run_preempted", a.Job, "", "for "+a.ForJob)
 		p.stepCoordinator(ctx, gangs.StopRun{Run: a.Run, Checkpoint: true, Reason: structs.ReasonPreempted})
 	case scheduler.Abort:
 		p.stepCoordinator(ctx, gangs.StopRun{Run: a.Run, Reason: a.Reason})
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -85,7 +85,7 @@
 // nextTime returns the time of the next tick or end of a run, at most until+1.
 func (r *replayer) nextTime(until scheduler.Time) scheduler.Time {
 	tick := idleTick
-	if r.policy.Queued() > 0 {
+	if r.policy.QueueLength() > 0 {
 		tick = busyTick
 	}
 	next := (r.now/tick + 1) * tick
@@ -116,7 +116,7 @@
 // runToCompletion continues after the last event until nothing can change any more.
 func (r *replayer) runToCompletion() {
 	limit := r.now + maxDrainTime
-	for r.now < limit && (len(r.ends) > 0 || r.policy.Queued() > 0) {
+	for r.now < limit && (len(r.ends) > 0 || r.policy.QueueLength() > 0) {
 		if len(r.ends) == 0 || r.ends[0].at >= neverEnds {
 			limit = min(limit, r.now+10*scheduler.Minute) // the remaining runs never end
 		}
@@ -182,9 +182,9 @@
 		return
 	}
 	r.markGuaranteed(job)
-	r.stepPolicy(scheduler.Submitted{Job: scheduler.JobSpec{
-		ID: event.Job, Workspace: event.Workspace, Class: event.Class, Shape: event.Shape(), Submit: r.now, Deadline: job.deadline,
-		Declared: scheduler.Time(event.DeclaredS * 1000), Idempotent: class.Idempotent,
+	r.stepPolicy(scheduler.JobSubmitted{Job: scheduler.JobSpec{
+		ID: event.Job, Workspace: event.Workspace, Class: event.Class, Shape: event.Shape(), SubmitTime: r.now, Deadline: job.deadline,
+		DeclaredRunTime: scheduler.Time(event.DeclaredS * 1000), Idempotent: class.Idempotent,
 	}})
 }
 
@@ -225,7 +225,7 @@
 		return
 	}
 	wasQueued := job.phase == jobQueued
-	r.stepPolicy(scheduler.Cancelled{Job: id})
+	r.stepPolicy(scheduler.JobCancelled{Job: id})
 	if wasQueued || job.phase == jobQueued {
 		r.endJob(job, jobCancelled)
 	}
@@ -375,7 +375,7 @@
 }
 
 func (r *replayer) sampleFragmentation() {
-	free := r.policy.Free()
+	free := r.policy.FreeByRack()
 	for _, shape := range r.guaranteedShapes() {
 		if value, ok := r.setup.Inventory.fragmentation(free, shape); ok {
 			r.metrics.fragmentation = append(r.metrics.fragmentation, value)
--- a/replay/report.go
+++ b/replay/report.go
@@ -97,7 +97,7 @@
 			report.GuaranteeViolations++
 		}
 	}
-	report.Lost = max(queued-r.policy.Queued(), 0)
+	report.Lost = max(queued-r.policy.QueueLength(), 0)
 	report.Unfinished -= report.Lost
 	report.CompletionP50S = percentile(r.completionTimes(nil), 0.5)
 	report.CompletionP99S = percentile(r.completionTimes(nil), 0.99)
--- a/scheduler/adopt_test.go
+++ b/scheduler/adopt_test.go
@@ -43,9 +43,9 @@
 	for _, spec := range newWorkers(8, 4) {
 		members = append(members, structs.Member{Worker: spec.ID, Accelerators: 8})
 	}
-	s.Step(scheduler.Adopted{Job: newJobSpec("j0", "b", 8, 8), Run: "j0#1.1", Members: members}, 0)
+	s.Step(scheduler.RunAdopted{Job: newJobSpec("j0", "b", 8, 8), Run: "j0#1.1", Members: members}, 0)
 	for n := 1; n < 4; n++ {
-		is.Equal(len(placements(s.Step(scheduler.Submitted{Job: newJobSpec(fmt.Sprintf("j%d", n), "b", 8, 8)}, 1))), 0)
+		is.Equal(len(placements(s.Step(scheduler.JobSubmitted{Job: newJobSpec(fmt.Sprintf("j%d", n), "b", 8, 8)}, 1))), 0)
 	}
 	is.Equal(len(placements(s.Step(scheduler.RunEnded{Run: "j0#1.1", Result: scheduler.RunNotStarted}, 100))), 1)
 }
@@ -58,17 +58,17 @@
 		"b": {Name: "b", Guarantee: []structs.Shape{{Members: 1, Accelerators: 8, Adjacent: true}}}}}
 	s := scheduler.New(scheduler.Config{Workers: specs, Targets: guaranteed})
 	for _, id := range []string{"f1", "f2", "f3"} { // three jobs fail on w001, which quarantines it
-		run := placements(s.Step(scheduler.Submitted{Job: newJobSpec(id, "c", 1, 1)}, 0))[0].Run
+		run := placements(s.Step(scheduler.JobSubmitted{Job: newJobSpec(id, "c", 1, 1)}, 0))[0].Run
 		for _, retry := range placements(s.Step(scheduler.RunEnded{Run: run, Result: scheduler.RunFailed, Worker: "w001"}, 0)) {
-			s.Step(scheduler.Cancelled{Job: id}, 0)
+			s.Step(scheduler.JobCancelled{Job: id}, 0)
 			s.Step(scheduler.RunEnded{Run: retry.Run, Result: scheduler.RunAborted}, 0)
 		}
 	}
 	s.Step(scheduler.Tick{}, 3*scheduler.Minute) // the quarantine of w001 is over; it is on probation
-	s.Step(scheduler.Submitted{Job: newJobSpec("borrower", "c", 1, 4)}, 3*scheduler.Minute)
+	s.Step(scheduler.JobSubmitted{Job: newJobSpec("borrower", "c", 1, 4)}, 3*scheduler.Minute)
 	owner := newJobSpec("owner", "b", 1, 8)
-	owner.Declared = scheduler.Minute
-	for _, place := range placements(s.Step(scheduler.Submitted{Job: owner}, 3*scheduler.Minute)) {
-		is.True(!place.Inside || place.Members[0].Worker == "w000")
+	owner.DeclaredRunTime = scheduler.Minute
+	for _, place := range placements(s.Step(scheduler.JobSubmitted{Job: owner}, 3*scheduler.Minute)) {
+		is.True(!place.InGuarantee || place.Members[0].Worker == "w000")
 	}
 }
--- a/scheduler/baseline.go
+++ b/scheduler/baseline.go
@@ -41,9 +41,9 @@
 
 func (b *baseline) handle(event Event) []Action {
 	switch e := event.(type) {
-	case Submitted:
+	case JobSubmitted:
 		return b.handleSubmitted(e.Job)
-	case Cancelled:
+	case JobCancelled:
 		return b.handleCancelled(e.Job)
 	case RunEnded:
 		return b.handleRunEnded(e)
@@ -187,8 +187,8 @@
 	return Place{Job: j.spec.ID, Run: r.id, Members: members}
 }
 
-// Free implements Policy.
-func (b *baseline) Free() [][]int { return b.cluster.freeByRack() }
+// FreeByRack implements Policy.
+func (b *baseline) FreeByRack() [][]int { return b.cluster.freeByRack() }
 
-// Queued implements Policy.
-func (b *baseline) Queued() int { return len(b.waiting) }
+// QueueLength implements Policy.
+func (b *baseline) QueueLength() int { return len(b.waiting) }
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -46,7 +46,7 @@
 	total := s.workers * s.accelerators * 8 / 10
 	for n := 0; total > 0; n++ {
 		job := s.job(fmt.Sprintf("run%d", n), n, 1+n%4, 1)
-		if len(placements(sched.Step(scheduler.Submitted{Job: job}, 0))) == 0 {
+		if len(placements(sched.Step(scheduler.JobSubmitted{Job: job}, 0))) == 0 {
 			b.Fatal("a job of the initial load was not placed")
 		}
 		total -= job.Shape.Total()
@@ -57,7 +57,7 @@
 func (s size) job(id string, n, members, accelerators int) scheduler.JobSpec {
 	return scheduler.JobSpec{ID: id, Workspace: fmt.Sprintf("ws%d", n%s.workspaces), Class: "c",
 		Shape:    structs.Shape{Members: members, Accelerators: accelerators},
-		Deadline: 100 * 3600 * scheduler.Second, Declared: 3600 * scheduler.Second, Idempotent: true}
+		Deadline: 100 * 3600 * scheduler.Second, DeclaredRunTime: 3600 * scheduler.Second, Idempotent: true}
 }
 
 func BenchmarkPlace(b *testing.B) {
@@ -71,7 +71,7 @@
 				b.ReportAllocs()
 				b.ResetTimer()
 				for n := range b.N {
-					places := placements(sched.Step(scheduler.Submitted{Job: s.job(fmt.Sprintf("j%d", n), n, members, 1)}, 1))
+					places := placements(sched.Step(scheduler.JobSubmitted{Job: s.job(fmt.Sprintf("j%d", n), n, members, 1)}, 1))
 					if len(places) != 1 {
 						b.Fatal("the gang was not placed")
 					}
@@ -94,7 +94,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				sched.Step(scheduler.Submitted{Job: job}, 1)
+				sched.Step(scheduler.JobSubmitted{Job: job}, 1)
 			}
 		})
 	}
@@ -108,7 +108,7 @@
 			for n := range s.workspaces {
 				job := s.job(fmt.Sprintf("blocked%d", n), n, min(128, s.workers), s.accelerators)
 				job.Shape.Adjacent = s.perRack >= 128
-				sched.Step(scheduler.Submitted{Job: job}, 1)
+				sched.Step(scheduler.JobSubmitted{Job: job}, 1)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -127,11 +127,11 @@
 				sched := s.newLoaded(b)
 				for n := range 10000 {
 					job := s.job(fmt.Sprintf("q%d", n), n, min(128, s.workers), s.accelerators)
-					sched.Step(scheduler.Submitted{Job: job}, 1)
+					sched.Step(scheduler.JobSubmitted{Job: job}, 1)
 				}
 				b.StartTimer()
 				for n := range 10000 {
-					sched.Step(scheduler.Cancelled{Job: fmt.Sprintf("q%d", n)}, 1)
+					sched.Step(scheduler.JobCancelled{Job: fmt.Sprintf("q%d", n)}, 1)
 				}
 			}
 		})
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -46,8 +46,8 @@
 		e.histories[key] = h
 	}
 	h.runTimes = pushSample(h.runTimes, float64(runTime))
-	if job.spec.Declared > 0 {
-		h.ratios = pushSample(h.ratios, float64(runTime)/float64(job.spec.Declared))
+	if job.spec.DeclaredRunTime > 0 {
+		h.ratios = pushSample(h.ratios, float64(runTime)/float64(job.spec.DeclaredRunTime))
 	}
 	h.sorted = false
 }
@@ -93,8 +93,8 @@
 		return defaultEstimate(job)
 	}
 	h.sort()
-	if job.spec.Declared > 0 && len(h.sortedRatios) >= minSamples && spread(h.sortedRatios) < spread(h.sortedTimes) {
-		return Time(quantile(h.sortedRatios, q) * float64(job.spec.Declared))
+	if job.spec.DeclaredRunTime > 0 && len(h.sortedRatios) >= minSamples && spread(h.sortedRatios) < spread(h.sortedTimes) {
+		return Time(quantile(h.sortedRatios, q) * float64(job.spec.DeclaredRunTime))
 	}
 	return Time(quantile(h.sortedTimes, q))
 }
@@ -102,11 +102,11 @@
 // defaultEstimate is used until there are minSamples run times: the declared run time, but at
 // most half of the time that the target allows.
 func defaultEstimate(job *job) Time {
-	allowed := (job.spec.Deadline - job.spec.Submit) / 2
-	if job.spec.Declared <= 0 {
+	allowed := (job.spec.Deadline - job.spec.SubmitTime) / 2
+	if job.spec.DeclaredRunTime <= 0 {
 		return allowed
 	}
-	return min(job.spec.Declared, allowed)
+	return min(job.spec.DeclaredRunTime, allowed)
 }
 
 // remaining estimates the remaining time of a run.
--- a/scheduler/evacuation_test.go
+++ b/scheduler/evacuation_test.go
@@ -41,8 +41,8 @@
 	closed := &targets.Targets{Workspaces: guarantee, Evacuated: map[string]bool{"z0": true}}
 	s := scheduler.New(scheduler.Config{Workers: specs[:3], Targets: closed})
 	s.Step(scheduler.WorkerUp{Worker: specs[3]}, 0)
-	job := func(id string) scheduler.Submitted {
-		return scheduler.Submitted{Job: scheduler.JobSpec{ID: id, Workspace: "a", Class: "c", Deadline: 1000, Idempotent: true,
+	job := func(id string) scheduler.JobSubmitted {
+		return scheduler.JobSubmitted{Job: scheduler.JobSpec{ID: id, Workspace: "a", Class: "c", Deadline: 1000, Idempotent: true,
 			Shape: structs.Shape{Members: 2, Accelerators: 4, Adjacent: true}}}
 	}
 	is.Equal(countMembersByZone(s.Step(job("first"), 1), zoneOf), map[string]int{"z1": 2})
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -25,14 +25,14 @@
 
 // JobSpec describes a job as submitted.
 type JobSpec struct {
-	ID         string
-	Workspace  string
-	Class      string
-	Shape      structs.Shape
-	Submit     Time
-	Deadline   Time // submission plus the target of the class
-	Declared   Time // run time expected by the caller; 0 if none
-	Idempotent bool
+	ID              string
+	Workspace       string
+	Class           string
+	Shape           structs.Shape
+	SubmitTime      Time
+	Deadline        Time // submission plus the target of the class
+	DeclaredRunTime Time // run time expected by the caller; 0 if none
+	Idempotent      bool
 	// Pinned says that the job has started before and may not be repeated, so its runs are
 	// never preempted. For new jobs it follows from Idempotent.
 	Pinned bool
@@ -41,14 +41,14 @@
 // Event is an input of the scheduler.
 type Event interface{ isEvent() }
 
-// Submitted adds a job to the queue.
-type Submitted struct{ Job JobSpec }
+// JobSubmitted adds a job to the queue.
+type JobSubmitted struct{ Job JobSpec }
 
-// Cancelled cancels a job.
-type Cancelled struct{ Job string }
+// JobCancelled cancels a job.
+type JobCancelled struct{ Job string }
 
-// Adopted reports a run that an earlier scheduler started.
-type Adopted struct {
+// RunAdopted reports a run that an earlier scheduler started.
+type RunAdopted struct {
 	Job     JobSpec
 	Run     string
 	Members []structs.Member
@@ -100,9 +100,9 @@
 // Tick advances the time for decisions that depend on it alone.
 type Tick struct{}
 
-func (Submitted) isEvent()      {}
-func (Cancelled) isEvent()      {}
-func (Adopted) isEvent()        {}
+func (JobSubmitted) isEvent()   {}
+func (JobCancelled) isEvent()   {}
+func (RunAdopted) isEvent()     {}
 func (RunEnded) isEvent()       {}
 func (WorkerUp) isEvent()       {}
 func (WorkerDown) isEvent()     {}
@@ -116,18 +116,18 @@
 // Place starts a job on all of the given workers or on none. Inside says that the run is
 // within the guarantee of its workspace.
 type Place struct {
-	Job     string
-	Run     string
-	Members []structs.Member
-	Inside  bool
-	Resume  bool // resume from the last checkpoint
+	Job         string
+	Run         string
+	Members     []structs.Member
+	InGuarantee bool
+	Resume      bool // resume from the last checkpoint
 }
 
 // Preempt stops a run after a checkpoint. For is the job that it is preempted for.
 type Preempt struct {
-	Job string
-	Run string
-	For string
+	Job    string
+	Run    string
+	ForJob string
 }
 
 // Abort stops a run at once.
@@ -171,9 +171,9 @@
 	// Step applies an event and returns the actions, which the caller carries out in order.
 	// The time never goes back.
 	Step(event Event, now Time) []Action
-	// Free returns the free accelerators of each usable worker by rack, to measure
+	// FreeByRack returns the free accelerators of each usable worker by rack, to measure
 	// fragmentation. The result is valid until the next Step.
-	Free() [][]int
-	// Queued returns the number of queued jobs.
-	Queued() int
+	FreeByRack() [][]int
+	// QueueLength returns the number of queued jobs.
+	QueueLength() int
 }
--- a/scheduler/loss_test.go
+++ b/scheduler/loss_test.go
@@ -55,7 +55,7 @@
 // be placed again without end.
 func TestJobThatCrashesItsWorkersIsEnded(t *testing.T) {
 	l := newLossHarness(t, 8)
-	l.step(scheduler.Submitted{Job: newJobSpec("j", "b", 1, 8)})
+	l.step(scheduler.JobSubmitted{Job: newJobSpec("j", "b", 1, 8)})
 	for range 3 {
 		l.is.Equal(len(l.ends), 0)
 		l.loseRun("j", 5*scheduler.Second)
@@ -69,7 +69,7 @@
 // it and reset the count of early losses.
 func TestLateLossesEndNoJob(t *testing.T) {
 	l := newLossHarness(t, 8)
-	l.step(scheduler.Submitted{Job: newJobSpec("j", "b", 1, 8)})
+	l.step(scheduler.JobSubmitted{Job: newJobSpec("j", "b", 1, 8)})
 	for range 10 {
 		l.loseRun("j", 5*scheduler.Second)
 		l.loseRun("j", 5*scheduler.Second)
@@ -83,7 +83,7 @@
 func TestSimultaneousLossesEndNoJob(t *testing.T) {
 	l := newLossHarness(t, 8)
 	for n := range 8 {
-		l.step(scheduler.Submitted{Job: newJobSpec(fmt.Sprintf("j%d", n), "b", 1, 8)})
+		l.step(scheduler.JobSubmitted{Job: newJobSpec(fmt.Sprintf("j%d", n), "b", 1, 8)})
 	}
 	for range 6 {
 		for n := range 8 {
--- a/scheduler/model_checks_test.go
+++ b/scheduler/model_checks_test.go
@@ -16,17 +16,17 @@
 	guarantee := m.targets.Workspaces[name].Guarantee
 	for n := range m.seq {
 		if id := fmt.Sprintf("j%03d", n+1); m.jobs[id].Workspace == name {
-			m.step(scheduler.Cancelled{Job: id})
+			m.step(scheduler.JobCancelled{Job: id})
 		}
 	}
 	m.endStoppingRuns()
 	if len(guarantee) == 0 || !m.packable(m.guaranteeCapacity(), m.guaranteedShapes()) {
 		return
 	}
-	job := scheduler.JobSpec{ID: "probe", Workspace: name, Class: "probe", Shape: guarantee[0], Submit: m.now,
+	job := scheduler.JobSpec{ID: "probe", Workspace: name, Class: "probe", Shape: guarantee[0], SubmitTime: m.now,
 		Deadline: m.now + scheduler.Minute, Idempotent: true}
 	m.jobs[job.ID] = job
-	m.step(scheduler.Submitted{Job: job})
+	m.step(scheduler.JobSubmitted{Job: job})
 	m.endStoppingRuns()
 	for _, r := range m.runs {
 		if r.job.ID == job.ID {
@@ -39,7 +39,7 @@
 // checkFree compares the scheduler's free accelerators with the model's.
 func (m *model) checkFree() {
 	free := 0
-	for _, rack := range m.s.Free() {
+	for _, rack := range m.s.FreeByRack() {
 		for _, level := range rack {
 			free += level
 		}
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -136,7 +136,7 @@
 	if job.Shape.Adjacent && len(racks) > 1 {
 		m.t.Fatalf("adjacent job %s was placed on several racks", place.Job)
 	}
-	checked := !job.Idempotent && !place.Inside && m.capacityIsExact(job)
+	checked := !job.Idempotent && !place.InGuarantee && m.capacityIsExact(job)
 	fitted := checked && m.packable(m.guaranteeCapacity(), m.guaranteedShapes())
 	m.runs[place.Run] = &modelRun{job: job, members: place.Members}
 	if fitted && !m.packable(m.guaranteeCapacity(), m.guaranteedShapes()) {
@@ -181,12 +181,12 @@
 	m.seq++
 	job := scheduler.JobSpec{
 		ID: fmt.Sprintf("j%03d", m.seq), Workspace: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(m.t, "workspace"), Class: "c",
-		Shape: drawShape(m.t, "job"), Submit: m.now, Deadline: m.now + scheduler.Time(rapid.IntRange(1000, 4_000_000).Draw(m.t, "allowed")),
-		Declared: scheduler.Time(rapid.IntRange(0, 600_000).Draw(m.t, "declared")), Idempotent: rapid.IntRange(0, 3).Draw(m.t, "idempotent") > 0,
+		Shape: drawShape(m.t, "job"), SubmitTime: m.now, Deadline: m.now + scheduler.Time(rapid.IntRange(1000, 4_000_000).Draw(m.t, "allowed")),
+		DeclaredRunTime: scheduler.Time(rapid.IntRange(0, 600_000).Draw(m.t, "declared")), Idempotent: rapid.IntRange(0, 3).Draw(m.t, "idempotent") > 0,
 	}
 	job.Shape.Adjacent = rapid.Bool().Draw(m.t, "adjacent")
 	m.jobs[job.ID] = job
-	m.step(scheduler.Submitted{Job: job})
+	m.step(scheduler.JobSubmitted{Job: job})
 }
 
 // endRandomRun ends a run, with the result of the requested stop or a random one.
@@ -231,7 +231,7 @@
 	if queued {
 		m.ended[id] = true
 	}
-	m.step(scheduler.Cancelled{Job: id})
+	m.step(scheduler.JobCancelled{Job: id})
 }
 
 func (m *model) toggleWorker() {
--- a/scheduler/pass.go
+++ b/scheduler/pass.go
@@ -89,7 +89,7 @@
 	for _, n := range found.nodes {
 		members = append(members, structs.Member{Worker: n.spec.ID, Accelerators: r.accelerators})
 	}
-	return Place{Job: j.spec.ID, Run: r.id, Members: members, Inside: found.slot != nil, Resume: j.resume}
+	return Place{Job: j.spec.ID, Run: r.id, Members: members, InGuarantee: found.slot != nil, Resume: j.resume}
 }
 
 func (s *Scheduler) slotsFor(j *job, found placement) []*slot {
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -70,7 +70,7 @@
 	if s.missesTarget(j, now) {
 		return false
 	}
-	allowed := j.spec.Deadline - j.spec.Submit
+	allowed := j.spec.Deadline - j.spec.SubmitTime
 	return allowed <= urgentTarget || j.latestStart-now <= allowed/preemptSlackDivisor
 }
 
@@ -219,7 +219,7 @@
 			}
 			victim.stopping = true
 			victim.job.preemptions++
-			actions = append(actions, Preempt{Job: victim.job.spec.ID, Run: victim.id, For: j.spec.ID})
+			actions = append(actions, Preempt{Job: victim.job.spec.ID, Run: victim.id, ForJob: j.spec.ID})
 		}
 	}
 	s.reserve(&reservation{job: j, nodes: nodes, slot: sl, start: now, expires: now + firmReservationTimeout, firm: true})
@@ -229,7 +229,7 @@
 // preemptForGang stops smaller runs with enough slack for a large adjacent gang, which would
 // otherwise wait until a whole rack happens to be free.
 func (s *Scheduler) preemptForGang(j *job, now Time) []Action {
-	allowed := j.spec.Deadline - j.spec.Submit
+	allowed := j.spec.Deadline - j.spec.SubmitTime
 	if !j.spec.Shape.Adjacent || j.reservation != nil && j.reservation.firm || now-j.queuedSince < allowed/gangPreemptDivisor {
 		return nil
 	}
--- a/scheduler/reservation_test.go
+++ b/scheduler/reservation_test.go
@@ -13,12 +13,12 @@
 	for _, declared := range []scheduler.Time{5 * scheduler.Minute, 2 * 60 * scheduler.Minute, 8 * 60 * scheduler.Minute} {
 		h := newHarness(t, 4, 4)
 		blocking := newJobSpec("in the way", "a", 1, 8)
-		blocking.Declared = 10 * scheduler.Minute
+		blocking.DeclaredRunTime = 10 * scheduler.Minute
 		blocking.Idempotent = false
 		gang := newJobSpec("gang", "b", 4, 8)
 		gang.Shape.Adjacent = true
 		small := newJobSpec("small", "c", 1, 8)
-		small.Declared = declared
+		small.DeclaredRunTime = declared
 		for _, job := range []scheduler.JobSpec{blocking, gang, small} {
 			job.Class = job.ID
 			job.Deadline = 48 * 60 * scheduler.Minute
@@ -34,12 +34,12 @@
 func TestSoftReservationKeepsLongJobsOffItsWorkers(t *testing.T) {
 	h := newHarness(t, 4, 4)
 	blocking := newJobSpec("in the way", "a", 1, 8)
-	blocking.Declared = 10 * scheduler.Minute
+	blocking.DeclaredRunTime = 10 * scheduler.Minute
 	blocking.Idempotent = false
 	gang := newJobSpec("gang", "b", 4, 8)
 	gang.Shape.Adjacent = true
 	small := newJobSpec("small", "c", 1, 8)
-	small.Declared = 2 * 60 * scheduler.Minute
+	small.DeclaredRunTime = 2 * 60 * scheduler.Minute
 	for _, job := range []scheduler.JobSpec{blocking, gang, small} {
 		job.Class = job.ID
 		job.Deadline = 48 * 60 * scheduler.Minute
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -87,11 +87,11 @@
 
 func (s *Scheduler) handle(event Event, now Time) []Action {
 	switch e := event.(type) {
-	case Submitted:
+	case JobSubmitted:
 		s.handleSubmitted(e.Job, now)
-	case Cancelled:
+	case JobCancelled:
 		return s.handleCancelled(e.Job)
-	case Adopted:
+	case RunAdopted:
 		s.handleAdopted(e)
 	case RunEnded:
 		s.capacityChanged = true
@@ -148,7 +148,7 @@
 	}
 	rackTotal := s.cluster.racks[0].totalAccelerators()
 	gangTotal := min(Time(j.spec.Shape.Total()), rackTotal)
-	return (j.spec.Deadline - j.spec.Submit) * gangTotal / (rackTotal * orderBoostDivisor)
+	return (j.spec.Deadline - j.spec.SubmitTime) * gangTotal / (rackTotal * orderBoostDivisor)
 }
 
 // totalAccelerators is the number of accelerators of the rack, at least 1.
@@ -187,7 +187,7 @@
 
 // handleAdopted tracks a run that another instance started. Guarantees should be set after all
 // adoptions, so that the witness is laid out around the runs.
-func (s *Scheduler) handleAdopted(e Adopted) {
+func (s *Scheduler) handleAdopted(e RunAdopted) {
 	if _, exists := s.jobs[e.Job.ID]; exists {
 		return
 	}
@@ -317,8 +317,8 @@
 	return actions
 }
 
-// Free implements Policy.
-func (s *Scheduler) Free() [][]int { return s.cluster.freeByRack() }
+// FreeByRack implements Policy.
+func (s *Scheduler) FreeByRack() [][]int { return s.cluster.freeByRack() }
 
 func (c *cluster) freeByRack() [][]int {
 	free := make([][]int, 0, len(c.racks))
@@ -334,5 +334,5 @@
 	return free
 }
 
-// Queued implements Policy.
-func (s *Scheduler) Queued() int { return s.queue.size }
+// QueueLength implements Policy.
+func (s *Scheduler) QueueLength() int { return s.queue.size }
--- a/scheduler/suspect_test.go
+++ b/scheduler/suspect_test.go
@@ -44,9 +44,9 @@
 }
 
 func (h *harness) submit(job scheduler.JobSpec) {
-	job.Submit = h.now
+	job.SubmitTime = h.now
 	job.Deadline += h.now
-	h.step(scheduler.Submitted{Job: job})
+	h.step(scheduler.JobSubmitted{Job: job})
 }
 
 func (h *harness) endRun(job string, result scheduler.Result, worker string) {
@@ -58,7 +58,7 @@
 
 // cancelAndEnd cancels a job and ends its run, if it has one.
 func (h *harness) cancelAndEnd(job string) {
-	h.step(scheduler.Cancelled{Job: job})
+	h.step(scheduler.JobCancelled{Job: job})
 	if _, running := h.runs[job]; running {
 		h.endRun(job, scheduler.RunAborted, "")
 	}
@@ -194,7 +194,7 @@
 	all := newWorkers(4, 4)
 	h := &harness{is: is, s: scheduler.New(scheduler.Config{Workers: all[:3], Epoch: 2}), now: scheduler.Minute,
 		runs: map[string]scheduler.Place{}, ends: map[string]scheduler.End{}}
-	h.step(scheduler.Submitted{Job: gang}) // accepted a minute ago, while all four workers were listed
+	h.step(scheduler.JobSubmitted{Job: gang}) // accepted a minute ago, while all four workers were listed
 	is.Equal(h.ends, map[string]scheduler.End{})
 	h.step(scheduler.WorkerUp{Worker: all[3]})
 	is.True(h.startsOrEnds("gang", 3*scheduler.Second))
--- a/scheduler/unschedulable.go
+++ b/scheduler/unschedulable.go
@@ -65,8 +65,8 @@
 	return ""
 }
 
-// Unholdable returns the reason why empty workers cannot run a job beside the guarantees of
+// UnschedulableReason returns the reason why empty workers cannot run a job beside the guarantees of
 // other workspaces, or an empty string if they can.
-func Unholdable(workers []WorkerSpec, t *targets.Targets, job JobSpec) string {
+func UnschedulableReason(workers []WorkerSpec, t *targets.Targets, job JobSpec) string {
 	return New(Config{Workers: workers, Targets: t}).unschedulableReason(job)
 }
--- a/scheduler/unschedulable_test.go
+++ b/scheduler/unschedulable_test.go
@@ -26,7 +26,7 @@
 	h.is.True(h.startsOrEnds("gang", 3*scheduler.Second))
 	h.is.Equal(h.ends["gang"].Reason, structs.ReasonImpossibleShape)
 	h.is.Equal(h.ends["gang"].Outcome, outcome)
-	h.is.Equal(h.s.Queued(), 0)
+	h.is.Equal(h.s.QueueLength(), 0)
 }
 
 // The leader has seen the worker before.
@@ -72,10 +72,10 @@
 	current := &targets.Targets{Workspaces: map[string]targets.Workspace{
 		"a": {Name: "a", Guarantee: []structs.Shape{{Members: 2, Accelerators: 8, Adjacent: true}}}, "b": {Name: "b"}}}
 	gang := newGang(4)
-	is.Equal(scheduler.Unholdable(workers, current, gang), "")
-	is.True(scheduler.Unholdable(workers[:3], current, gang) != "")
+	is.Equal(scheduler.UnschedulableReason(workers, current, gang), "")
+	is.True(scheduler.UnschedulableReason(workers[:3], current, gang) != "")
 	gang.Idempotent = false
-	is.True(scheduler.Unholdable(workers, current, gang) != "")
+	is.True(scheduler.UnschedulableReason(workers, current, gang) != "")
 	gang.Shape.Members = 2
-	is.Equal(scheduler.Unholdable(workers, current, gang), "")
+	is.Equal(scheduler.UnschedulableReason(workers, current, gang), "")
 }
--- a/scheduler/witness.go
+++ b/scheduler/witness.go
@@ -339,15 +339,15 @@
 	return placed
 }
 
-// Unfit is a guaranteed shape that does not fit beside the other guarantees.
-type Unfit struct {
+// UnfitGuarantee is a guaranteed shape that does not fit beside the other guarantees.
+type UnfitGuarantee struct {
 	Workspace string
 	Shape     structs.Shape
 }
 
 // CheckGuarantees returns the guaranteed shapes that the empty workers cannot hold all at
 // once. An empty result means that all fit.
-func CheckGuarantees(workers []WorkerSpec, t *targets.Targets) []Unfit {
+func CheckGuarantees(workers []WorkerSpec, t *targets.Targets) []UnfitGuarantee {
 	c := newCluster()
 	for _, spec := range workers {
 		n := c.add(spec)
@@ -356,10 +356,10 @@
 	w := newWitness()
 	w.setTargets(t, func(*slot) {})
 	w.placeSlots(c, w.slots)
-	var unfit []Unfit
+	var unfit []UnfitGuarantee
 	for _, s := range w.slots {
 		if s.nodes == nil {
-			unfit = append(unfit, Unfit{Workspace: s.workspace, Shape: s.shape})
+			unfit = append(unfit, UnfitGuarantee{Workspace: s.workspace, Shape: s.shape})
 		}
 	}
 	return unfit
