--- a/batch/advise.go
+++ b/batch/advise.go
@@ -13,7 +13,7 @@
 const adviceTimeout = 3 * time.Second
 
 // requestAdvice requests advice and passes the answer to the leader's loop.
-func (l *leader) requestAdvice(ctx context.Context, request placing.Ask) {
+func (l *leader) requestAdvice(ctx context.Context, request placing.AdviceRequest) {
 	callCtx, cancel := context.WithTimeout(ctx, adviceTimeout)
 	defer cancel()
 	sent := l.clock.Now()
@@ -26,7 +26,7 @@
 
 // adviceResult carries the answer to an advice request, or its failure.
 type adviceResult struct {
-	request  placing.Ask
+	request  placing.AdviceRequest
 	ok       bool
 	tickets  map[string]string
 	validFor time.Duration
@@ -34,5 +34,5 @@
 }
 
 func (a adviceResult) apply(l *leader, now time.Time) {
-	l.engine.Advised(a.request, a.ok, a.tickets, a.validFor, a.sent, now)
+	l.engine.HandleAdvice(a.request, a.ok, a.tickets, a.validFor, a.sent, now)
 }
--- a/batch/bounds.go
+++ b/batch/bounds.go
@@ -44,7 +44,7 @@
 	b.expireOldLeases(now)
 	b.shortestLease = min(b.shortestLease, next.Lease)
 	b.longestLease = max(b.longestLease, next.Lease)
-	b.propagatedAt = now.Add(boundsPropagationTime + placing.LeaseLapse(b.longestLease))
+	b.propagatedAt = now.Add(boundsPropagationTime + placing.LeaseExpiry(b.longestLease))
 	b.current = next
 }
 
@@ -89,14 +89,14 @@
 	now := i.clock.Now()
 	current := i.bounds.latest()
 	return placing.Limits{
-		Lease:      i.bounds.maxGrantedLease(now),
-		StopWithin: current.StopWithin,
-		Reclaim:    current.Reclaim,
-		KeepEnded:  current.KeepEnded,
-		Evacuate:   current.Evacuate,
-		HolderGone: leaderGiveUpTime,
-		HandedOver: handOverTimeout,
+		MaxLease:            i.bounds.maxGrantedLease(now),
+		MaxStopTime:         current.StopWithin,
+		ReclaimTimeout:      current.Reclaim,
+		EndedJobRetention:   current.KeepEnded,
+		EvacuationTimeout:   current.Evacuate,
+		LostLeaderTimeout:   leaderGiveUpTime,
+		ReleasedTermTimeout: handOverTimeout,
 		// A delegate may keep driving workers for an ended leader until its grant expires.
-		HolderEnded: grantDuration,
+		ExitedLeaderTimeout: grantDuration,
 	}
 }
--- a/batch/bounds_test.go
+++ b/batch/bounds_test.go
@@ -46,7 +46,7 @@
 			newest := c.leases[len(c.leases)-1]
 			is.Equal(b.latest().Lease, newest)
 			// The last lease that another instance requested under the previous bounds has not lapsed yet.
-			lastMoment := now.Add(boundsPropagationTime + placing.LeaseLapse(longLease) - time.Millisecond)
+			lastMoment := now.Add(boundsPropagationTime + placing.LeaseExpiry(longLease) - time.Millisecond)
 			for _, at := range []time.Time{now, lastMoment} {
 				is.Equal(b.leaseToRequest(at), c.requestedLease)
 				is.Equal(b.maxGrantedLease(at), c.grantedLease)
@@ -72,7 +72,7 @@
 	is.Equal(link.lapse(), grantedLapse)
 	later := now.Add(3 * time.Second)
 	link.extendLease(later)
-	is.Equal(link.lapse(), later.Add(placing.LeaseLapse(shortLease)))
+	is.Equal(link.lapse(), later.Add(placing.LeaseExpiry(shortLease)))
 }
 
 // The leader applies changed bounds within its term: ended jobs are retained for as long as the
--- a/batch/dispatchers.go
+++ b/batch/dispatchers.go
@@ -258,7 +258,7 @@
 	d.leader.log.WithField("keeper", s.name).WithField("workers", s.workers).WithField("reason", reason).Warn("keeper_lost")
 	d.leader.instance.metrics.count("sharing.keeper_lost")
 	d.backOff(s.name, now)
-	minLapse := now.Add(grantDuration + placing.LeaseLapse(d.leader.instance.bounds.maxGrantedLease(now)))
+	minLapse := now.Add(grantDuration + placing.LeaseExpiry(d.leader.instance.bounds.maxGrantedLease(now)))
 	for id, w := range d.workers {
 		if w.instance != s.name || w.state == unassigned {
 			continue
@@ -266,7 +266,7 @@
 		w.state = unassigned
 		w.unassignedSince = now
 		w.minLapse = minLapse
-		d.leader.engine.Unreachable(id, minLapse, now)
+		d.leader.engine.WorkerUnreachable(id, minLapse, now)
 	}
 }
 
--- a/batch/election.go
+++ b/batch/election.go
@@ -123,14 +123,14 @@
 // the newest term that it had observed. A former incarnation of its own has ended. After a loss of
 // all instances the former leader usually wins again, and waiting for a leader that may go on took
 // 15.5 s instead of 8.5 s for each run at a worker that had left.
-func formerLeaderFate(previous, won jobs.Term, name string) placing.Former {
+func formerLeaderFate(previous, won jobs.Term, name string) placing.FormerLeaderState {
 	switch {
 	case previous.Epoch != won.Epoch-1:
-		return placing.FormerUnknown
+		return placing.FormerLeaderUnknown
 	case previous.Leader == "":
-		return placing.FormerHandedOver
+		return placing.FormerLeaderReleased
 	case leaderName(previous) == name:
-		return placing.FormerEnded
+		return placing.FormerLeaderExited
 	}
-	return placing.FormerUnknown
+	return placing.FormerLeaderUnknown
 }
--- a/batch/evacuation.go
+++ b/batch/evacuation.go
@@ -144,6 +144,6 @@
 	i := l.instance
 	i.evacuations.changed.Store(false)
 	zones := i.evacuations.list()
-	l.engine.Evacuate(zones, now)
+	l.engine.SetEvacuatedZones(zones, now)
 	l.log.WithFields(logrus.Fields{"zones": zones}).Info("evacuations_taken")
 }
--- a/batch/evacuation_test.go
+++ b/batch/evacuation_test.go
@@ -240,7 +240,7 @@
 		next.instance.decoder = zoneDecoder{}
 		next.instance.applyOperatorRecords(zoneRecord("z1", "{}"))
 		next.instance.evacuations.changed.Store(false) // already taken in a former term of this instance
-		next.loadEngine(placing.FormerHandedOver)
+		next.loadEngine(placing.FormerLeaderReleased)
 		formerDone := f.loopDone
 		f.leader, f.loopDone = next, make(chan struct{})
 		f.start()
--- a/batch/handover_test.go
+++ b/batch/handover_test.go
@@ -24,7 +24,7 @@
 	l.dispatchers = newDispatchers(l)
 	l.writer = newFencedWriter(l, jobs.Term{Epoch: epoch, Leader: "a/1"}, 1)
 	l.workerList = l.newWorkerListFollower()
-	l.loadEngine(placing.FormerHandedOver)
+	l.loadEngine(placing.FormerLeaderReleased)
 	l.spawn(ctx, l.writer.run)
 	return l
 }
--- a/batch/interfaces.go
+++ b/batch/interfaces.go
@@ -84,7 +84,7 @@
 	Pace(ctx context.Context, worker placing.WorkerEntry, order PaceOrder) error
 	// Advise asks the advisory service which of some workers may run a step. The returned tickets,
 	// by worker ID, have to go with starts of the step while they are valid.
-	Advise(ctx context.Context, ask placing.Ask) (tickets map[string]string, valid time.Duration, err error)
+	Advise(ctx context.Context, ask placing.AdviceRequest) (tickets map[string]string, valid time.Duration, err error)
 	// Forget releases the resources held for a worker that is no longer called.
 	Forget(worker placing.WorkerEntry)
 }
--- a/batch/leader.go
+++ b/batch/leader.go
@@ -56,7 +56,7 @@
 }
 
 // lead leads the term until it is lost or ctx ends.
-func (i *Instance) lead(ctx context.Context, term jobs.Term, sequence int64, former placing.Former) {
+func (i *Instance) lead(ctx context.Context, term jobs.Term, sequence int64, former placing.FormerLeaderState) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l := &leader{
@@ -126,7 +126,7 @@
 }
 
 // loadEngine loads the state of all jobs into the engine, and starts the tracking of changes.
-func (l *leader) loadEngine(former placing.Former) {
+func (l *leader) loadEngine(former placing.FormerLeaderState) {
 	i := l.instance
 	i.foldLock.Lock()
 	defer i.foldLock.Unlock()
@@ -138,7 +138,7 @@
 	for _, job := range all {
 		l.pools[job.Submission.Queue.Pool] = true
 	}
-	l.engine.Load(all, former, l.clock.Now())
+	l.engine.LoadJobs(all, former, l.clock.Now())
 }
 
 // catchUpCalls reads once what callers have written, so that the engine mostly starts with
@@ -168,7 +168,7 @@
 
 func (callsCompleteEvent) apply(l *leader, _ time.Time) {
 	l.applyChanges()
-	l.engine.Complete()
+	l.engine.MarkJobsComplete()
 }
 
 func (l *leader) configure() {
@@ -215,8 +215,8 @@
 		if !l.holdsTerm() {
 			return
 		}
-		l.engine.ListSeen(l.workerList.lastContact())
-		l.engine.EvacuationsSeen(l.instance.operator.lastContact())
+		l.engine.SetListReadAt(l.workerList.lastContact())
+		l.engine.SetEvacuationsReadAt(l.instance.operator.lastContact())
 		l.engine.SetLimits(l.instance.limits())
 		plan := l.engine.Decide(l.clock.Now())
 		l.execute(ctx, plan)
@@ -227,8 +227,8 @@
 
 // nextTimeout returns the delay until the next scheduling pass if no event arrives before.
 func nextTimeout(plan placing.Plan) time.Duration {
-	if plan.Again > 0 {
-		return min(tickInterval, plan.Again)
+	if plan.RecheckAfter > 0 {
+		return min(tickInterval, plan.RecheckAfter)
 	}
 	return tickInterval
 }
@@ -255,7 +255,7 @@
 			continue
 		}
 		l.pools[job.Submission.Queue.Pool] = true
-		l.engine.Learn(job, now)
+		l.engine.ApplyJob(job, now)
 	}
 	clear(i.fold.dirty)
 	if i.fold.table.Term().Epoch > l.epoch {
@@ -303,7 +303,7 @@
 
 // execute carries out a plan of the engine.
 func (l *leader) execute(ctx context.Context, plan placing.Plan) {
-	for _, note := range plan.Notes {
+	for _, note := range plan.LogEvents {
 		l.logDecision(note)
 	}
 	if len(plan.Records) > 0 {
@@ -321,21 +321,21 @@
 	for _, pace := range plan.Paces {
 		l.dispatchers.pace(pace)
 	}
-	if plan.Ask != nil {
-		l.spawn(ctx, func(ctx context.Context) { l.requestAdvice(ctx, *plan.Ask) })
+	if plan.AdviceRequest != nil {
+		l.spawn(ctx, func(ctx context.Context) { l.requestAdvice(ctx, *plan.AdviceRequest) })
 	}
 	for worker, number := range plan.Acks {
 		l.dispatchers.acknowledge(worker, number)
 	}
-	for _, worker := range plan.Forget {
+	for _, worker := range plan.RemovedWorkers {
 		l.dispatchers.removeWorker(worker)
 	}
-	if len(plan.Expired) > 0 {
-		l.spawn(ctx, func(ctx context.Context) { l.expireJobs(ctx, plan.Expired) })
+	if len(plan.ExpiredJobs) > 0 {
+		l.spawn(ctx, func(ctx context.Context) { l.expireJobs(ctx, plan.ExpiredJobs) })
 	}
 }
 
-func (l *leader) logDecision(note placing.Note) {
+func (l *leader) logDecision(note placing.LogEvent) {
 	fields := logrus.Fields{}
 	if note.Job != "" {
 		fields["job"] = note.Job
--- a/batch/link.go
+++ b/batch/link.go
@@ -194,7 +194,7 @@
 	lease := l.env.bounds.leaseToRequest(now)
 	l.leaseUntilMS = max(l.leaseUntilMS, l.workerClockMS+now.Sub(l.workerClockAt).Milliseconds()+lease.Milliseconds())
 	// A lease requested under a longer bound is not shortened.
-	if lapseAt := now.Add(placing.LeaseLapse(lease)); lapseAt.After(l.lapseAt) {
+	if lapseAt := now.Add(placing.LeaseExpiry(lease)); lapseAt.After(l.lapseAt) {
 		l.lapseAt = lapseAt
 	}
 	return l.leaseUntilMS
@@ -272,7 +272,7 @@
 	if l.entry.BornMS == 0 {
 		return
 	}
-	if lapseAt := sent.Add(placing.LeaseLapse(l.env.bounds.maxGrantedLease(sent))); lapseAt.After(l.lapseAt) {
+	if lapseAt := sent.Add(placing.LeaseExpiry(l.env.bounds.maxGrantedLease(sent))); lapseAt.After(l.lapseAt) {
 		l.lapseAt = lapseAt
 	}
 }
@@ -318,7 +318,7 @@
 }
 
 func (f holdFailure) apply(l *leader, now time.Time) {
-	l.engine.Unreachable(f.worker, l.dispatchers.effectiveLapse(f.worker, f.lapseAt), now)
+	l.engine.WorkerUnreachable(f.worker, l.dispatchers.effectiveLapse(f.worker, f.lapseAt), now)
 	l.dispatchers.workerSilent(f.worker, now)
 }
 
@@ -329,7 +329,7 @@
 }
 
 func (c incarnationChange) apply(l *leader, now time.Time) {
-	next, ok := l.engine.Reborn(c.worker, c.bornMS, now)
+	next, ok := l.engine.ReplaceIncarnation(c.worker, c.bornMS, now)
 	if ok {
 		l.dispatchers.updateWorkers([]placing.WorkerEntry{next}, now)
 	}
--- a/batch/order.go
+++ b/batch/order.go
@@ -153,7 +153,7 @@
 	case RefusedTicket:
 		return placing.StartNoTicket
 	case RefusedRoom:
-		return placing.StartNoRoom
+		return placing.StartNoCapacity
 	case RefusedBusy:
 		return placing.StartBusy
 	}
@@ -193,7 +193,7 @@
 	pace placing.Pace
 }
 
-func (p paceReply) apply(l *leader, _ time.Time) { l.engine.PaceAnswered(p.pace) }
+func (p paceReply) apply(l *leader, _ time.Time) { l.engine.PaceAcknowledged(p.pace) }
 
 // startKey identifies a start at a worker.
 type startKey struct {
@@ -247,5 +247,5 @@
 }
 
 func (s stopReply) apply(l *leader, now time.Time) {
-	l.engine.StopAnswered(s.worker, s.task, s.run, now)
+	l.engine.StopAcknowledged(s.worker, s.task, s.run, now)
 }
--- a/batch/order_test.go
+++ b/batch/order_test.go
@@ -48,7 +48,7 @@
 	return HoldReport{}, w.answer(ctx)
 }
 
-func (w *scriptedWorkers) Advise(ctx context.Context, _ placing.Ask) (map[string]string, time.Duration, error) {
+func (w *scriptedWorkers) Advise(ctx context.Context, _ placing.AdviceRequest) (map[string]string, time.Duration, error) {
 	return nil, 0, w.answer(ctx)
 }
 
@@ -90,7 +90,7 @@
 		{"answered at once", []func() error{accept}, placing.StartAccepted, 1},
 		{"second is answered", []func() error{nil, accept}, placing.StartAccepted, 2},
 		{"none is answered", []func() error{nil}, placing.StartUnknown, maxOrderAttempts},
-		{"refused at once", []func() error{refused}, placing.StartNoRoom, 1},
+		{"refused at once", []func() error{refused}, placing.StartNoCapacity, 1},
 		// The first attempt may still be carried out, so the run is not known to be refused.
 		{"refused after an unanswered one", []func() error{nil, refused}, placing.StartUnknown, 2},
 	} {
--- a/batch/restart_test.go
+++ b/batch/restart_test.go
@@ -194,7 +194,7 @@
 				link.startRun(t.Context(), placing.Start{Worker: "w", Run: 1}, false, nil)
 				lastAttempt := link.env.clock.Now()
 				is.Equal(link.lapse().After(granted), c.held)
-				is.Equal(!link.lapse().Before(lastAttempt.Add(placing.LeaseLapse(simLease))), c.held)
+				is.Equal(!link.lapse().Before(lastAttempt.Add(placing.LeaseExpiry(simLease))), c.held)
 			})
 		})
 	}
--- a/batch/simworkers_test.go
+++ b/batch/simworkers_test.go
@@ -67,7 +67,7 @@
 	defer s.lock.Unlock()
 	list := map[string]placing.WorkerEntry{}
 	for id, worker := range s.workers {
-		list[id] = placing.WorkerEntry{ID: placing.LifeID(id, worker.bornMS), Name: id, BornMS: worker.bornMS, Address: id, Kind: "a", Rack: "r1-" + id[:4], Pool: "pool", Zone: zoneOfWorker(id),
+		list[id] = placing.WorkerEntry{ID: placing.IncarnationID(id, worker.bornMS), Name: id, BornMS: worker.bornMS, Address: id, Kind: "a", Rack: "r1-" + id[:4], Pool: "pool", Zone: zoneOfWorker(id),
 			Capacity: jobs.Resources{MilliCores: 64000, MemoryMB: 1 << 18, Accelerators: 8}}
 	}
 	return list
@@ -174,21 +174,21 @@
 			s.done[key.task]++
 		case now.After(w.until):
 			w.lapses++
-			w.end(key, placing.EndLapsed)
+			w.end(key, placing.EndLeaseExpired)
 		}
 	}
 }
 
-func (w *simWorker) end(key startKey, how placing.How) {
+func (w *simWorker) end(key startKey, how placing.EndKind) {
 	delete(w.runs, key)
 	w.lastEnd++
 	w.highest[key.task] = max(w.highest[key.task], key.run)
-	w.ends = append(w.ends, placing.EndedTask{Number: w.lastEnd, Task: key.task, Run: key.run, How: how})
+	w.ends = append(w.ends, placing.EndedTask{Number: w.lastEnd, Task: key.task, Run: key.run, Kind: how})
 }
 
 // acknowledgeEnd records that an end was acknowledged.
 func (w *simWorker) acknowledgeEnd(s *simWorkers, end placing.EndedTask) {
-	if end.How != placing.EndDone {
+	if end.Kind != placing.EndDone {
 		return
 	}
 	s.acknowledged[end.Task] = true
@@ -333,7 +333,7 @@
 
 func (p *simClient) Pace(context.Context, placing.WorkerEntry, PaceOrder) error { return nil }
 
-func (p *simClient) Advise(context.Context, placing.Ask) (map[string]string, time.Duration, error) {
+func (p *simClient) Advise(context.Context, placing.AdviceRequest) (map[string]string, time.Duration, error) {
 	return nil, 0, eris.New("no advice")
 }
 
--- a/batch/testfleet_test.go
+++ b/batch/testfleet_test.go
@@ -64,8 +64,8 @@
 	useTestClock(i.clock)
 	l.engine = placing.New(i.limits(), epoch, i.clock.WallMS)
 	l.writer.confirmedAt = i.clock.Now()
-	l.loadEngine(placing.FormerHandedOver)
-	l.engine.Complete()
+	l.loadEngine(placing.FormerLeaderReleased)
+	l.engine.MarkJobsComplete()
 	l.dispatchers = newDispatchers(l)
 	l.dispatchers.dial = f.dial
 	l.workerList = l.newWorkerListFollower()
--- a/batch/wire.go
+++ b/batch/wire.go
@@ -91,7 +91,7 @@
 			Percent: int64(row.Percent), Load: row.Load})
 	}
 	for _, end := range answer.report.Ended {
-		report.Ended = append(report.Ended, &relaypb.End{Number: end.Number, Run: runToPB("", end.Task, end.Run), How: string(end.How),
+		report.Ended = append(report.Ended, &relaypb.End{Number: end.Number, Run: runToPB("", end.Task, end.Run), How: string(end.Kind),
 			Checkpoint: end.Checkpoint})
 	}
 	return report
@@ -105,7 +105,7 @@
 	}
 	for _, end := range report.Ended {
 		answer.report.Ended = append(answer.report.Ended, placing.EndedTask{Number: end.Number, Task: taskFromPB(end.Run),
-			Run: int(end.Run.GetNumber()), How: placing.How(end.How), Checkpoint: end.Checkpoint})
+			Run: int(end.Run.GetNumber()), Kind: placing.EndKind(end.How), Checkpoint: end.Checkpoint})
 	}
 	return answer
 }
--- a/batch/workerlist.go
+++ b/batch/workerlist.go
@@ -57,5 +57,5 @@
 		}
 	}
 	l.workerList.lock.Unlock()
-	l.dispatchers.updateWorkers(l.engine.List(entries, now), now)
+	l.dispatchers.updateWorkers(l.engine.UpdateWorkers(entries, now), now)
 }
--- a/batch/writer.go
+++ b/batch/writer.go
@@ -268,7 +268,7 @@
 func (e groupWrittenEvent) apply(l *leader, now time.Time) {
 	l.writer.pendingGroups--
 	if e.records > 0 {
-		l.engine.Recorded(now)
+		l.engine.MarkRecordsDurable(now)
 	}
 }
 
--- a/placing/advice.go
+++ b/placing/advice.go
@@ -16,18 +16,18 @@
 	adviceRetryDelay = 200 * time.Millisecond
 )
 
-// Ask is a request to the advice service: which of some workers may run a step.
+// AdviceRequest is a request to the advice service: which of some workers may run a step.
 // One request is outstanding at a time, as the service answers the requests of an
 // instance one after the other.
-type Ask struct {
+type AdviceRequest struct {
 	Job        string
 	Occurrence int
 	Step       int
-	Workers    []AskedWorker
+	Workers    []AdviceWorker
 }
 
-// AskedWorker is a worker named in a request, and the incarnation that a ticket is for.
-type AskedWorker struct {
+// AdviceWorker is a worker named in a request, and the incarnation that a ticket is for.
+type AdviceWorker struct {
 	ID   string
 	Name string
 }
@@ -99,7 +99,7 @@
 		e.adviceStep = unit.step
 		unit.step.adviceSentAt = now
 		key := unit.tasks[0].key
-		e.plan.Ask = &Ask{Job: key.Job, Occurrence: key.Occurrence, Step: key.Step, Workers: workers}
+		e.plan.AdviceRequest = &AdviceRequest{Job: key.Job, Occurrence: key.Occurrence, Step: key.Step, Workers: workers}
 		return
 	}
 }
@@ -110,7 +110,7 @@
 
 // adviceCandidates lists the eligible nodes for which the unit has no valid ticket:
 // emptiest first, as they are the likeliest to take it, and unschedulable ones last.
-func (e *Engine) adviceCandidates(unit *unit, v *view, now time.Time) []AskedWorker {
+func (e *Engine) adviceCandidates(unit *unit, v *view, now time.Time) []AdviceWorker {
 	var list, unschedulable []*node
 	for _, node := range v.nodes {
 		if unit.needsTicket(node, now) {
@@ -124,9 +124,9 @@
 	}
 	sort.SliceStable(list, func(a, b int) bool { return coreEquivalents(v.free[list[a].at]) > coreEquivalents(v.free[list[b].at]) })
 	list = append(list, unschedulable...)
-	var workers []AskedWorker
+	var workers []AdviceWorker
 	for _, node := range list[:min(maxAdviceWorkers, len(list))] {
-		workers = append(workers, AskedWorker{ID: node.entry.ID, Name: node.entry.Name})
+		workers = append(workers, AdviceWorker{ID: node.entry.ID, Name: node.entry.Name})
 	}
 	return workers
 }
@@ -137,10 +137,10 @@
 	return u.eligible(node) && (advice == nil || !now.Before(advice.tickets[node.entry.ID].expiresAt))
 }
 
-// Advised takes the response to a request that was sent at sentAt: tickets by worker,
+// HandleAdvice takes the response to a request that was sent at sentAt: tickets by worker,
 // and how long they are valid. Workers without a ticket may never run the step. ok is
 // false if the request failed.
-func (e *Engine) Advised(ask Ask, ok bool, tickets map[string]string, valid time.Duration, sentAt, now time.Time) {
+func (e *Engine) HandleAdvice(ask AdviceRequest, ok bool, tickets map[string]string, valid time.Duration, sentAt, now time.Time) {
 	step := e.adviceStep
 	e.adviceStep = nil
 	if !ok {
--- a/placing/advice_order_test.go
+++ b/placing/advice_order_test.go
@@ -19,7 +19,7 @@
 // adviceService simulates the service: it handles one request after the other.
 type adviceService struct {
 	cluster    *cluster
-	pending    *Ask
+	pending    *AdviceRequest
 	sentAt     time.Time
 	requests   map[string]int  // by job
 	unanswered map[string]bool // jobs whose requests fail after three seconds
@@ -36,15 +36,15 @@
 		for _, worker := range request.Workers {
 			tickets[worker.ID] = "ticket"
 		}
-		c.engine.Advised(*request, !a.unanswered[request.Job], tickets, ticketValidity, a.sentAt, c.now)
+		c.engine.HandleAdvice(*request, !a.unanswered[request.Job], tickets, ticketValidity, a.sentAt, c.now)
 	}
 	var started []string
 	for range 2 {
 		plan := c.engine.Decide(c.now)
-		c.engine.Recorded(c.now)
-		if plan.Ask != nil {
-			a.pending, a.sentAt = plan.Ask, c.now
-			a.requests[plan.Ask.Job]++
+		c.engine.MarkRecordsDurable(c.now)
+		if plan.AdviceRequest != nil {
+			a.pending, a.sentAt = plan.AdviceRequest, c.now
+			a.requests[plan.AdviceRequest.Job]++
 		}
 		for _, start := range plan.Starts {
 			c.engine.StartAnswered(start.Worker, start.Task, start.Run, StartAccepted, c.now)
--- a/placing/advice_test.go
+++ b/placing/advice_test.go
@@ -11,18 +11,18 @@
 // answerAdvice responds to the advice request of a plan: the named workers may run the step.
 // It returns the workers that were requested.
 func (c *cluster) answerAdvice(plan Plan, validity time.Duration, permitted ...string) []string {
-	if plan.Ask == nil {
+	if plan.AdviceRequest == nil {
 		return nil
 	}
 	tickets := map[string]string{}
 	var requested []string
-	for _, worker := range plan.Ask.Workers {
+	for _, worker := range plan.AdviceRequest.Workers {
 		requested = append(requested, worker.ID)
 		if slices.Contains(permitted, worker.ID) {
 			tickets[worker.ID] = "ticket of " + worker.ID
 		}
 	}
-	c.engine.Advised(*plan.Ask, true, tickets, validity, c.now, c.now)
+	c.engine.HandleAdvice(*plan.AdviceRequest, true, tickets, validity, c.now, c.now)
 	return requested
 }
 
@@ -59,22 +59,22 @@
 	job.Queue.NeedsAdvice = true
 	c.submit(job)
 	plan := c.step()
-	c.engine.Advised(*plan.Ask, false, nil, 0, c.now, c.now)
-	is.True(c.step().Ask == nil) // delayed by adviceRetryDelay
+	c.engine.HandleAdvice(*plan.AdviceRequest, false, nil, 0, c.now, c.now)
+	is.True(c.step().AdviceRequest == nil) // delayed by adviceRetryDelay
 	repeated := Plan{}
 	for range 10 {
-		if plan = c.step(); plan.Ask != nil {
+		if plan = c.step(); plan.AdviceRequest != nil {
 			repeated = plan
 		}
 	}
 	c.answerAdvice(repeated, 3*time.Second, "w01")
 	c.now = c.now.Add(50 * time.Millisecond)
 	c.engine.Decide(c.now)
-	c.engine.Recorded(c.now)
+	c.engine.MarkRecordsDurable(c.now)
 	starts := c.engine.Decide(c.now).Starts
 	is.Equal(len(starts), 1)
 	c.engine.StartAnswered("w01", starts[0].Task, starts[0].Run, StartNoTicket, c.now)
 	plan = c.step()
 	is.Equal(len(plan.Starts), 0)
-	is.True(plan.Ask != nil)
+	is.True(plan.AdviceRequest != nil)
 }
--- a/placing/bench_test.go
+++ b/placing/bench_test.go
@@ -12,23 +12,23 @@
 // of gangs and tasks.
 func loadedEngine(workers int) (*Engine, time.Time) {
 	e := testEngine(1)
-	e.Load(nil, FormerHandedOver, testStart)
+	e.LoadJobs(nil, FormerLeaderReleased, testStart)
 	var entries []WorkerEntry
 	for i := range workers {
 		entries = append(entries, testWorker(fmt.Sprintf("w%04d", i), fmt.Sprintf("r1-%03d", i/20)))
 	}
-	e.List(entries, testStart)
+	e.UpdateWorkers(entries, testStart)
 	for _, entry := range entries {
 		e.Report(entry.ID, testStart, nil, nil, time.Time{}, testStart)
 	}
 	for i := range workers {
-		e.Learn(&jobs.Job{Submission: testJob(fmt.Sprintf("%016x", i), 2, testStep(8, 1))}, testStart)
+		e.ApplyJob(&jobs.Job{Submission: testJob(fmt.Sprintf("%016x", i), 2, testStep(8, 1))}, testStart)
 	}
 	startAll(e, testStart)
 	for i := range workers {
 		gang := testStep(4+i%5, 4)
 		gang.Gang, gang.OneRack = true, i%2 == 0
-		e.Learn(&jobs.Job{Submission: testJob(fmt.Sprintf("%016x", workers+i), 1, gang)}, testStart)
+		e.ApplyJob(&jobs.Job{Submission: testJob(fmt.Sprintf("%016x", workers+i), 1, gang)}, testStart)
 	}
 	return e, testStart
 }
@@ -57,7 +57,7 @@
 			gang := testStep(8, 8)
 			gang.Gang, gang.OneRack = true, true
 			urgent := testJob("ffffffffffffffff", 0, gang)
-			e.Learn(&jobs.Job{Submission: urgent}, now)
+			e.ApplyJob(&jobs.Job{Submission: urgent}, now)
 			unit := e.waitingUnits(now)[0]
 			if unit.job.submission != urgent {
 				b.Fatal("the urgent gang is not first")
@@ -84,7 +84,7 @@
 	}
 	gang := testStep(128, 2)
 	gang.Gang = true
-	e.Learn(&jobs.Job{Submission: testJob("ffffffffffffffff", 1, gang)}, testStart)
+	e.ApplyJob(&jobs.Job{Submission: testJob("ffffffffffffffff", 1, gang)}, testStart)
 	unit := e.waitingUnits(testStart)[0]
 	open := newView(nodes)
 	b.ReportAllocs()
--- a/placing/cancel_test.go
+++ b/placing/cancel_test.go
@@ -29,7 +29,7 @@
 	submission := testJob(hexID(1), 1, testStep(1, 1))
 	c.submit(submission)
 	c.engine.Decide(c.now)
-	c.engine.Recorded(c.now)
+	c.engine.MarkRecordsDurable(c.now)
 	starts := c.engine.Decide(c.now).Starts
 	is.Equal(len(starts), 1)
 	key, worker := starts[0].Task, starts[0].Worker
@@ -42,7 +42,7 @@
 	c.now = c.now.Add(stopRetryInterval + time.Millisecond)
 	c.engine.Report(worker, c.now, []RunningTask{{Task: key, Run: 1}}, nil, time.Time{}, c.now)
 	is.True(stopsOf(c.engine.Decide(c.now), key) > 0)
-	c.engine.StopAnswered(worker, key, 1, c.now)
+	c.engine.StopAcknowledged(worker, key, 1, c.now)
 	c.now = c.now.Add(stopRetryInterval + time.Millisecond)
 	is.Equal(stopsOf(c.engine.Decide(c.now), key), 0)
 }
@@ -55,9 +55,9 @@
 		c := newCluster(1)
 		submission := testJob(hexID(1), 1, testStep(1, 1))
 		if inLog {
-			c.engine.Learn(&jobs.Job{Submission: submission, Cancelled: true}, c.now)
+			c.engine.ApplyJob(&jobs.Job{Submission: submission, Cancelled: true}, c.now)
 		}
-		c.engine.Complete()
+		c.engine.MarkJobsComplete()
 		c.engine.Decide(c.now)
 		key := jobs.TaskKey{Job: submission.ID}
 		c.now = c.now.Add(time.Second)
--- a/placing/capacity.go
+++ b/placing/capacity.go
@@ -10,8 +10,8 @@
 // until a worker that has shrunk gets nothing beyond its capacity.
 const maxListAge = 3 * time.Second
 
-// ListSeen records as of when the list of workers is known.
-func (e *Engine) ListSeen(at time.Time) { e.listReadAt = at }
+// SetListReadAt records as of when the list of workers is known.
+func (e *Engine) SetListReadAt(at time.Time) { e.listReadAt = at }
 
 // logResize logs a change of the capacity that a worker offers, and invalidates what was cached
 // for the former capacity.
@@ -23,7 +23,7 @@
 	if n.entry.Pool == "" {
 		return // its first entry
 	}
-	e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_resized", Worker: entry.ID,
+	e.plan.LogEvents = append(e.plan.LogEvents, LogEvent{Event: "worker_resized", Worker: entry.ID,
 		Detail: fmt.Sprintf("from %+v to %+v used %+v", n.entry.Capacity, entry.Capacity, n.used)})
 }
 
--- a/placing/capacity_search_test.go
+++ b/placing/capacity_search_test.go
@@ -47,7 +47,7 @@
 		lost := s.workers[0]
 		lost.up = false
 		lost.running = map[jobs.TaskKey]simRun{}
-		s.engine.Unreachable(lost.entry.ID, s.now, s.now)
+		s.engine.WorkerUnreachable(lost.entry.ID, s.now, s.now)
 		s.run(time.Second)
 		close(decided)
 	}()
--- a/placing/crash_sim_test.go
+++ b/placing/crash_sim_test.go
@@ -102,7 +102,7 @@
 	if s.keepsName {
 		entry.Name = address
 		entry.BornMS = s.now.UnixMilli()
-		entry.ID = LifeID(address, entry.BornMS)
+		entry.ID = IncarnationID(address, entry.BornMS)
 	}
 	s.workers = append(s.workers, &simWorker{entry: entry, up: true, running: map[jobs.TaskKey]simRun{}})
 }
@@ -111,8 +111,8 @@
 func (s *crashSim) changeLeader() {
 	s.epoch++
 	s.engine = testEngine(s.epoch)
-	s.engine.Load(s.table.All(), FormerHandedOver, s.now)
-	s.engine.Complete()
+	s.engine.LoadJobs(s.table.All(), FormerLeaderReleased, s.now)
+	s.engine.MarkJobsComplete()
 }
 
 func (s *crashSim) submit(priority int, step jobs.Step) string {
@@ -124,7 +124,7 @@
 	s.submitted = append(s.submitted, submission.ID)
 	s.steps[submission.ID] = step
 	s.appendRecords(record)
-	s.engine.Learn(s.table.Job(submission.ID), s.now)
+	s.engine.ApplyJob(s.table.Job(submission.ID), s.now)
 	return submission.ID
 }
 
@@ -162,7 +162,7 @@
 			s.advanceWorker(w)
 		case !w.reportedSilent && !s.now.Before(w.lostAt.Add(s.detectionDelay)):
 			w.reportedSilent = true
-			s.engine.Unreachable(w.entry.ID, w.lostAt.Add(LeaseLapse(testLimits.Lease)), s.now)
+			s.engine.WorkerUnreachable(w.entry.ID, w.lostAt.Add(LeaseExpiry(testLimits.MaxLease)), s.now)
 		}
 		if !w.up && s.now.Equal(w.lostAt.Add(s.effectiveRestartDelay())) {
 			s.replaceWorker(w)
@@ -184,7 +184,7 @@
 		return
 	}
 	s.addWorker(w.entry.Address, len(s.workers))
-	s.engine.Reborn(w.entry.ID, s.workers[len(s.workers)-1].entry.BornMS, s.now)
+	s.engine.ReplaceIncarnation(w.entry.ID, s.workers[len(s.workers)-1].entry.BornMS, s.now)
 }
 
 // crashesWorker reports whether a task crashes its worker.
@@ -206,7 +206,7 @@
 		if !s.crashesWorker(key) && !s.steps[key.Job].Gang && s.now.Sub(run.startedAt) >= healthyRunTime {
 			delete(w.running, key)
 			w.lastEnd++
-			w.unackedEnds = append(w.unackedEnds, EndedTask{Number: w.lastEnd, Task: key, Run: run.number, How: EndDone})
+			w.unackedEnds = append(w.unackedEnds, EndedTask{Number: w.lastEnd, Task: key, Run: run.number, Kind: EndDone})
 		}
 	}
 }
@@ -247,7 +247,7 @@
 			entries = append(entries, w.entry)
 		}
 	}
-	s.engine.List(entries, s.now)
+	s.engine.UpdateWorkers(entries, s.now)
 	for _, w := range s.workers {
 		if !w.up {
 			continue
@@ -258,7 +258,7 @@
 			percent := int(100 * s.now.Sub(run.startedAt) / healthyRunTime)
 			rows = append(rows, RunningTask{Task: key, Run: run.number, Percent: min(100, percent)})
 		}
-		s.engine.Report(w.entry.ID, s.now, rows, w.unackedEnds, s.now.Add(LeaseLapse(testLimits.Lease)), s.now)
+		s.engine.Report(w.entry.ID, s.now, rows, w.unackedEnds, s.now.Add(LeaseExpiry(testLimits.MaxLease)), s.now)
 	}
 }
 
@@ -267,7 +267,7 @@
 	plan := s.engine.Decide(s.now)
 	s.appendRecords(plan.Records...)
 	if len(plan.Records) > 0 {
-		s.engine.Recorded(s.now)
+		s.engine.MarkRecordsDurable(s.now)
 	}
 	for _, start := range plan.Starts {
 		s.startRun(start)
@@ -322,9 +322,9 @@
 	if _, ok := w.running[stop.Task]; ok {
 		delete(w.running, stop.Task)
 		w.lastEnd++
-		w.unackedEnds = append(w.unackedEnds, EndedTask{Number: w.lastEnd, Task: stop.Task, Run: stop.Run, How: EndStopped})
+		w.unackedEnds = append(w.unackedEnds, EndedTask{Number: w.lastEnd, Task: stop.Task, Run: stop.Run, Kind: EndStopped})
 	}
-	s.engine.StopAnswered(stop.Worker, stop.Task, stop.Run, s.now)
+	s.engine.StopAcknowledged(stop.Worker, stop.Task, stop.Run, s.now)
 }
 
 func (s *crashSim) countStates() map[jobs.State]int {
--- a/placing/crash_test.go
+++ b/placing/crash_test.go
@@ -161,7 +161,7 @@
 	record := job.progressRecord()
 
 	nextEngine := testEngine(2)
-	nextEngine.Load([]*jobs.Job{{Submission: job.submission, Progress: record.Value}}, FormerHandedOver, c.now)
+	nextEngine.LoadJobs([]*jobs.Job{{Submission: job.submission, Progress: record.Value}}, FormerLeaderReleased, c.now)
 	restored := nextEngine.jobs[hexID(1)].allTasks()[0]
 	is.Equal(restored.losses.total, 1)
 	is.Equal(restored.losses.early, 1)
@@ -182,9 +182,9 @@
 // loseWorker ends an incarnation of a worker 10 ms from now; another one answers at its
 // address at once.
 func (c *cluster) loseWorker(worker string) {
-	c.engine.Unreachable(worker, c.now.Add(6*time.Second), c.now.Add(10*time.Millisecond))
+	c.engine.WorkerUnreachable(worker, c.now.Add(6*time.Second), c.now.Add(10*time.Millisecond))
 	c.now = c.now.Add(20 * time.Millisecond)
-	c.engine.Reborn(worker, 0, c.now)
+	c.engine.ReplaceIncarnation(worker, 0, c.now)
 	c.workerIDs = slices.DeleteFunc(c.workerIDs, func(id string) bool { return id == worker })
 }
 
--- a/placing/delay_cases_test.go
+++ b/placing/delay_cases_test.go
@@ -35,7 +35,7 @@
 
 // A worker in backoff often refuses a start. The refusal must not reset the start delay.
 func TestRefusedStartDoesNotRestartIdleDelay(t *testing.T) {
-	for name, result := range map[string]StartResult{"busy": StartBusy, "no capacity": StartNoRoom} {
+	for name, result := range map[string]StartResult{"busy": StartBusy, "no capacity": StartNoCapacity} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(3)
@@ -46,7 +46,7 @@
 			for end := c.now.Add(overdueAfter); c.now.Before(end); {
 				c.now = c.now.Add(50 * time.Millisecond)
 				c.engine.Decide(c.now)
-				c.engine.Recorded(c.now)
+				c.engine.MarkRecordsDurable(c.now)
 				for _, start := range c.engine.Decide(c.now).Starts {
 					starts++
 					answer := StartAccepted
@@ -117,12 +117,12 @@
 
 func partlyUsedEngine(gangs int) (*Engine, time.Time) {
 	e := testEngine(1)
-	e.Load(nil, FormerHandedOver, testStart)
+	e.LoadJobs(nil, FormerLeaderReleased, testStart)
 	var entries []WorkerEntry
 	for i := range 6800 {
 		entries = append(entries, testWorker(fmt.Sprintf("w%04d", i), fmt.Sprintf("r1-%03d", i/20)))
 	}
-	e.List(entries, testStart)
+	e.UpdateWorkers(entries, testStart)
 	for i, entry := range entries {
 		e.Report(entry.ID, testStart, nil, nil, time.Time{}, testStart)
 		if i%20 < 9 {
@@ -132,7 +132,7 @@
 	for number := range gangs {
 		gang := gangStep(14, 8) // each rack has eleven idle workers
 		gang.EstimateMS = 1000 * int64(time.Hour/time.Second)
-		e.Learn(&jobs.Job{Submission: testJob(hexID(number), 1, gang)}, testStart)
+		e.ApplyJob(&jobs.Job{Submission: testJob(hexID(number), 1, gang)}, testStart)
 	}
 	return e, testStart
 }
@@ -207,7 +207,7 @@
 	run := w.running[key]
 	delete(w.running, key)
 	w.lastEnd++
-	w.unackedEnds = append(w.unackedEnds, EndedTask{Number: w.lastEnd, Task: key, Run: run.number, How: EndFailed})
+	w.unackedEnds = append(w.unackedEnds, EndedTask{Number: w.lastEnd, Task: key, Run: run.number, Kind: EndFailed})
 	s.run(delaySimTimeout)
 	is.Equal(s.countRunning(job.ID, 0), 3)
 }
@@ -244,7 +244,7 @@
 		if len(w.running) > 0 {
 			w.up = false
 			w.running = map[jobs.TaskKey]simRun{}
-			s.engine.Unreachable(w.entry.ID, time.Time{}, s.now)
+			s.engine.WorkerUnreachable(w.entry.ID, time.Time{}, s.now)
 		}
 	}
 	for _, node := range s.engine.nodeOrder {
@@ -268,12 +268,12 @@
 		}
 	}
 	is.True(c.engine.jobs[urgent.ID].reservation != nil)
-	c.engine.Complete()
+	c.engine.MarkJobsComplete()
 	entries := []WorkerEntry{testWorker("late", "r1-0")}
 	for _, node := range c.engine.nodeOrder {
 		entries = append(entries, node.entry)
 	}
-	c.engine.List(entries, c.now)
+	c.engine.UpdateWorkers(entries, c.now)
 	row := RunningTask{Task: jobs.TaskKey{Job: urgent.ID}, Run: 1, Percent: 1}
 	c.engine.Report("late", c.now, []RunningTask{row}, nil, time.Time{}, c.now)
 	c.steps(100)
@@ -294,7 +294,7 @@
 			lost.running = map[jobs.TaskKey]simRun{}
 			s.changeLeader()
 			s.termLength = termLength
-			is.True(s.waitForStart(job, 0) <= LeaseLapse(testLimits.Lease)+testLimits.HandedOver+maxIdleDelay)
+			is.True(s.waitForStart(job, 0) <= LeaseExpiry(testLimits.MaxLease)+testLimits.ReleasedTermTimeout+maxIdleDelay)
 		})
 	}
 }
--- a/placing/delay_log_test.go
+++ b/placing/delay_log_test.go
@@ -13,7 +13,7 @@
 // noteDetails returns the details of a job's notes with the given event.
 func noteDetails(plan Plan, event, job string) []string {
 	var details []string
-	for _, note := range plan.Notes {
+	for _, note := range plan.LogEvents {
 		if note.Event == event && note.Job == job {
 			details = append(details, note.Detail)
 		}
@@ -58,7 +58,7 @@
 	for _, node := range c.engine.nodeOrder {
 		entries = append(entries, node.entry)
 	}
-	c.engine.List(entries, c.now)
+	c.engine.UpdateWorkers(entries, c.now)
 	overdue := time.Duration(0)
 	for overdue == 0 && c.now.Sub(testStart) < 10*time.Second {
 		c.engine.jobs[job.ID].occurrences[0].steps[0].observedReadyAt = c.now // as for a leader whose workers have yet to report
@@ -89,7 +89,7 @@
 		}
 		entries = append(entries, entry)
 	}
-	c.engine.List(entries, c.now)
+	c.engine.UpdateWorkers(entries, c.now)
 	full := testJob(hexID(2), 1, testStep(8, 8))
 	full.Steps[0].Need.MilliCores = 64000
 	full.Queue.Pool = "busy"
@@ -135,7 +135,7 @@
 		s.tick()
 	}
 	is.True(s.countRunning(job, 0) > 0)
-	is.Equal(len(noteDetails(Plan{Notes: s.notes}, "start_overdue", job)), 0)
+	is.Equal(len(noteDetails(Plan{LogEvents: s.notes}, "start_overdue", job)), 0)
 }
 
 func TestStepIsNotOverdueRightAfterEvacuationEnds(t *testing.T) {
@@ -145,13 +145,13 @@
 		w.entry.Zone = "z1"
 	}
 	s.run(time.Second)
-	s.engine.Evacuate([]string{"z1"}, s.now)
+	s.engine.SetEvacuatedZones([]string{"z1"}, s.now)
 	job := s.submit(testJob(hexID(1), 1, testStep(1, 1)))
 	s.run(2 * overdueAfter)
 	for _, node := range s.engine.nodeOrder {
 		node.health.backOff(s.now, time.Minute)
 	}
-	s.engine.Evacuate(nil, s.now)
+	s.engine.SetEvacuatedZones(nil, s.now)
 	is.True(s.waitForStart(job, 0) <= maxIdleDelay)
-	is.Equal(len(noteDetails(Plan{Notes: s.notes}, "start_overdue", job)), 0)
+	is.Equal(len(noteDetails(Plan{LogEvents: s.notes}, "start_overdue", job)), 0)
 }
--- a/placing/delay_reservation_test.go
+++ b/placing/delay_reservation_test.go
@@ -43,7 +43,7 @@
 	for gangs, tasks := range map[int]int{3: 6, 1: 18} {
 		t.Run(strconv.Itoa(gangs), func(t *testing.T) {
 			is := is.New(t)
-			is.True(reservationDelay(t, gangs, tasks, testLimits.StopWithin) <= maxIdleDelay)
+			is.True(reservationDelay(t, gangs, tasks, testLimits.MaxStopTime) <= maxIdleDelay)
 		})
 	}
 }
--- a/placing/delay_sim_test.go
+++ b/placing/delay_sim_test.go
@@ -35,12 +35,12 @@
 	done           map[jobs.TaskKey]bool
 	stopSentAt     map[jobs.TaskKey]time.Time
 	stopDelay      time.Duration
-	adviceRequest  *Ask
+	adviceRequest  *AdviceRequest
 	requestedAt    time.Time
 	adviceLatency  time.Duration // until an advice request is answered
 	ticketLifetime time.Duration // how long a ticket is valid
 	allowed        func(job, worker string) bool
-	notes          []Note // of all passes
+	notes          []LogEvent // of all passes
 }
 
 // newDelaySim returns a simulation whose workers have eight accelerators each.
@@ -67,8 +67,8 @@
 func (s *delaySim) changeLeader() {
 	s.epoch++
 	s.engine = testEngine(s.epoch)
-	s.engine.Load(s.table.All(), FormerHandedOver, s.now)
-	s.engine.Complete()
+	s.engine.LoadJobs(s.table.All(), FormerLeaderReleased, s.now)
+	s.engine.MarkJobsComplete()
 	s.termStart = s.now
 	s.adviceRequest = nil
 }
@@ -82,7 +82,7 @@
 		s.t.Fatal(err)
 	}
 	s.appendRecords(record)
-	s.engine.Learn(s.table.Job(submission.ID), s.now)
+	s.engine.ApplyJob(s.table.Job(submission.ID), s.now)
 	return submission.ID
 }
 
@@ -146,7 +146,7 @@
 		}
 		delete(w.running, key)
 		w.lastEnd++
-		w.unackedEnds = append(w.unackedEnds, EndedTask{Number: w.lastEnd, Task: key, Run: run.number, How: how})
+		w.unackedEnds = append(w.unackedEnds, EndedTask{Number: w.lastEnd, Task: key, Run: run.number, Kind: how})
 	}
 }
 
@@ -170,7 +170,7 @@
 			entries = append(entries, w.entry)
 		}
 	}
-	s.engine.List(entries, s.now)
+	s.engine.UpdateWorkers(entries, s.now)
 	for _, w := range s.workers {
 		if !w.up {
 			continue
@@ -179,7 +179,7 @@
 		for _, key := range w.runningTasks() {
 			rows = append(rows, RunningTask{Task: key, Run: w.running[key].number, Percent: s.percentDone(key, w.running[key])})
 		}
-		s.engine.Report(w.entry.ID, s.now, rows, w.unackedEnds, s.now.Add(LeaseLapse(testLimits.Lease)), s.now)
+		s.engine.Report(w.entry.ID, s.now, rows, w.unackedEnds, s.now.Add(LeaseExpiry(testLimits.MaxLease)), s.now)
 	}
 }
 
@@ -194,19 +194,19 @@
 			tickets[worker.ID] = "ticket"
 		}
 	}
-	s.engine.Advised(*s.adviceRequest, true, tickets, s.ticketLifetime, s.requestedAt, s.now)
+	s.engine.HandleAdvice(*s.adviceRequest, true, tickets, s.ticketLifetime, s.requestedAt, s.now)
 	s.adviceRequest = nil
 }
 
 func (s *delaySim) executePass() {
 	plan := s.engine.Decide(s.now)
-	s.notes = append(s.notes, plan.Notes...)
+	s.notes = append(s.notes, plan.LogEvents...)
 	s.appendRecords(plan.Records...)
 	if len(plan.Records) > 0 {
-		s.engine.Recorded(s.now)
+		s.engine.MarkRecordsDurable(s.now)
 	}
-	if plan.Ask != nil {
-		s.adviceRequest, s.requestedAt = plan.Ask, s.now
+	if plan.AdviceRequest != nil {
+		s.adviceRequest, s.requestedAt = plan.AdviceRequest, s.now
 	}
 	for _, start := range plan.Starts {
 		s.findWorker(start.Worker).running[start.Task] = simRun{number: start.Run, startedAt: s.now}
@@ -214,7 +214,7 @@
 	}
 	for _, stop := range plan.Stops {
 		s.stopSentAt[stop.Task] = s.now
-		s.engine.StopAnswered(stop.Worker, stop.Task, stop.Run, s.now)
+		s.engine.StopAcknowledged(stop.Worker, stop.Task, stop.Run, s.now)
 	}
 	for _, w := range s.workers {
 		if number := plan.Acks[w.entry.ID]; number > 0 {
--- a/placing/delay_suspect_test.go
+++ b/placing/delay_suspect_test.go
@@ -13,7 +13,7 @@
 func (s *delaySim) restartWorker(w *simWorker) {
 	next := w.entry
 	next.ID = w.entry.Address + s.now.String()
-	s.engine.Reborn(w.entry.ID, 0, s.now)
+	s.engine.ReplaceIncarnation(w.entry.ID, 0, s.now)
 	*w = simWorker{entry: next, up: true, running: map[jobs.TaskKey]simRun{}}
 }
 
--- a/placing/engine.go
+++ b/placing/engine.go
@@ -103,8 +103,8 @@
 	Worker string
 }
 
-// Note is one decision, for the log.
-type Note struct {
+// LogEvent is one decision, for the log.
+type LogEvent struct {
 	Event  string
 	Job    string
 	Task   string
@@ -118,16 +118,16 @@
 	States  []jobs.Record // states, to be appended after Records; then call Recorded
 	// EarlyStates are final states to be appended at once, though a group is in
 	// flight: a final state is valid without its progress.
-	EarlyStates []jobs.Record
-	Starts      []Start          // to be sent
-	Stops       []Stop           // to be sent
-	Acks        map[string]int64 // by worker: ends up to this number may be forgotten
-	Paces       []Pace           // to be sent; call PaceAnswered
-	Ask         *Ask             // to be sent; call Advised with the response
-	Forget      []string         // workers that need not be polled any more
-	Expired     []string         // ended jobs whose records can be dropped
-	Notes       []Note           // decisions and their reasons, for the log
-	Again       time.Duration    // when to decide again even if nothing happens; 0: no need
+	EarlyStates    []jobs.Record
+	Starts         []Start          // to be sent
+	Stops          []Stop           // to be sent
+	Acks           map[string]int64 // by worker: ends up to this number may be forgotten
+	Paces          []Pace           // to be sent; call PaceAcknowledged
+	AdviceRequest  *AdviceRequest   // to be sent; call Advised with the response
+	RemovedWorkers []string         // workers that need not be polled any more
+	ExpiredJobs    []string         // ended jobs whose records can be dropped
+	LogEvents      []LogEvent       // decisions and their reasons, for the log
+	RecheckAfter   time.Duration    // when to decide again even if nothing happens; 0: no need
 }
 
 // Configure sets the operators' queues and guarantees, and the pools whose workers
@@ -154,19 +154,19 @@
 	return submission.Queue
 }
 
-// Load takes over the jobs in the log at the beginning of the term. Recorded runs are
+// LoadJobs takes over the jobs in the log at the beginning of the term. Recorded runs are
 // looked for at their workers. Those at workers that are not listed any more count as
 // running until the leases of the former leader have expired.
-func (e *Engine) Load(loaded []*jobs.Job, former Former, now time.Time) {
-	e.formerLeasesExpireAt = now.Add(LeaseLapse(e.limits.Lease) + e.limits.formerLeaderTimeout(former))
+func (e *Engine) LoadJobs(loaded []*jobs.Job, former FormerLeaderState, now time.Time) {
+	e.formerLeasesExpireAt = now.Add(LeaseExpiry(e.limits.MaxLease) + e.limits.formerLeaderTimeout(former))
 	for _, job := range loaded {
-		e.Learn(job, now)
+		e.ApplyJob(job, now)
 	}
 }
 
-// Learn applies a job from the log. Of a job that is already known only a cancellation
+// ApplyJob applies a job from the log. Of a job that is already known only a cancellation
 // matters, as this engine alone writes its progress.
-func (e *Engine) Learn(stored *jobs.Job, now time.Time) {
+func (e *Engine) ApplyJob(stored *jobs.Job, now time.Time) {
 	id := stored.Submission.ID
 	if e.jobs[id] == nil {
 		job := e.addJob(stored.Submission, now)
@@ -177,9 +177,9 @@
 	}
 }
 
-// Complete marks that every job that a former leader may have started was learned.
+// MarkJobsComplete marks that every job that a former leader may have started was learned.
 // Until then runs and ends of unknown jobs are left alone at their workers.
-func (e *Engine) Complete() { e.jobsComplete = true }
+func (e *Engine) MarkJobsComplete() { e.jobsComplete = true }
 
 // addJob adds a new job without progress.
 func (e *Engine) addJob(submission *jobs.Submission, now time.Time) *job {
@@ -241,7 +241,7 @@
 }
 
 func (e *Engine) logEvent(event string, job *job, worker, detail string) {
-	e.plan.Notes = append(e.plan.Notes, Note{Event: event, Job: job.submission.ID, Worker: worker, Detail: detail})
+	e.plan.LogEvents = append(e.plan.LogEvents, LogEvent{Event: event, Job: job.submission.ID, Worker: worker, Detail: detail})
 }
 
 // Decide returns the plan for now. Its orders and records are each to be carried out once.
@@ -320,9 +320,9 @@
 	e.changedJobs = append([]*job(nil), e.changedJobs[count:]...)
 }
 
-// Recorded reports that the records of the last plan that had any are durable.
+// MarkRecordsDurable reports that the records of the last plan that had any are durable.
 // The starts and acknowledgements that depend on them come with the next plan.
-func (e *Engine) Recorded(now time.Time) {
+func (e *Engine) MarkRecordsDurable(now time.Time) {
 	e.recordsInFlight = false
 	for _, run := range e.recordingRuns {
 		e.dispatch(run, now)
@@ -358,8 +358,8 @@
 	}
 	for _, id := range e.sortedJobs() {
 		job := e.jobs[id]
-		if job.state.Final() && now.Sub(job.endedAt) > e.limits.KeepEnded+retentionMargin && !job.dirty && !e.recordsInFlight {
-			e.plan.Expired = append(e.plan.Expired, id)
+		if job.state.Final() && now.Sub(job.endedAt) > e.limits.EndedJobRetention+retentionMargin && !job.dirty && !e.recordsInFlight {
+			e.plan.ExpiredJobs = append(e.plan.ExpiredJobs, id)
 			delete(e.jobs, id)
 		}
 	}
--- a/placing/engine_test.go
+++ b/placing/engine_test.go
@@ -10,13 +10,13 @@
 )
 
 var testLimits = Limits{
-	Lease:       6 * time.Second,
-	StopWithin:  900 * time.Millisecond,
-	Reclaim:     3 * time.Second,
-	KeepEnded:   120 * time.Second,
-	HolderGone:  9 * time.Second,
-	HandedOver:  3 * time.Second,
-	HolderEnded: 2 * time.Second,
+	MaxLease:            6 * time.Second,
+	MaxStopTime:         900 * time.Millisecond,
+	ReclaimTimeout:      3 * time.Second,
+	EndedJobRetention:   120 * time.Second,
+	LostLeaderTimeout:   9 * time.Second,
+	ReleasedTermTimeout: 3 * time.Second,
+	ExitedLeaderTimeout: 2 * time.Second,
 }
 
 var testStart = time.Unix(1_000_000, 0)
@@ -46,7 +46,7 @@
 // startAll lets an engine place, record and start what it can.
 func startAll(e *Engine, now time.Time) []Start {
 	e.Decide(now)
-	e.Recorded(now)
+	e.MarkRecordsDurable(now)
 	starts := e.Decide(now).Starts
 	for _, start := range starts {
 		e.StartAnswered(start.Worker, start.Task, start.Run, StartAccepted, now)
@@ -61,13 +61,13 @@
 	is := is.New(t)
 	submission := testJob("0000000000000001", 1, testStep(1, 1))
 	first := testEngine(1)
-	first.Load([]*jobs.Job{{Submission: submission}}, FormerHandedOver, testStart)
-	first.List([]WorkerEntry{testWorker("w1", "r1-1")}, testStart)
+	first.LoadJobs([]*jobs.Job{{Submission: submission}}, FormerLeaderReleased, testStart)
+	first.UpdateWorkers([]WorkerEntry{testWorker("w1", "r1-1")}, testStart)
 	first.Report("w1", testStart, nil, nil, time.Time{}, testStart)
 	starts := startAll(first, testStart)
 	is.Equal(len(starts), 1)
 	later := testStart.Add(time.Second)
-	ended := []EndedTask{{Number: 1, Task: starts[0].Task, Run: 1, How: EndFailed}}
+	ended := []EndedTask{{Number: 1, Task: starts[0].Task, Run: 1, Kind: EndFailed}}
 	first.Report(starts[0].Worker, later, nil, ended, time.Time{}, later)
 	plan := first.Decide(later)
 
@@ -79,8 +79,8 @@
 		is.NoErr(err)
 	}
 	second := testEngine(2)
-	second.Load(table.All(), FormerHandedOver, later)
-	second.List([]WorkerEntry{testWorker("w1", "r1-1")}, later)
+	second.LoadJobs(table.All(), FormerLeaderReleased, later)
+	second.UpdateWorkers([]WorkerEntry{testWorker("w1", "r1-1")}, later)
 	second.Report(starts[0].Worker, later, nil, ended, time.Time{}, later)
 	is.Equal(second.jobs[submission.ID].state, jobs.StateRunning) // one failure of two allowed
 }
@@ -91,11 +91,11 @@
 	is := is.New(t)
 	submission := testJob("0000000000000002", 1, testStep(1, 1))
 	e := testEngine(2)
-	e.Load(nil, FormerUnknown, testStart)
-	e.List([]WorkerEntry{testWorker("w1", "r1-1"), testWorker("w2", "r1-1")}, testStart)
+	e.LoadJobs(nil, FormerLeaderUnknown, testStart)
+	e.UpdateWorkers([]WorkerEntry{testWorker("w1", "r1-1"), testWorker("w2", "r1-1")}, testStart)
 	task := jobs.TaskKey{Job: submission.ID}
 	row := RunningTask{Task: task, Run: 1, Percent: 10}
-	end := EndedTask{Number: 1, Task: task, Run: 1, How: EndDone}
+	end := EndedTask{Number: 1, Task: task, Run: 1, Kind: EndDone}
 	e.Report("w1", testStart, []RunningTask{row}, nil, time.Time{}, testStart)
 	is.Equal(len(e.Decide(testStart).Stops), 0) // the run may belong to a job that is not read yet
 	later := testStart.Add(time.Second)
@@ -106,8 +106,8 @@
 		Tasks: []jobs.TaskProgress{{Run: 1, Worker: "w1"}},
 	})
 	is.NoErr(err)
-	e.Learn(&jobs.Job{Submission: submission, Progress: record.Value}, later)
-	e.Complete()
+	e.ApplyJob(&jobs.Job{Submission: submission, Progress: record.Value}, later)
+	e.MarkJobsComplete()
 	is.Equal(len(startAll(e, later)), 0) // run 1 is recorded at w1
 	e.Report("w1", later, nil, []EndedTask{end}, time.Time{}, later)
 	is.Equal(e.jobs[submission.ID].state, jobs.StateDone)
@@ -119,11 +119,11 @@
 	is := is.New(t)
 	e := testEngine(1)
 	e.groupLimit = 1
-	e.Load(nil, FormerHandedOver, testStart)
-	e.List([]WorkerEntry{testWorker("w1", "r1-1")}, testStart)
+	e.LoadJobs(nil, FormerLeaderReleased, testStart)
+	e.UpdateWorkers([]WorkerEntry{testWorker("w1", "r1-1")}, testStart)
 	e.Report("w1", testStart, nil, nil, time.Time{}, testStart)
 	for index := range 3 {
-		e.Learn(&jobs.Job{Submission: testJob(hexID(index+1), 1, testStep(1, 1))}, testStart)
+		e.ApplyJob(&jobs.Job{Submission: testJob(hexID(index+1), 1, testStep(1, 1))}, testStart)
 	}
 	started, durable := map[string]bool{}, map[string]bool{}
 	for range 5 {
@@ -136,7 +136,7 @@
 		for _, record := range plan.Records {
 			durable[record.Key] = true
 		}
-		e.Recorded(testStart)
+		e.MarkRecordsDurable(testStart)
 	}
 	is.Equal(len(started), 3)
 }
@@ -158,9 +158,9 @@
 		{Submission: submission, RecordedState: jobs.StateDone},
 	} {
 		e := testEngine(2)
-		e.Load([]*jobs.Job{stored}, FormerHandedOver, testStart)
-		e.Complete()
-		e.List([]WorkerEntry{testWorker("w", "r1-0")}, testStart)
+		e.LoadJobs([]*jobs.Job{stored}, FormerLeaderReleased, testStart)
+		e.MarkJobsComplete()
+		e.UpdateWorkers([]WorkerEntry{testWorker("w", "r1-0")}, testStart)
 		listed := RunningTask{Task: jobs.TaskKey{Job: submission.ID}, Run: 1}
 		e.Report("w", testStart, []RunningTask{listed}, nil, time.Time{}, testStart)
 		plan := e.Decide(testStart.Add(2 * time.Second))
@@ -176,22 +176,22 @@
 func TestFinalStateDoesNotWaitForAGroupThatIsStuck(t *testing.T) {
 	is := is.New(t)
 	e := testEngine(1)
-	e.Load(nil, FormerHandedOver, testStart)
-	e.List([]WorkerEntry{testWorker("w1", "r1-0")}, testStart)
+	e.LoadJobs(nil, FormerLeaderReleased, testStart)
+	e.UpdateWorkers([]WorkerEntry{testWorker("w1", "r1-0")}, testStart)
 	e.Report("w1", testStart, nil, nil, time.Time{}, testStart)
 	first := testJob(hexID(1), 1, testStep(1, 1))
-	e.Learn(&jobs.Job{Submission: first}, testStart)
+	e.ApplyJob(&jobs.Job{Submission: first}, testStart)
 	startAll(e, testStart)
-	e.Learn(&jobs.Job{Submission: testJob(hexID(2), 1, testStep(1, 1))}, testStart)
+	e.ApplyJob(&jobs.Job{Submission: testJob(hexID(2), 1, testStep(1, 1))}, testStart)
 	now := testStart.Add(time.Second)
 	is.Equal(len(e.Decide(now).Records), 1) // in flight from now on
 	key := jobs.TaskKey{Job: first.ID}
-	e.Report("w1", now, nil, []EndedTask{{Number: 1, Task: key, Run: 1, How: EndDone}}, time.Time{}, now)
+	e.Report("w1", now, nil, []EndedTask{{Number: 1, Task: key, Run: 1, Kind: EndDone}}, time.Time{}, now)
 	is.Equal(len(e.Decide(now.Add(earlyStateDelay/2)).EarlyStates), 0)
 	early := e.Decide(now.Add(earlyStateDelay)).EarlyStates
 	is.Equal(early, []jobs.Record{jobs.StateRecord(first.ID, jobs.StateDone)})
 	is.Equal(len(e.Decide(now.Add(2*earlyStateDelay)).EarlyStates), 0)
-	e.Recorded(now.Add(2 * earlyStateDelay))
+	e.MarkRecordsDurable(now.Add(2 * earlyStateDelay))
 	plan := e.Decide(now.Add(2*earlyStateDelay + time.Second))
 	is.Equal(len(plan.Records), 1)
 	is.Equal(len(plan.States), 0)
@@ -201,8 +201,8 @@
 // running until every lease that the former leader may have granted has expired. A
 // leader whose process has ended grants none.
 func TestRunsAtUnknownWorkersWaitAsLongAsTheFormerHolderMayGoOn(t *testing.T) {
-	for former, wait := range map[Former]time.Duration{
-		FormerUnknown: testLimits.HolderGone, FormerHandedOver: testLimits.HandedOver, FormerEnded: testLimits.HolderEnded,
+	for former, wait := range map[FormerLeaderState]time.Duration{
+		FormerLeaderUnknown: testLimits.LostLeaderTimeout, FormerLeaderReleased: testLimits.ReleasedTermTimeout, FormerLeaderExited: testLimits.ExitedLeaderTimeout,
 	} {
 		t.Run(former.String(), func(t *testing.T) {
 			is := is.New(t)
@@ -211,10 +211,10 @@
 				Tasks: []jobs.TaskProgress{{Run: 1, Worker: "left"}}})
 			is.NoErr(err)
 			e := testEngine(2)
-			e.Load([]*jobs.Job{{Submission: submission, Progress: record.Value}}, former, testStart)
-			e.List([]WorkerEntry{testWorker("w1", "r1-1")}, testStart)
+			e.LoadJobs([]*jobs.Job{{Submission: submission, Progress: record.Value}}, former, testStart)
+			e.UpdateWorkers([]WorkerEntry{testWorker("w1", "r1-1")}, testStart)
 			e.Report("w1", testStart, nil, nil, time.Time{}, testStart)
-			lapse := testStart.Add(LeaseLapse(testLimits.Lease) + wait)
+			lapse := testStart.Add(LeaseExpiry(testLimits.MaxLease) + wait)
 			is.Equal(len(startAll(e, lapse.Add(-time.Millisecond))), 0)
 			is.Equal(len(startAll(e, lapse.Add(time.Second))), 1)
 		})
--- a/placing/evacuation.go
+++ b/placing/evacuation.go
@@ -21,8 +21,8 @@
 	stale       bool                 // the last check found readAt too old
 }
 
-// Evacuate sets the availability zones that are evacuated.
-func (e *Engine) Evacuate(zones []string, now time.Time) {
+// SetEvacuatedZones sets the availability zones that are evacuated.
+func (e *Engine) SetEvacuatedZones(zones []string, now time.Time) {
 	former := e.evacuations.evacuatedAt
 	e.evacuations.evacuatedAt = make(map[string]time.Time, len(zones))
 	for _, zone := range zones {
@@ -55,8 +55,8 @@
 	}
 }
 
-// EvacuationsSeen sets the time as of which the evacuated zones were read.
-func (e *Engine) EvacuationsSeen(at time.Time) { e.evacuations.readAt = at }
+// SetEvacuationsReadAt sets the time as of which the evacuated zones were read.
+func (e *Engine) SetEvacuationsReadAt(at time.Time) { e.evacuations.readAt = at }
 
 // updateEvacuated applies the state of a node's zone to the node. Planned runs on a newly
 // evacuated node are withdrawn.
@@ -103,7 +103,7 @@
 // evacuationsFresh reports whether the evacuated zones were read recently enough to start
 // something: half of the time that the operators allow is left for orders in transit.
 func (e *Engine) evacuationsFresh(now time.Time) bool {
-	return e.limits.Evacuate <= 0 || now.Sub(e.evacuations.readAt) <= e.limits.Evacuate/2
+	return e.limits.EvacuationTimeout <= 0 || now.Sub(e.evacuations.readAt) <= e.limits.EvacuationTimeout/2
 }
 
 // logEvacuationsFreshness logs when placement is suspended or resumed because the
@@ -118,7 +118,7 @@
 	if stale {
 		event = "evacuations_unknown"
 	}
-	e.plan.Notes = append(e.plan.Notes, Note{Event: event,
+	e.plan.LogEvents = append(e.plan.LogEvents, LogEvent{Event: event,
 		Detail: "age_ms " + strconv.FormatInt(now.Sub(e.evacuations.readAt).Milliseconds(), 10)})
 }
 
--- a/placing/evacuation_test.go
+++ b/placing/evacuation_test.go
@@ -24,10 +24,10 @@
 	for _, submission := range submissions {
 		list = append(list, &jobs.Job{Submission: submission})
 	}
-	e.Load(list, FormerHandedOver, testStart)
-	e.Complete()
+	e.LoadJobs(list, FormerLeaderReleased, testStart)
+	e.MarkJobsComplete()
 	entries := []WorkerEntry{testWorkerInZone("a1", "z1"), testWorkerInZone("a2", "z1"), testWorkerInZone("b1", "z2"), testWorkerInZone("b2", "z2")}
-	e.List(entries, testStart)
+	e.UpdateWorkers(entries, testStart)
 	for _, entry := range entries {
 		e.Report(entry.ID, testStart, nil, nil, time.Time{}, testStart)
 	}
@@ -54,7 +54,7 @@
 	var starts []Start
 	for now := from; now.Before(from.Add(length)); now = now.Add(50 * time.Millisecond) {
 		starts = append(starts, e.Decide(now).Starts...)
-		e.Recorded(now)
+		e.MarkRecordsDurable(now)
 	}
 	return starts
 }
@@ -64,10 +64,10 @@
 func TestNothingStartsInEvacuatedZoneUntilRevoked(t *testing.T) {
 	is := is.New(t)
 	e := newZonedEngine(testJob("0000000000000001", 1, testStep(4, 8)))
-	e.Evacuate([]string{"z1"}, testStart)
+	e.SetEvacuatedZones([]string{"z1"}, testStart)
 	is.Equal(startsByZone(decideFor(e, testStart, time.Second)), map[string]int{"b": 2})
 	back := testStart.Add(time.Second)
-	e.Evacuate(nil, back)
+	e.SetEvacuatedZones(nil, back)
 	is.Equal(startsByZone(decideFor(e, back, 100*time.Millisecond)), map[string]int{"a": 2})
 }
 
@@ -75,10 +75,10 @@
 func TestSeveralZonesAreEvacuated(t *testing.T) {
 	is := is.New(t)
 	e := newZonedEngine(testJob("0000000000000001", 1, testStep(4, 8)))
-	e.Evacuate([]string{"z1"}, testStart)
-	e.Evacuate([]string{"nowhere", "z1", "z2"}, testStart)
+	e.SetEvacuatedZones([]string{"z1"}, testStart)
+	e.SetEvacuatedZones([]string{"nowhere", "z1", "z2"}, testStart)
 	is.Equal(len(decideFor(e, testStart, time.Second)), 0)
-	e.Evacuate([]string{"z1"}, testStart.Add(time.Second))
+	e.SetEvacuatedZones([]string{"z1"}, testStart.Add(time.Second))
 	is.Equal(startsByZone(decideFor(e, testStart.Add(time.Second), time.Second)), map[string]int{"b": 2})
 }
 
@@ -87,10 +87,10 @@
 func TestWorkerListedInAnEvacuatedZoneGetsNothing(t *testing.T) {
 	is := is.New(t)
 	e := testEngine(2)
-	e.Evacuate([]string{"z1"}, testStart)
-	e.Load([]*jobs.Job{{Submission: testJob("0000000000000001", 0, testStep(2, 8))}}, FormerUnknown, testStart)
-	e.Complete()
-	e.List([]WorkerEntry{testWorkerInZone("a1", "z1"), testWorkerInZone("b1", "z2")}, testStart)
+	e.SetEvacuatedZones([]string{"z1"}, testStart)
+	e.LoadJobs([]*jobs.Job{{Submission: testJob("0000000000000001", 0, testStep(2, 8))}}, FormerLeaderUnknown, testStart)
+	e.MarkJobsComplete()
+	e.UpdateWorkers([]WorkerEntry{testWorkerInZone("a1", "z1"), testWorkerInZone("b1", "z2")}, testStart)
 	e.Report("a1", testStart, nil, nil, time.Time{}, testStart)
 	e.Report("b1", testStart, nil, nil, time.Time{}, testStart)
 	is.Equal(startsByZone(decideFor(e, testStart, time.Second)), map[string]int{"b": 1})
@@ -102,8 +102,8 @@
 	is := is.New(t)
 	e := newZonedEngine(testJob("0000000000000001", 1, gangStep(2, 8)), testJob("0000000000000002", 1, gangStep(2, 8)))
 	e.Decide(testStart) // both gangs are placed, their records in flight
-	e.Evacuate([]string{"z1"}, testStart)
-	e.Recorded(testStart)
+	e.SetEvacuatedZones([]string{"z1"}, testStart)
+	e.MarkRecordsDurable(testStart)
 	starts := e.Decide(testStart.Add(time.Millisecond)).Starts
 	is.Equal(startsByZone(starts), map[string]int{"b": 2})
 	is.Equal(starts[0].Task.Job, starts[1].Task.Job)
@@ -116,8 +116,8 @@
 	is := is.New(t)
 	e := newZonedEngine(testJob("0000000000000001", 1, testStep(4, 8)))
 	e.Decide(testStart)
-	e.Recorded(testStart)
-	e.Evacuate([]string{"z1"}, testStart)
+	e.MarkRecordsDurable(testStart)
+	e.SetEvacuatedZones([]string{"z1"}, testStart)
 	is.Equal(startsByZone(e.Decide(testStart.Add(time.Millisecond)).Starts), map[string]int{"b": 2})
 	for _, n := range e.nodeOrder {
 		is.True(!n.evacuated || len(n.runs) == 0)
@@ -130,8 +130,8 @@
 	is := is.New(t)
 	e := newZonedEngine(testJob("0000000000000001", 1, spreadGang(3)))
 	e.Decide(testStart)
-	e.Evacuate([]string{"z1"}, testStart)
-	e.Recorded(testStart)
+	e.SetEvacuatedZones([]string{"z1"}, testStart)
+	e.MarkRecordsDurable(testStart)
 	is.Equal(len(decideFor(e, testStart, time.Second)), 0) // three do not fit into z2
 	for _, n := range e.nodeOrder {
 		is.Equal(len(n.runs), 0)
@@ -144,13 +144,13 @@
 	e := newZonedEngine(testJob("0000000000000001", 1, spreadGang(4)))
 	starts := startAll(e, testStart)
 	is.Equal(len(starts), 4)
-	e.Evacuate([]string{"z1"}, testStart)
+	e.SetEvacuatedZones([]string{"z1"}, testStart)
 	later := testStart.Add(2 * time.Second)
 	for _, start := range starts {
 		e.Report(start.Worker, later, []RunningTask{{Task: start.Task, Run: 1, Percent: 50}}, nil, time.Time{}, later)
 	}
 	is.Equal(len(e.Decide(later).Stops), 0)
-	end := EndedTask{Number: 1, Task: starts[0].Task, Run: 1, How: EndDone}
+	end := EndedTask{Number: 1, Task: starts[0].Task, Run: 1, Kind: EndDone}
 	e.Report(starts[0].Worker, later, nil, []EndedTask{end}, time.Time{}, later)
 	is.Equal(e.jobs["0000000000000001"].state, jobs.StateDone)
 }
@@ -161,13 +161,13 @@
 	is := is.New(t)
 	e := newZonedEngine(testJob("0000000000000001", 1, spreadGang(4)))
 	e.Decide(testStart)
-	e.Recorded(testStart)
+	e.MarkRecordsDurable(testStart)
 	starts := e.Decide(testStart).Starts
 	is.Equal(len(starts), 4)
 	for _, start := range starts[1:] {
 		e.StartAnswered(start.Worker, start.Task, start.Run, StartAccepted, testStart)
 	}
-	e.Evacuate([]string{"z1", "z2"}, testStart)
+	e.SetEvacuatedZones([]string{"z1", "z2"}, testStart)
 	is.Equal(len(e.Decide(testStart.Add(unansweredStartTimeout/2)).Stops), 0)
 	is.Equal(len(e.Decide(testStart.Add(unansweredStartTimeout)).Stops), 4)
 }
@@ -178,11 +178,11 @@
 	is := is.New(t)
 	e := newZonedEngine(testJob("0000000000000001", 1, testStep(1, 8)))
 	e.Decide(testStart)
-	e.Recorded(testStart)
+	e.MarkRecordsDurable(testStart)
 	start := e.Decide(testStart).Starts[0]
 	is.Equal(start.Worker[:1], "a")
 	e.StartAnswered(start.Worker, start.Task, start.Run, StartEvacuated, testStart) // a delegate learned of it before the leader
-	e.Evacuate([]string{"z1"}, testStart)
+	e.SetEvacuatedZones([]string{"z1"}, testStart)
 	is.Equal(startsByZone(decideFor(e, testStart.Add(50*time.Millisecond), 200*time.Millisecond)), map[string]int{"b": 1})
 	is.Equal(e.jobs[start.Task.Job].occurrences[0].steps[0].tasks[0].startBackoff.failures, 0)
 }
@@ -200,12 +200,12 @@
 	is := is.New(t)
 	e := newZonedEngine(testJob("0000000000000001", 2, testStep(4, 8)))
 	fillWorkers(e)
-	e.Evacuate([]string{"z1"}, testStart)
+	e.SetEvacuatedZones([]string{"z1"}, testStart)
 	now := testStart.Add(100 * time.Millisecond)
-	e.Learn(&jobs.Job{Submission: testJob("0000000000000002", 0, spreadGang(3))}, now)
+	e.ApplyJob(&jobs.Job{Submission: testJob("0000000000000002", 0, spreadGang(3))}, now)
 	is.Equal(len(e.Decide(now).Stops), 0)
 	now = now.Add(200 * time.Millisecond)
-	e.Learn(&jobs.Job{Submission: testJob("0000000000000003", 0, gangStep(2, 8))}, now)
+	e.ApplyJob(&jobs.Job{Submission: testJob("0000000000000003", 0, gangStep(2, 8))}, now)
 	stops := e.Decide(now).Stops
 	is.Equal(len(stops), 2)
 	for _, stop := range stops {
@@ -220,12 +220,12 @@
 	e := newZonedEngine(testJob("0000000000000001", 2, testStep(4, 8)))
 	fillWorkers(e)
 	now := testStart.Add(100 * time.Millisecond)
-	e.Learn(&jobs.Job{Submission: testJob("0000000000000002", 0, gangStep(2, 8))}, now)
+	e.ApplyJob(&jobs.Job{Submission: testJob("0000000000000002", 0, gangStep(2, 8))}, now)
 	stops := e.Decide(now).Stops
 	is.Equal(len(stops), 2)
 	zonePrefix := stops[0].Worker[:1]
 	zone := map[string]string{"a": "z1", "b": "z2"}[zonePrefix]
-	e.Evacuate([]string{zone}, now)
+	e.SetEvacuatedZones([]string{zone}, now)
 	is.True(e.jobs["0000000000000002"].reservation == nil)
 	now = now.Add(200 * time.Millisecond)
 	repeated := e.Decide(now).Stops
@@ -240,7 +240,7 @@
 	is := is.New(t)
 	e := newZonedEngine(testJob("0000000000000001", 2, testStep(4, 8)))
 	fillWorkers(e)
-	e.Evacuate([]string{"z1"}, testStart)
+	e.SetEvacuatedZones([]string{"z1"}, testStart)
 	load := e.loads(nil, e.schedulableView(testStart))["pool"]
 	is.Equal(load.capacity, 2.0)
 	is.Equal(load.used, 2.0)
@@ -253,17 +253,17 @@
 	is := is.New(t)
 	e := newZonedEngine(testJob("0000000000000001", 1, testStep(1, 8)))
 	limits := testLimits
-	limits.Evacuate = 5 * time.Second
+	limits.EvacuationTimeout = 5 * time.Second
 	e.SetLimits(limits)
-	e.EvacuationsSeen(testStart)
+	e.SetEvacuationsReadAt(testStart)
 	e.Decide(testStart) // placed, the record is in flight
 	resumed := testStart.Add(2501 * time.Millisecond)
-	e.Recorded(resumed)
-	e.EvacuationsSeen(testStart)
+	e.MarkRecordsDurable(resumed)
+	e.SetEvacuationsReadAt(testStart)
 	plan := e.Decide(resumed)
 	is.Equal(len(plan.Starts), 0)
-	is.Equal(plan.Notes[len(plan.Notes)-1].Event, "evacuations_unknown")
-	e.EvacuationsSeen(resumed)
+	is.Equal(plan.LogEvents[len(plan.LogEvents)-1].Event, "evacuations_unknown")
+	e.SetEvacuationsReadAt(resumed)
 	is.Equal(len(decideFor(e, resumed.Add(50*time.Millisecond), 200*time.Millisecond)), 1)
 }
 
@@ -272,17 +272,17 @@
 func TestEveryZoneEvacuated(t *testing.T) {
 	is := is.New(t)
 	e := newZonedEngine(testJob("0000000000000001", 0, testStep(2, 8)))
-	e.Evacuate([]string{"z1", "z2"}, testStart)
+	e.SetEvacuatedZones([]string{"z1", "z2"}, testStart)
 	plan := e.Decide(testStart)
 	is.Equal(len(plan.Records), 0)
 	detail := ""
-	for _, note := range plan.Notes {
+	for _, note := range plan.LogEvents {
 		if note.Event == "load" {
 			detail = note.Detail
 		}
 	}
 	is.True(strings.Contains(detail, "usable 0") && strings.Contains(detail, "evacuated 32"))
 	back := testStart.Add(3 * time.Second)
-	e.Evacuate(nil, back)
+	e.SetEvacuatedZones(nil, back)
 	is.Equal(len(decideFor(e, back, 100*time.Millisecond)), 2)
 }
--- a/placing/guarantee.go
+++ b/placing/guarantee.go
@@ -38,5 +38,5 @@
 // maxUrgentDelay returns how long an urgent step may wait for capacity in one rack, and
 // for other ways to free capacity than preempting urgent work.
 func (e *Engine) maxUrgentDelay() time.Duration {
-	return time.Duration(urgentDelayShare * float64(e.limits.Reclaim))
+	return time.Duration(urgentDelayShare * float64(e.limits.ReclaimTimeout))
 }
--- a/placing/headroom_test.go
+++ b/placing/headroom_test.go
@@ -65,7 +65,7 @@
 		worked, total := s.now.Sub(begin), s.work[run.task.key.Job]
 		if worked >= total {
 			s.endNumbers[worker]++
-			ends = append(ends, EndedTask{Number: s.endNumbers[worker], Task: run.task.key, Run: run.number, How: EndDone})
+			ends = append(ends, EndedTask{Number: s.endNumbers[worker], Task: run.task.key, Run: run.number, Kind: EndDone})
 			continue
 		}
 		running = append(running, RunningTask{Task: run.task.key, Run: run.number, Percent: int(100 * worked / total)})
@@ -161,7 +161,7 @@
 		e.demandsOf("pool").gang.update(12, now)
 		view := newView(nodes)
 		e.reserveHeadroom(nil, view, now.Add(example.sinceDemand))
-		e.Learn(&jobs.Job{Submission: testJob(hexID(99), 2, testStep(24, 4))}, now)
+		e.ApplyJob(&jobs.Job{Submission: testJob(hexID(99), 2, testStep(24, 4))}, now)
 		unit := e.waitingUnits(now)[0]
 		unit.deferrable = example.deferrable
 		is.Equal(len(view.fit(unit, true)), example.placements)
@@ -173,7 +173,7 @@
 func TestLateWorkIsNotHeldBack(t *testing.T) {
 	is := is.New(t)
 	e, now := loadedEngine(0)
-	e.Learn(&jobs.Job{Submission: testJob(hexID(1), 2, testStep(1, 1))}, now) // 4 s of work, due in 13 s
+	e.ApplyJob(&jobs.Job{Submission: testJob(hexID(1), 2, testStep(1, 1))}, now) // 4 s of work, due in 13 s
 	for _, example := range []struct {
 		after      time.Duration
 		deferrable bool
--- a/placing/health.go
+++ b/placing/health.go
@@ -58,7 +58,7 @@
 
 // updateHealth updates the health of a node from the end of a run.
 func (e *Engine) updateHealth(n *node, run *run, end EndedTask, now time.Time) {
-	switch end.How {
+	switch end.Kind {
 	case EndDone:
 		n.health.reset()
 		if run != nil {
@@ -68,7 +68,7 @@
 		before := n.health.backoffUntil
 		n.health.markFailed(now)
 		if n.health.backoffUntil != before {
-			e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_rested", Worker: n.entry.ID, Detail: n.health.backoff.String()})
+			e.plan.LogEvents = append(e.plan.LogEvents, LogEvent{Event: "worker_rested", Worker: n.entry.ID, Detail: n.health.backoff.String()})
 		}
 	}
 }
--- a/placing/idle_test.go
+++ b/placing/idle_test.go
@@ -33,7 +33,7 @@
 		}
 		entries = append(entries, entry)
 	}
-	c.engine.List(entries, c.now)
+	c.engine.UpdateWorkers(entries, c.now)
 }
 
 // All other workers are idle, and the estimates are long.
@@ -106,7 +106,7 @@
 // failRun reports the first run of a job's task as failed.
 func (c *cluster) failRun(worker string, job *jobs.Submission) {
 	c.endNumbers[worker]++
-	end := EndedTask{Number: c.endNumbers[worker], Task: jobs.TaskKey{Job: job.ID}, Run: 1, How: EndFailed}
+	end := EndedTask{Number: c.endNumbers[worker], Task: jobs.TaskKey{Job: job.ID}, Run: 1, Kind: EndFailed}
 	c.engine.Report(worker, c.now, nil, []EndedTask{end}, time.Time{}, c.now)
 }
 
--- a/placing/incarnation.go
+++ b/placing/incarnation.go
@@ -11,9 +11,9 @@
 // while the next incarnation is there but not known yet is carried out by that one. An order
 // that had reached an incarnation is lost with it.
 
-// LifeID returns the ID of one incarnation of a worker. Where the platform does not state
+// IncarnationID returns the ID of one incarnation of a worker. Where the platform does not state
 // when incarnations begin, as each has a name of its own, it is the name.
-func LifeID(name string, bornMS int64) string {
+func IncarnationID(name string, bornMS int64) string {
 	if bornMS == 0 {
 		return name
 	}
@@ -79,12 +79,12 @@
 	}
 }
 
-// Reborn reports that an incarnation of a worker has ended, as a later one answers that
+// ReplaceIncarnation reports that an incarnation of a worker has ended, as a later one answers that
 // began at bornMS; 0 stands for another worker at its address. Orders that the later
 // incarnation may yet carry out are stopped there: next is then its entry, to be polled
 // though it may not be listed. If the incarnation that answers began earlier, its answer
 // is late and proves nothing against one that has reported.
-func (e *Engine) Reborn(worker string, bornMS int64, now time.Time) (next WorkerEntry, mustWatch bool) {
+func (e *Engine) ReplaceIncarnation(worker string, bornMS int64, now time.Time) (next WorkerEntry, mustWatch bool) {
 	former := e.nodes[worker]
 	if former == nil {
 		return WorkerEntry{}, false
@@ -101,8 +101,8 @@
 		return WorkerEntry{}, false
 	}
 	e.recordAnswer(former.entry.Name, bornMS, now)
-	entry := WorkerEntry{ID: LifeID(former.entry.Name, bornMS), Name: former.entry.Name, BornMS: bornMS, Address: former.entry.Address}
-	later := e.ensureNode(entry, now.Add(LeaseLapse(e.limits.Lease)))
+	entry := WorkerEntry{ID: IncarnationID(former.entry.Name, bornMS), Name: former.entry.Name, BornMS: bornMS, Address: former.entry.Address}
+	later := e.ensureNode(entry, now.Add(LeaseExpiry(e.limits.MaxLease)))
 	if later.entry.Address == "" {
 		later.entry.Address = entry.Address
 	}
--- a/placing/incarnation_test.go
+++ b/placing/incarnation_test.go
@@ -14,7 +14,7 @@
 	entry := testWorker(name, "r1-1")
 	entry.Name = name
 	entry.BornMS = bornMS
-	entry.ID = LifeID(name, bornMS)
+	entry.ID = IncarnationID(name, bornMS)
 	return entry
 }
 
@@ -24,11 +24,11 @@
 	t.Helper()
 	e := testEngine(1)
 	first := incarnationEntry("w1", 100)
-	e.List([]WorkerEntry{first}, testStart)
+	e.UpdateWorkers([]WorkerEntry{first}, testStart)
 	e.Report(first.ID, testStart, nil, nil, time.Time{}, testStart)
 	submission := testJob(hexID(1), 1, testStep(1, 8))
 	e.addJob(submission, testStart)
-	e.Complete()
+	e.MarkJobsComplete()
 	starts := startAll(e, testStart)
 	if len(starts) != 1 || starts[0].Worker != first.ID {
 		t.Fatalf("starts %v", starts)
@@ -46,7 +46,7 @@
 	e, key := engineWithRunningTask(t)
 	later := incarnationEntry("w1", 200)
 	now := testStart.Add(2 * time.Second)
-	e.List([]WorkerEntry{later}, now)
+	e.UpdateWorkers([]WorkerEntry{later}, now)
 	is.Equal(len(e.Decide(now).Starts), 0) // a list alone proves nothing: the former may go on
 	e.Report(later.ID, now, nil, nil, now.Add(6*time.Second), now)
 	is.Equal(e.jobs[key.Job].task(key).losses.total, 1)
@@ -64,14 +64,14 @@
 	e, key := engineWithRunningTask(t)
 	former, present := incarnationEntry("w1", 100), incarnationEntry("w1", 200)
 	now := testStart.Add(2 * time.Second)
-	e.List([]WorkerEntry{present}, now)
+	e.UpdateWorkers([]WorkerEntry{present}, now)
 	e.Report(present.ID, now, nil, nil, now.Add(6*time.Second), now)
 	is.Equal(len(startAll(e, now.Add(time.Second))), 1)
-	e.Report(former.ID, now, nil, []EndedTask{{Number: 1, Task: key, Run: 1, How: EndDone}}, now, now)
-	e.Reborn(former.ID, 200, now)
-	e.Unreachable(former.ID, now, now)
+	e.Report(former.ID, now, nil, []EndedTask{{Number: 1, Task: key, Run: 1, Kind: EndDone}}, now, now)
+	e.ReplaceIncarnation(former.ID, 200, now)
+	e.WorkerUnreachable(former.ID, now, now)
 	e.StartAnswered(former.ID, key, 2, StartRefused, now)
-	is.Equal(len(e.List([]WorkerEntry{former}, now)), 0)
+	is.Equal(len(e.UpdateWorkers([]WorkerEntry{former}, now)), 0)
 	is.True(!e.jobs[key.Job].task(key).done)
 	is.Equal(e.jobs[key.Job].task(key).run.number, 2)
 	is.Equal(len(e.Decide(now.Add(2*time.Second)).Acks), 0)
@@ -84,23 +84,23 @@
 	is := is.New(t)
 	e := testEngine(1)
 	first, other := incarnationEntry("w1", 100), incarnationEntry("w2", 100)
-	e.List([]WorkerEntry{first}, testStart)
+	e.UpdateWorkers([]WorkerEntry{first}, testStart)
 	e.Report(first.ID, testStart, nil, nil, time.Time{}, testStart)
 	e.addJob(testJob(hexID(1), 1, testStep(1, 8)), testStart)
-	e.Complete()
+	e.MarkJobsComplete()
 	key := startAll(e, testStart)[0].Task
 	now := testStart.Add(time.Second)
-	e.List([]WorkerEntry{first, other}, now) // the list does not show the next incarnation yet
+	e.UpdateWorkers([]WorkerEntry{first, other}, now) // the list does not show the next incarnation yet
 	e.Report(other.ID, now, nil, nil, time.Time{}, now)
-	next, mustWatch := e.Reborn(first.ID, 200, now)
+	next, mustWatch := e.ReplaceIncarnation(first.ID, 200, now)
 	is.True(mustWatch)
-	is.Equal(next.ID, LifeID("w1", 200))
+	is.Equal(next.ID, IncarnationID("w1", 200))
 	plan := e.Decide(now)
 	is.Equal(plan.Stops, []Stop{{Task: key, Run: 1, Worker: next.ID}})
 	is.Equal(len(startAll(e, now.Add(time.Second))), 0) // not while it may be there
 	now = now.Add(2 * time.Second)
-	e.StopAnswered(next.ID, key, 1, now)
-	e.Report(next.ID, now.Add(time.Second), nil, []EndedTask{{Number: 1, Task: key, Run: 1, How: EndStopped}}, time.Time{}, now.Add(time.Second))
+	e.StopAcknowledged(next.ID, key, 1, now)
+	e.Report(next.ID, now.Add(time.Second), nil, []EndedTask{{Number: 1, Task: key, Run: 1, Kind: EndStopped}}, time.Time{}, now.Add(time.Second))
 	starts := startAll(e, now.Add(2*time.Second))
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Worker, other.ID)
@@ -129,9 +129,9 @@
 			e := testEngine(2)
 			job := e.addJob(testJob(hexID(1), 1, testStep(1, 8)), testStart)
 			e.applyProgress(job, &jobs.Progress{State: jobs.StateRunning, Tasks: []jobs.TaskProgress{{Run: 1, Worker: "w1", BornMS: c.bornMS}}}, testStart.Add(10*time.Second))
-			e.Complete()
+			e.MarkJobsComplete()
 			entry := incarnationEntry("w1", 200)
-			e.List([]WorkerEntry{entry}, testStart)
+			e.UpdateWorkers([]WorkerEntry{entry}, testStart)
 			e.Report(entry.ID, testStart, c.rows, nil, time.Time{}, testStart)
 			task := job.task(key)
 			is.Equal(task.run != nil && task.run.number == 1, c.goesOn)
@@ -145,8 +145,8 @@
 // Where workers have a new name for each incarnation the ID is the name.
 func TestIncarnationIDWithoutBirthIsTheName(t *testing.T) {
 	is := is.New(t)
-	is.Equal(LifeID("i-1", 0), "i-1")
-	is.Equal(LifeID("i-1", 5), "i-1@5")
+	is.Equal(IncarnationID("i-1", 0), "i-1")
+	is.Equal(IncarnationID("i-1", 5), "i-1@5")
 }
 
 // A late answer of a former incarnation to a request to the present one ends no run.
@@ -155,12 +155,12 @@
 	e, key := engineWithRunningTask(t)
 	entry := incarnationEntry("w1", 100)
 	now := testStart.Add(2 * time.Second)
-	e.Reborn(entry.ID, 50, now)
+	e.ReplaceIncarnation(entry.ID, 50, now)
 	is.True(e.jobs[key.Job].task(key).run != nil)
 	e.Report(entry.ID, now, []RunningTask{{Task: key, Run: 1, Percent: 20}}, nil, now.Add(6*time.Second), now)
 	is.Equal(e.jobs[key.Job].task(key).run.number, 1)
 	is.Equal(e.jobs[key.Job].task(key).losses.total, 0)
-	is.Equal(len(e.List([]WorkerEntry{entry}, now)), 1)
+	is.Equal(len(e.UpdateWorkers([]WorkerEntry{entry}, now)), 1)
 }
 
 // A worker whose time of day was put back begins an incarnation that seems to be an earlier
@@ -170,15 +170,15 @@
 	e, key := engineWithRunningTask(t)
 	former, present := incarnationEntry("w1", 100), incarnationEntry("w1", 40)
 	now := testStart.Add(2 * time.Second)
-	is.Equal(len(e.List([]WorkerEntry{present}, now)), 0)
-	e.Unreachable(former.ID, now.Add(6*time.Second), now)
-	e.Reborn(former.ID, 40, now)
+	is.Equal(len(e.UpdateWorkers([]WorkerEntry{present}, now)), 0)
+	e.WorkerUnreachable(former.ID, now.Add(6*time.Second), now)
+	e.ReplaceIncarnation(former.ID, 40, now)
 	now = now.Add(7 * time.Second)
 	e.Decide(now)
 	is.True(e.jobs[key.Job].task(key).run == nil) // its leases have expired
 	now = now.Add(answerRetention)
-	e.List(nil, now)
-	is.Equal(len(e.List([]WorkerEntry{present}, now)), 1)
+	e.UpdateWorkers(nil, now)
+	is.Equal(len(e.UpdateWorkers([]WorkerEntry{present}, now)), 1)
 	e.Report(present.ID, now, nil, nil, now.Add(6*time.Second), now)
 	is.Equal(len(startAll(e, now)), 0) // for a while a task that was lost waits for a worker that was not recently restarted
 	starts := startAll(e, now.Add(maxIsolationDelay+time.Second))
--- a/placing/job.go
+++ b/placing/job.go
@@ -262,7 +262,7 @@
 	if recorded.Worker == "" {
 		return
 	}
-	node := e.ensureNode(WorkerEntry{ID: LifeID(recorded.Worker, recorded.BornMS), Name: recorded.Worker, BornMS: recorded.BornMS}, leaseExpiry)
+	node := e.ensureNode(WorkerEntry{ID: IncarnationID(recorded.Worker, recorded.BornMS), Name: recorded.Worker, BornMS: recorded.BornMS}, leaseExpiry)
 	task.run = &run{task: task, number: recorded.Run, node: node, phase: phaseRunning, unconfirmed: true, resumed: true}
 	node.addRun(task.run)
 }
--- a/placing/limits.go
+++ b/placing/limits.go
@@ -4,51 +4,51 @@
 
 // Limits holds the time limits that the deployment states.
 type Limits struct {
-	Lease      time.Duration // longest lease of what runs on a worker
-	StopWithin time.Duration // longest time a stop takes
-	Reclaim    time.Duration // within which guaranteed urgent jobs begin
-	KeepEnded  time.Duration // retention time of ended jobs
-	// Evacuate is the time after which nothing starts any more in an evacuated zone; 0 where
+	MaxLease          time.Duration // longest lease of what runs on a worker
+	MaxStopTime       time.Duration // longest time a stop takes
+	ReclaimTimeout    time.Duration // within which guaranteed urgent jobs begin
+	EndedJobRetention time.Duration // retention time of ended jobs
+	// EvacuationTimeout is the time after which nothing starts any more in an evacuated zone; 0 where
 	// the platform states none.
-	Evacuate time.Duration
-	// HolderGone is when a former leader that lost the store has certainly given up;
+	EvacuationTimeout time.Duration
+	// LostLeaderTimeout is when a former leader that lost the store has certainly given up;
 	// leases that it granted until then may still be in use.
-	HolderGone time.Duration
-	// HandedOver is the same for a former leader that released the term.
-	HandedOver time.Duration
-	// HolderEnded is the same for a former leader whose process has ended: its delegates
+	LostLeaderTimeout time.Duration
+	// ReleasedTermTimeout is the same for a former leader that released the term.
+	ReleasedTermTimeout time.Duration
+	// ExitedLeaderTimeout is the same for a former leader whose process has ended: its delegates
 	// may go on for so long.
-	HolderEnded time.Duration
+	ExitedLeaderTimeout time.Duration
 }
 
-// Former says how the former leader lost the term.
-type Former int
+// FormerLeaderState says how the former leader lost the term.
+type FormerLeaderState int
 
 // States of a former leader.
 const (
-	FormerUnknown    Former = iota // it may go on for a while, cut off from the store
-	FormerHandedOver               // it released the term
-	FormerEnded                    // its process has ended
+	FormerLeaderUnknown  FormerLeaderState = iota // it may go on for a while, cut off from the store
+	FormerLeaderReleased                          // it released the term
+	FormerLeaderExited                            // its process has ended
 )
 
 // String returns the name used in logs.
-func (f Former) String() string {
+func (f FormerLeaderState) String() string {
 	switch f {
-	case FormerHandedOver:
+	case FormerLeaderReleased:
 		return "handed_over"
-	case FormerEnded:
+	case FormerLeaderExited:
 		return "ended"
 	}
 	return "unknown"
 }
 
 // formerLeaderTimeout returns how long a former leader may go on granting leases.
-func (l *Limits) formerLeaderTimeout(former Former) time.Duration {
+func (l *Limits) formerLeaderTimeout(former FormerLeaderState) time.Duration {
 	switch former {
-	case FormerHandedOver:
-		return l.HandedOver
-	case FormerEnded:
-		return l.HolderEnded
+	case FormerLeaderReleased:
+		return l.ReleasedTermTimeout
+	case FormerLeaderExited:
+		return l.ExitedLeaderTimeout
 	}
-	return l.HolderGone
+	return l.LostLeaderTimeout
 }
--- a/placing/long_running_test.go
+++ b/placing/long_running_test.go
@@ -36,11 +36,11 @@
 	c := newCluster(1)
 	c.submit(testJob(hexID(1), 2, longRunningStep(1)))
 	c.steps(2)
-	for number, how := range []How{EndFailed, EndDone, EndLapsed, EndFailed, EndBroken} {
+	for number, how := range []EndKind{EndFailed, EndDone, EndLeaseExpired, EndFailed, EndGangBroken} {
 		task := c.engine.jobs[hexID(1)].allTasks()[0]
 		is.True(task.run != nil)
 		worker := task.run.node.entry.ID
-		end := EndedTask{Number: int64(number + 1), Task: task.key, Run: task.run.number, How: how}
+		end := EndedTask{Number: int64(number + 1), Task: task.key, Run: task.run.number, Kind: how}
 		c.endNumbers[worker]++
 		end.Number = c.endNumbers[worker]
 		c.engine.Report(worker, c.now, nil, []EndedTask{end}, time.Time{}, c.now)
@@ -74,11 +74,11 @@
 	for _, id := range c.workerIDs {
 		entry := c.engine.nodes[id].entry
 		if id == leaving.entry.ID {
-			entry.Leaving, entry.Remaining = true, 5*time.Second
+			entry.Leaving, entry.MinRemaining = true, 5*time.Second
 		}
 		entries = append(entries, entry)
 	}
-	c.engine.List(entries, c.now)
+	c.engine.UpdateWorkers(entries, c.now)
 	c.steps(3)
 	is.True(c.allRunning(hexID(1)))
 	is.Equal(len(leaving.runs), 0)
@@ -89,8 +89,8 @@
 	is := is.New(t)
 	c := newCluster(1)
 	entries := []WorkerEntry{testWorker("w00", "r1-0"), testWorker("w01", "r1-0"), testWorker("w02", "r1-0")}
-	entries[0].Leaving, entries[0].Remaining = true, time.Minute
-	c.engine.List(entries, c.now) // w03 is not listed
+	entries[0].Leaving, entries[0].MinRemaining = true, time.Minute
+	c.engine.UpdateWorkers(entries, c.now) // w03 is not listed
 	c.submit(testJob(hexID(1), 0, testStep(32, 1)))
 	c.steps(3)
 	is.Equal(len(c.engine.nodes["w00"].runs), 0)
@@ -115,7 +115,7 @@
 		var list []int
 		for _, pace := range c.reportLoad(worker, load).Paces {
 			list = append(list, pace.Percent)
-			c.engine.PaceAnswered(pace)
+			c.engine.PaceAcknowledged(pace)
 		}
 		return list
 	}
--- a/placing/loss.go
+++ b/placing/loss.go
@@ -71,7 +71,7 @@
 // logLoss logs the loss of a node that had runs.
 func (e *Engine) logLoss(n *node, reason string, runs int, now time.Time) {
 	if runs > 0 {
-		e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_lost", Worker: n.entry.ID,
+		e.plan.LogEvents = append(e.plan.LogEvents, LogEvent{Event: "worker_lost", Worker: n.entry.ID,
 			Detail: fmt.Sprintf("%s runs %d %s", reason, runs, n.silenceDetail(now))})
 	}
 }
--- a/placing/loss_test.go
+++ b/placing/loss_test.go
@@ -16,13 +16,13 @@
 	is := is.New(t)
 	now := testStart
 	engine := testEngine(1)
-	engine.Load([]*jobs.Job{{Submission: testJob("0000000000000001", 1, testStep(2, 1))}}, FormerHandedOver, now)
-	engine.List([]WorkerEntry{testWorker("w1", "r1-1")}, now)
+	engine.LoadJobs([]*jobs.Job{{Submission: testJob("0000000000000001", 1, testStep(2, 1))}}, FormerLeaderReleased, now)
+	engine.UpdateWorkers([]WorkerEntry{testWorker("w1", "r1-1")}, now)
 	engine.Report("w1", now, nil, nil, time.Time{}, now)
 	is.Equal(len(startAll(engine, now)), 2)
 
-	engine.Unreachable("w1", now.Add(6*time.Second), now.Add(20*time.Millisecond))
-	engine.Reborn("w1", 0, now.Add(3*time.Second))
+	engine.WorkerUnreachable("w1", now.Add(6*time.Second), now.Add(20*time.Millisecond))
+	engine.ReplaceIncarnation("w1", 0, now.Add(3*time.Second))
 	plan := engine.Decide(now.Add(3 * time.Second))
 
 	is.Equal(eventDetails(plan, "worker_lost"), []string{"worker reborn runs 2 silent_ms 2980"})
@@ -33,7 +33,7 @@
 
 func eventDetails(plan Plan, event string) []string {
 	var list []string
-	for _, note := range plan.Notes {
+	for _, note := range plan.LogEvents {
 		if note.Event == event {
 			list = append(list, note.Detail)
 		}
@@ -51,17 +51,17 @@
 	task := c.engine.jobs[hexID(1)].allTasks()[0]
 	leaving := task.run.node.entry
 	leaving.Leaving = true
-	leaving.Remaining = 100 * time.Millisecond
+	leaving.MinRemaining = 100 * time.Millisecond
 	entries := []WorkerEntry{leaving}
 	for _, id := range c.workerIDs {
 		if id != leaving.ID {
 			entries = append(entries, c.engine.nodes[id].entry)
 		}
 	}
-	c.engine.List(entries, c.now)
+	c.engine.UpdateWorkers(entries, c.now)
 	c.now = c.now.Add(100 * time.Millisecond)
-	c.engine.Unreachable(leaving.ID, c.now.Add(time.Second), c.now)
-	c.engine.List(entries[1:], c.now)
+	c.engine.WorkerUnreachable(leaving.ID, c.now.Add(time.Second), c.now)
+	c.engine.UpdateWorkers(entries[1:], c.now)
 	c.now = c.now.Add(2 * time.Second)
 	c.engine.Decide(c.now)
 	is.Equal(task.losses.total, 0)
@@ -75,22 +75,22 @@
 	is := is.New(t)
 	e := testEngine(1)
 	e.addJob(testJob(hexID(1), 1, testStep(1, 8)), testStart)
-	e.Complete()
+	e.MarkJobsComplete()
 	job := e.jobs[hexID(1)]
 	now := testStart
 	for incarnation := range int64(3) {
 		entry := incarnationEntry("w1", 100+incarnation)
 		e.recentlyRestarted = map[string]time.Time{} // so that each counts as another worker
-		e.List([]WorkerEntry{entry}, now)
+		e.UpdateWorkers([]WorkerEntry{entry}, now)
 		e.Report(entry.ID, now, nil, nil, now.Add(10*time.Second), now)
 		e.Decide(now)
-		e.Recorded(now)
+		e.MarkRecordsDurable(now)
 		is.Equal(len(e.Decide(now).Starts), 1)
 		now = now.Add(500 * time.Millisecond)
-		e.Unreachable(entry.ID, now.Add(6*time.Second), now)
+		e.WorkerUnreachable(entry.ID, now.Add(6*time.Second), now)
 		now = now.Add(3 * time.Second)
-		e.List(nil, now)
-		e.Reborn(entry.ID, 0, now)
+		e.UpdateWorkers(nil, now)
+		e.ReplaceIncarnation(entry.ID, 0, now)
 		now = now.Add(3 * time.Second)
 	}
 	is.True(!job.state.Final())
--- a/placing/node.go
+++ b/placing/node.go
@@ -16,9 +16,9 @@
 	leaseMargin = 400 * time.Millisecond
 )
 
-// LeaseLapse returns the time after which a lease of some length has certainly
+// LeaseExpiry returns the time after which a lease of some length has certainly
 // expired, counted from sending the order that requested it.
-func LeaseLapse(lease time.Duration) time.Duration {
+func LeaseExpiry(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)*(1+clockDrift)) + leaseMargin
 }
 
@@ -114,10 +114,10 @@
 	return n
 }
 
-// List sets the workers that the platform lists now, and returns those that are present as
+// UpdateWorkers sets the workers that the platform lists now, and returns those that are present as
 // far as known. Workers that are not listed any more get nothing new; their runs go on
 // while they answer.
-func (e *Engine) List(entries []WorkerEntry, now time.Time) []WorkerEntry {
+func (e *Engine) UpdateWorkers(entries []WorkerEntry, now time.Time) []WorkerEntry {
 	for _, n := range e.nodeOrder {
 		n.listed = false
 	}
@@ -129,8 +129,8 @@
 		present = append(present, entry)
 		n := e.ensureNode(entry, now)
 		if entry.Leaving && !n.entry.Leaving {
-			n.leaveAt = now.Add(entry.Remaining)
-			e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_leaving", Worker: entry.ID, Detail: "remaining " + entry.Remaining.String()})
+			n.leaveAt = now.Add(entry.MinRemaining)
+			e.plan.LogEvents = append(e.plan.LogEvents, LogEvent{Event: "worker_leaving", Worker: entry.ID, Detail: "remaining " + entry.MinRemaining.String()})
 		}
 		e.logResize(n, entry)
 		n.entry = entry
@@ -155,15 +155,15 @@
 		e.removeIncarnation(n)
 		delete(e.pendingAcks, n)
 		delete(e.acksInFlight, n)
-		e.plan.Forget = append(e.plan.Forget, n.entry.ID)
+		e.plan.RemovedWorkers = append(e.plan.RemovedWorkers, n.entry.ID)
 	}
 	clear(e.nodeOrder[len(remaining):])
 	e.nodeOrder = remaining
 }
 
-// Unreachable reports that a poll was not answered. leasesExpireAt is when all leases
+// WorkerUnreachable reports that a poll was not answered. leasesExpireAt is when all leases
 // there expire if none is renewed.
-func (e *Engine) Unreachable(worker string, leasesExpireAt, now time.Time) {
+func (e *Engine) WorkerUnreachable(worker string, leasesExpireAt, now time.Time) {
 	n := e.nodes[worker]
 	if n == nil {
 		return
--- a/placing/pace.go
+++ b/placing/pace.go
@@ -115,8 +115,8 @@
 	return fullPace
 }
 
-// PaceAnswered records that a worker acknowledged a pace.
-func (e *Engine) PaceAnswered(pace Pace) {
+// PaceAcknowledged records that a worker acknowledged a pace.
+func (e *Engine) PaceAcknowledged(pace Pace) {
 	if run := e.findRun(pace.Worker, pace.Task, pace.Run); run != nil {
 		run.throttled = pace.Percent < fullPace
 		run.pacePercent = pace.Percent
--- a/placing/pass.go
+++ b/placing/pass.go
@@ -21,7 +21,7 @@
 	}
 	interval := minPassInterval + time.Duration(len(e.nodeOrder))*passIntervalPerNode
 	if now.Sub(e.lastPassAt) < interval {
-		e.plan.Again = interval - now.Sub(e.lastPassAt)
+		e.plan.RecheckAfter = interval - now.Sub(e.lastPassAt)
 		return
 	}
 	e.lastPassAt = now
--- a/placing/preempt.go
+++ b/placing/preempt.go
@@ -79,11 +79,11 @@
 
 // endsSoon reports whether a run was stopped and its end is not late.
 func (e *Engine) endsSoon(run *run, now time.Time) bool {
-	return !run.stoppedAt.IsZero() && now.Sub(run.stoppedAt) < e.limits.StopWithin+reservationSlack
+	return !run.stoppedAt.IsZero() && now.Sub(run.stoppedAt) < e.limits.MaxStopTime+reservationSlack
 }
 
 func (e *Engine) reserve(unit *unit, placements []placement, view *view, now time.Time) {
-	unit.reserve(&reservation{step: unit.step, placements: placements, expiresAt: now.Add(e.limits.StopWithin + reservationSlack)}, view)
+	unit.reserve(&reservation{step: unit.step, placements: placements, expiresAt: now.Add(e.limits.MaxStopTime + reservationSlack)}, view)
 }
 
 // selectVictims selects the runs to stop. A gang that is slow outside of one rack gets the rack
--- a/placing/rack_delay_test.go
+++ b/placing/rack_delay_test.go
@@ -42,7 +42,7 @@
 		"away": func(c *cluster, rack string) {
 			for _, n := range c.engine.nodeOrder {
 				if n.entry.Rack == rack {
-					c.engine.Unreachable(n.entry.ID, time.Time{}, c.now.Add(-reconnectTimeout))
+					c.engine.WorkerUnreachable(n.entry.ID, time.Time{}, c.now.Add(-reconnectTimeout))
 					return
 				}
 			}
--- a/placing/rank.go
+++ b/placing/rank.go
@@ -247,7 +247,7 @@
 	onTime := !finish.After(start.Add(objective))
 	late := !finish.After(start.Add(lateFactor * objective))
 	switch {
-	case job.queue.Priority == 0 && (late || now.Sub(start) < urgentHoldFactor*e.limits.Reclaim):
+	case job.queue.Priority == 0 && (late || now.Sub(start) < urgentHoldFactor*e.limits.ReclaimTimeout):
 		u.tier = tierUrgent
 	case onTime:
 		u.tier = tierOnTime
--- a/placing/ready_time_test.go
+++ b/placing/ready_time_test.go
@@ -38,14 +38,14 @@
 	first := c.engine.jobs[submission.ID].occurrences[0].steps[0].tasks[0]
 	c.now = c.now.Add(4 * time.Second)
 	ready := c.now
-	end := EndedTask{Number: 1, Task: first.key, Run: 1, How: EndDone}
+	end := EndedTask{Number: 1, Task: first.key, Run: 1, Kind: EndDone}
 	c.engine.Report(first.run.node.entry.ID, c.now, nil, []EndedTask{end}, time.Time{}, c.now)
 	records := c.engine.Decide(c.now).Records
 
 	for _, later := range []time.Duration{time.Second, 5 * time.Second} {
 		next := testEngine(2)
-		next.Load(foldJobs(t, submission, records), FormerHandedOver, ready.Add(later))
-		next.Complete()
+		next.LoadJobs(foldJobs(t, submission, records), FormerLeaderReleased, ready.Add(later))
+		next.MarkJobsComplete()
 		next.Decide(ready.Add(later))
 		step := next.jobs[submission.ID].occurrences[0].steps[1]
 		is.True(step.readyAt.Equal(ready))
@@ -63,7 +63,7 @@
 	} {
 		submission.AcceptedMS = testStart.Add(-age).UnixMilli()
 		e := testEngine(1)
-		e.Load([]*jobs.Job{{Submission: submission}}, FormerHandedOver, testStart)
+		e.LoadJobs([]*jobs.Job{{Submission: submission}}, FormerLeaderReleased, testStart)
 		e.Decide(testStart)
 		is.True(e.jobs[submission.ID].occurrences[0].steps[0].readyAt.Equal(ready))
 	}
--- a/placing/report.go
+++ b/placing/report.go
@@ -16,7 +16,7 @@
 	}
 	e.handleAnswer(n, now)
 	if !n.reported {
-		e.plan.Notes = append(e.plan.Notes, Note{Event: "worker_reported", Worker: worker,
+		e.plan.LogEvents = append(e.plan.LogEvents, LogEvent{Event: "worker_reported", Worker: worker,
 			Detail: "running " + strconv.Itoa(len(running)) + " ended " + strconv.Itoa(len(ended))})
 	}
 	n.reported = true
@@ -179,7 +179,7 @@
 	e.applyTaskEnd(job, task, run, end, now)
 	if run != nil {
 		run.unconfirmed = false
-		e.endRun(run, "ended "+string(end.How), now)
+		e.endRun(run, "ended "+string(end.Kind), now)
 	}
 	if !job.state.Final() {
 		e.markDirty(job)
@@ -190,7 +190,7 @@
 // the node.
 func (e *Engine) logSkippedEnd(n *node, end EndedTask) {
 	if run := n.findRun(end.Task, end.Run); run != nil {
-		e.logEvent("end_passed_over", run.task.step.job, n.entry.ID, end.Task.String()+" run "+strconv.Itoa(end.Run)+" "+string(end.How)+
+		e.logEvent("end_passed_over", run.task.step.job, n.entry.ID, end.Task.String()+" run "+strconv.Itoa(end.Run)+" "+string(end.Kind)+
 			" number "+strconv.FormatInt(end.Number, 10)+" seen "+strconv.FormatInt(n.lastEnd, 10))
 	}
 }
@@ -204,13 +204,13 @@
 		return
 	}
 	task.lastEndedRun = end.Run
-	if task.step.spec.LongRunning && end.How == EndFailed {
+	if task.step.spec.LongRunning && end.Kind == EndFailed {
 		task.longRunningEnded(run, now)
 	}
 	if end.Checkpoint != "" {
 		e.recordCheckpoint(task, end.Checkpoint)
 	}
-	switch end.How {
+	switch end.Kind {
 	case EndDone:
 		e.taskDone(job, task, now)
 	case EndFailed:
--- a/placing/resize_test.go
+++ b/placing/resize_test.go
@@ -18,7 +18,7 @@
 		}
 		entries = append(entries, entry)
 	}
-	c.engine.List(entries, c.now)
+	c.engine.UpdateWorkers(entries, c.now)
 }
 
 // oneWorker returns a cluster of one worker with eight accelerators.
@@ -60,7 +60,7 @@
 			c.engine.Decide(c.now) // placed, the record is being appended
 			worker := c.engine.jobs[hexID(1)].allTasks()[0].run.node.entry.ID
 			c.resize(worker, 4)
-			c.engine.Recorded(c.now)
+			c.engine.MarkRecordsDurable(c.now)
 			acceleratorsOn := map[string]int64{}
 			for range 4 {
 				for _, start := range c.step().Starts {
@@ -97,7 +97,7 @@
 			is := is.New(t)
 			c := newCluster(1)
 			c.engine.Configure(nil, nil, map[string]bool{"pool": unguarded})
-			c.engine.ListSeen(c.now)
+			c.engine.SetListReadAt(c.now)
 			c.submit(testJob(hexID(1), 1, testStep(1, 1)))
 			c.steps(2)
 			is.True(c.allRunning(hexID(1)))
@@ -105,7 +105,7 @@
 			c.submit(testJob(hexID(2), 1, testStep(1, 1)))
 			c.steps(2)
 			is.Equal(c.allRunning(hexID(2)), !unguarded)
-			c.engine.ListSeen(c.now)
+			c.engine.SetListReadAt(c.now)
 			c.steps(2)
 			is.True(c.allRunning(hexID(2)))
 		})
--- a/placing/runs.go
+++ b/placing/runs.go
@@ -12,13 +12,13 @@
 
 // Results of a start.
 const (
-	StartAccepted  StartResult = iota
-	StartRefused               // refused; it never starts
-	StartNoTicket              // refused without a valid ticket
-	StartNoRoom                // refused, as the task does not fit there now
-	StartBusy                  // refused, as the worker is unhealthy
-	StartUnknown               // no answer; it may take effect, also later
-	StartEvacuated             // not sent, as the worker's availability zone is evacuated, or may be
+	StartAccepted   StartResult = iota
+	StartRefused                // refused; it never starts
+	StartNoTicket               // refused without a valid ticket
+	StartNoCapacity             // refused, as the task does not fit there now
+	StartBusy                   // refused, as the worker is unhealthy
+	StartUnknown                // no answer; it may take effect, also later
+	StartEvacuated              // not sent, as the worker's availability zone is evacuated, or may be
 )
 
 const (
@@ -114,7 +114,7 @@
 		run.node.fullUntil = now.Add(noCapacityBackoff)
 	case StartNoTicket:
 		run.task.step.dropTicket(run.node.entry.ID)
-	case StartNoRoom:
+	case StartNoCapacity:
 		run.node.fullUntil = now.Add(noCapacityBackoff)
 	case StartBusy:
 		run.node.health.markBusy(now)
@@ -161,9 +161,9 @@
 	e.plan.Stops = append(e.plan.Stops, Stop{Task: run.task.key, Run: run.number, Worker: run.node.entry.ID})
 }
 
-// StopAnswered records that a worker acknowledged a stop. From then on the run cannot start
+// StopAcknowledged records that a worker acknowledged a stop. From then on the run cannot start
 // there, and the worker's next report tells whether it had started.
-func (e *Engine) StopAnswered(worker string, key jobs.TaskKey, number int, now time.Time) {
+func (e *Engine) StopAcknowledged(worker string, key jobs.TaskKey, number int, now time.Time) {
 	if run := e.findRun(worker, key, number); run != nil && run.stopDoneAt.IsZero() {
 		run.stopDoneAt = now
 	}
--- a/placing/sim_evacuation_test.go
+++ b/placing/sim_evacuation_test.go
@@ -39,7 +39,7 @@
 		return
 	}
 	l.evacuated = maps.Clone(s.evacuated)
-	l.engine.Evacuate(slices.Sorted(maps.Keys(s.evacuated)), s.now)
+	l.engine.SetEvacuatedZones(slices.Sorted(maps.Keys(s.evacuated)), s.now)
 }
 
 // checkEvacuation checks that a leader sends no start to a zone after it has read of its
--- a/placing/sim_idle_test.go
+++ b/placing/sim_idle_test.go
@@ -104,7 +104,7 @@
 	}
 	for _, task := range progress.Tasks {
 		if task.Worker != "" {
-			s.delays.loggedPlacement[keys[task.Flat]] = LifeID(task.Worker, task.BornMS)
+			s.delays.loggedPlacement[keys[task.Flat]] = IncarnationID(task.Worker, task.BornMS)
 		}
 	}
 }
@@ -132,7 +132,7 @@
 			continue
 		}
 		for _, end := range worker.unackedEnds {
-			if end.How == EndDone {
+			if end.Kind == EndDone {
 				f.done[end.Task] = true
 			}
 		}
@@ -204,7 +204,7 @@
 // log places it on a removed worker that has never answered this leader, and a former leader
 // may have granted it a lease that has not lapsed.
 func (f *fleet) mayStillRun(unit waitingUnit) bool {
-	granted := f.sim.delays.lastLeaderChangeAt.Add(LeaseLapse(testLimits.Lease) + testLimits.HolderGone)
+	granted := f.sim.delays.lastLeaderChangeAt.Add(LeaseExpiry(testLimits.MaxLease) + testLimits.LostLeaderTimeout)
 	if f.sim.now.After(granted) {
 		return false
 	}
--- a/placing/sim_mixed_test.go
+++ b/placing/sim_mixed_test.go
@@ -186,7 +186,7 @@
 	for _, job := range s.jobs {
 		if job.Steps[len(job.Steps)-1].LongRunning {
 			s.appendRecords([]jobs.Record{jobs.CancelRecord(job.ID)})
-			s.leader.engine.Learn(s.table.Job(job.ID), s.now)
+			s.leader.engine.ApplyJob(s.table.Job(job.ID), s.now)
 		}
 	}
 }
--- a/placing/sim_orders_test.go
+++ b/placing/sim_orders_test.go
@@ -54,15 +54,15 @@
 func (s *simulation) sendStart(l *modelLeader, start Start) {
 	id := start.Worker
 	if l.answered[id] {
-		l.leaseUntil[id] = s.now.Add(testLimits.Lease)
-		l.leaseLapseAt[id] = s.now.Add(LeaseLapse(testLimits.Lease))
+		l.leaseUntil[id] = s.now.Add(testLimits.MaxLease)
+		l.leaseLapseAt[id] = s.now.Add(LeaseExpiry(testLimits.MaxLease))
 	}
 	until := l.leaseUntil[id]
 	s.sendOrder(s.findWorker(id).entry.Name, func(worker *modelWorker) bool {
 		if worker.entry.ID != id && !until.IsZero() {
 			// The lease is far in the future on the clock of another incarnation, so it is
 			// shortened.
-			until = s.now.Add(testLimits.Lease)
+			until = s.now.Add(testLimits.MaxLease)
 		}
 		return s.startRun(worker, l.epoch, start, until)
 	}, func(done, lost bool) {
@@ -70,7 +70,7 @@
 		switch {
 		case lost:
 			result = StartUnknown
-			l.leaseLapseAt[id] = laterTime(l.leaseLapseAt[id], s.now.Add(LeaseLapse(testLimits.Lease)))
+			l.leaseLapseAt[id] = laterTime(l.leaseLapseAt[id], s.now.Add(LeaseExpiry(testLimits.MaxLease)))
 		case done:
 			result = StartAccepted
 		}
@@ -161,7 +161,7 @@
 		return true
 	}, func(done, _ bool) {
 		if done {
-			l.engine.StopAnswered(stop.Worker, stop.Task, stop.Run, s.now)
+			l.engine.StopAcknowledged(stop.Worker, stop.Task, stop.Run, s.now)
 		}
 	})
 }
--- a/placing/sim_test.go
+++ b/placing/sim_test.go
@@ -147,7 +147,7 @@
 	entry.Zone = rack
 	entry.Name = name
 	entry.BornMS = s.now.UnixMilli()
-	entry.ID = LifeID(name, entry.BornMS)
+	entry.ID = IncarnationID(name, entry.BornMS)
 	if name == s.soleWorker {
 		entry.Labels = append(entry.Labels, soleLabel)
 	}
@@ -241,8 +241,8 @@
 	leader := &modelLeader{engine: testEngine(s.logEpoch), epoch: s.logEpoch, acks: map[string]int64{}, lastAnswerAt: map[string]time.Time{}, leaseUntil: map[string]time.Time{},
 		leaseLapseAt: map[string]time.Time{}, answered: map[string]bool{}, links: map[string]bool{}}
 	s.readEvacuations(leader)
-	leader.engine.Load(s.table.All(), FormerUnknown, s.now)
-	leader.engine.Complete()
+	leader.engine.LoadJobs(s.table.All(), FormerLeaderUnknown, s.now)
+	leader.engine.MarkJobsComplete()
 	s.leader = leader
 	s.readWorkerList(leader)
 }
@@ -263,7 +263,7 @@
 		}
 		entries = append(entries, s.listing[name])
 	}
-	s.openLinks(l, l.engine.List(entries, s.now))
+	s.openLinks(l, l.engine.UpdateWorkers(entries, s.now))
 }
 
 // openLinks opens links to incarnations that have none.
@@ -309,7 +309,7 @@
 			s.appendRecords(plan.Records)
 			s.schedule(s.networkDelay(), func() {
 				if !l.deposed {
-					l.engine.Recorded(s.now)
+					l.engine.MarkRecordsDurable(s.now)
 				}
 			})
 		})
@@ -324,7 +324,7 @@
 	for _, stop := range plan.Stops {
 		s.sendStop(l, stop)
 	}
-	for _, worker := range plan.Forget {
+	for _, worker := range plan.RemovedWorkers {
 		delete(l.links, worker)
 	}
 }
--- a/placing/sim_workers_test.go
+++ b/placing/sim_workers_test.go
@@ -23,8 +23,8 @@
 		ack = l.acks[id]
 	}
 	if extends {
-		l.leaseLapseAt[id] = sent.Add(LeaseLapse(testLimits.Lease))
-		l.leaseUntil[id] = sent.Add(testLimits.Lease)
+		l.leaseLapseAt[id] = sent.Add(LeaseExpiry(testLimits.MaxLease))
+		l.leaseUntil[id] = sent.Add(testLimits.MaxLease)
 	}
 	until := l.leaseUntil[id]
 	s.sendOrder(entry.Name, func(worker *modelWorker) bool {
@@ -36,7 +36,7 @@
 		if worker.entry.ID != id {
 			born := worker.entry.BornMS
 			s.schedule(s.networkDelay(), func() {
-				next, watch := l.engine.Reborn(id, born, s.now)
+				next, watch := l.engine.ReplaceIncarnation(id, born, s.now)
 				if watch {
 					s.openLinks(l, []WorkerEntry{next})
 				}
@@ -44,7 +44,7 @@
 			return true
 		}
 		if worker.entry.ID != id && !until.IsZero() {
-			until = s.now.Add(testLimits.Lease) // as for a start
+			until = s.now.Add(testLimits.MaxLease) // as for a start
 		}
 		worker.leaseUntil = laterTime(worker.leaseUntil, until)
 		s.acknowledgeEnds(worker, ack)
@@ -61,7 +61,7 @@
 	}, func(_, lost bool) {
 		if lost {
 			l.answered[id] = false
-			l.engine.Unreachable(id, l.leaseLapseAt[id], s.now)
+			l.engine.WorkerUnreachable(id, l.leaseLapseAt[id], s.now)
 		}
 		s.schedule(60*time.Millisecond, func() { s.pollWorker(l, entry) })
 	})
@@ -75,7 +75,7 @@
 			continue
 		}
 		// An end before the lease lapsed doesn't count as acknowledged after it.
-		if end.How == EndDone && worker.endTimes[end.Number].After(worker.leaseLapsedAt) {
+		if end.Kind == EndDone && worker.endTimes[end.Number].After(worker.leaseLapsedAt) {
 			s.ackedDone[end.Task] = true
 		}
 	}
@@ -91,7 +91,7 @@
 	return running, append([]EndedTask(nil), m.unackedEnds...)
 }
 
-func (s *simulation) endRun(worker *modelWorker, run *modelRun, how How) {
+func (s *simulation) endRun(worker *modelWorker, run *modelRun, how EndKind) {
 	if worker.running[run.key] != run {
 		return
 	}
@@ -99,7 +99,7 @@
 	worker.highestEndedRun[run.key] = max(worker.highestEndedRun[run.key], run.number)
 	worker.lastEndNumber++
 	worker.endTimes[worker.lastEndNumber] = s.now
-	worker.unackedEnds = append(worker.unackedEnds, EndedTask{Number: worker.lastEndNumber, Task: run.key, Run: run.number, How: how})
+	worker.unackedEnds = append(worker.unackedEnds, EndedTask{Number: worker.lastEndNumber, Task: run.key, Run: run.number, Kind: how})
 	if how == EndDone {
 		s.done[run.key] = true
 	}
@@ -120,7 +120,7 @@
 	for _, run := range sortedRuns(worker) {
 		switch {
 		case len(worker.running) > 0 && worker.leaseUntil.Before(s.now) && s.now.Sub(run.startedAt) > time.Second:
-			s.endRun(worker, run, EndLapsed)
+			s.endRun(worker, run, EndLeaseExpired)
 		case run.gangSize > 0 && s.now.Sub(run.startedAt) <= min(run.runTime, gangJoinTimeout): // too early for any end
 		case run.gangSize > 0:
 			s.advanceGang(worker, run)
@@ -167,7 +167,7 @@
 	}
 	switch {
 	case running < run.gangSize && s.now.Sub(run.startedAt) > gangJoinTimeout:
-		s.endRun(worker, run, EndAlone)
+		s.endRun(worker, run, EndGangIncomplete)
 	case running == run.gangSize && s.now.Sub(latest) > run.runTime:
 		how := gangMemberEnd(members, run)
 		for _, member := range members {
@@ -182,19 +182,19 @@
 
 // gangMemberEnd returns how each member of a completed gang ends: as done, as failed, or as
 // broken if another member failed.
-func gangMemberEnd(members []*modelWorker, run *modelRun) func(*modelRun) How {
+func gangMemberEnd(members []*modelWorker, run *modelRun) func(*modelRun) EndKind {
 	broken := false
 	for _, member := range members {
 		for _, candidate := range member.running {
 			broken = broken || candidate.fails && stepKey(candidate.key) == stepKey(run.key)
 		}
 	}
-	return func(candidate *modelRun) How {
+	return func(candidate *modelRun) EndKind {
 		switch {
 		case candidate.fails:
 			return EndFailed
 		case broken:
-			return EndBroken
+			return EndGangBroken
 		}
 		return EndDone
 	}
@@ -241,7 +241,7 @@
 		if len(s.jobs) > 0 && s.rng.IntN(4) == 0 {
 			id := s.jobs[s.rng.IntN(len(s.jobs))].ID
 			s.appendRecords([]jobs.Record{jobs.CancelRecord(id)})
-			s.leader.engine.Learn(s.table.Job(id), s.now)
+			s.leader.engine.ApplyJob(s.table.Job(id), s.now)
 		}
 	case 5, 6:
 		if worker.up && !s.removed[worker.entry.Name] {
@@ -303,7 +303,7 @@
 		s.violationf("submission: %v", err)
 	}
 	s.appendRecords([]jobs.Record{record})
-	s.leader.engine.Learn(s.table.Job(job.ID), s.now)
+	s.leader.engine.ApplyJob(s.table.Job(job.ID), s.now)
 }
 
 func hexID(number int) string {
--- a/placing/speed_test.go
+++ b/placing/speed_test.go
@@ -29,13 +29,13 @@
 	step := testStep(2*speedWorkers, 1)
 	step.MaxPerWorker = 2
 	e = testEngine(1)
-	e.Load([]*jobs.Job{{Submission: testJob("0000000000000001", 2, step)}}, FormerHandedOver, testStart)
-	e.Complete()
+	e.LoadJobs([]*jobs.Job{{Submission: testJob("0000000000000001", 2, step)}}, FormerLeaderReleased, testStart)
+	e.MarkJobsComplete()
 	var entries []WorkerEntry
 	for number := range speedWorkers {
 		entries = append(entries, testWorker(fmt.Sprintf("w%02d", number), fmt.Sprintf("r1-%d", number/6)))
 	}
-	e.List(entries, testStart)
+	e.UpdateWorkers(entries, testStart)
 	for _, entry := range entries {
 		e.Report(entry.ID, testStart, nil, nil, time.Time{}, testStart)
 	}
@@ -66,7 +66,7 @@
 	e, now := mixedFleet(is, speedOfWorker)
 	gang := testStep(8, 6)
 	gang.Gang = true
-	e.Learn(&jobs.Job{Submission: testJob("0000000000000002", 0, gang)}, now)
+	e.ApplyJob(&jobs.Job{Submission: testJob("0000000000000002", 0, gang)}, now)
 	starts := startAll(e, now.Add(100*time.Millisecond))
 	is.Equal(len(starts), 8)
 	slowest := math.Inf(1)
@@ -112,8 +112,8 @@
 	e.recordSpeed(e.nodes["w02"], 7)
 	is.Equal(e.nodes["w02"].speed, before)
 	entry := e.nodes["w02"].entry
-	entry.ID, entry.Name, entry.BornMS = LifeID("w02", 7), "w02", 7
-	e.List([]WorkerEntry{entry}, now)
+	entry.ID, entry.Name, entry.BornMS = IncarnationID("w02", 7), "w02", 7
+	e.UpdateWorkers([]WorkerEntry{entry}, now)
 	is.Equal(e.nodes[entry.ID].speed.factor(), 1.0)
 }
 
--- a/placing/stall.go
+++ b/placing/stall.go
@@ -87,13 +87,13 @@
 func (e *Engine) mustStopBeforeLeave(run *run, now time.Time) bool {
 	left := run.node.leaveAt.Sub(now)
 	if run.task.step.spec.LongRunning {
-		return run.task.step.disruptionAllowed(run) || left < e.limits.StopWithin+leaveMargin
+		return run.task.step.disruptionAllowed(run) || left < e.limits.MaxStopTime+leaveMargin
 	}
 	if e.remainingTime(run, now) <= left {
 		return false
 	}
 	if run.task.step.spec.Checkpoints {
-		return left < e.limits.StopWithin+leaveMargin
+		return left < e.limits.MaxStopTime+leaveMargin
 	}
 	return true
 }
--- a/placing/start_backoff_test.go
+++ b/placing/start_backoff_test.go
@@ -39,7 +39,7 @@
 		for _, start := range c.step().Starts {
 			starts++
 			c.endNumbers[start.Worker]++
-			end := EndedTask{Number: c.endNumbers[start.Worker], Task: start.Task, Run: start.Run, How: EndFailed}
+			end := EndedTask{Number: c.endNumbers[start.Worker], Task: start.Task, Run: start.Run, Kind: EndFailed}
 			c.now = c.now.Add(10 * time.Millisecond)
 			c.engine.Report(start.Worker, c.now, nil, []EndedTask{end}, time.Time{}, c.now)
 		}
@@ -52,7 +52,7 @@
 func (c *cluster) stepRefusingStarts(id string) []Start {
 	c.now = c.now.Add(50 * time.Millisecond)
 	c.engine.Decide(c.now)
-	c.engine.Recorded(c.now)
+	c.engine.MarkRecordsDurable(c.now)
 	plan := c.engine.Decide(c.now)
 	for _, start := range plan.Starts {
 		result := StartAccepted
--- a/placing/summary.go
+++ b/placing/summary.go
@@ -35,6 +35,6 @@
 	for _, unit := range units {
 		waiting[unit.tier] += int64(len(unit.tasks)) * unit.step.need().Accelerators
 	}
-	e.plan.Notes = append(e.plan.Notes, Note{Event: "load", Detail: fmt.Sprintf(
+	e.plan.LogEvents = append(e.plan.LogEvents, LogEvent{Event: "load", Detail: fmt.Sprintf(
 		"accelerators %d usable %d evacuated %d busy %d stopping %d waiting_by_tier %v jobs %d", total, usable, evacuated, busy, stopping, waiting, len(e.active))})
 }
--- a/placing/urgent_test.go
+++ b/placing/urgent_test.go
@@ -23,14 +23,14 @@
 
 func newClusterOf(racks, perRack int) *cluster {
 	c := &cluster{engine: testEngine(1), now: testStart, endNumbers: map[string]int64{}}
-	c.engine.Load(nil, FormerHandedOver, c.now)
+	c.engine.LoadJobs(nil, FormerLeaderReleased, c.now)
 	var entries []WorkerEntry
 	for i := range racks * perRack {
 		id := fmt.Sprintf("w%02d", i)
 		c.workerIDs = append(c.workerIDs, id)
 		entries = append(entries, testWorker(id, fmt.Sprintf("r1-%d", i/perRack)))
 	}
-	c.engine.List(entries, c.now)
+	c.engine.UpdateWorkers(entries, c.now)
 	for _, id := range c.workerIDs {
 		c.engine.Report(id, c.now, nil, nil, time.Time{}, c.now)
 	}
@@ -38,7 +38,7 @@
 }
 
 func (c *cluster) submit(submission *jobs.Submission) {
-	c.engine.Learn(&jobs.Job{Submission: submission}, c.now)
+	c.engine.ApplyJob(&jobs.Job{Submission: submission}, c.now)
 }
 
 // step advances time by 50 ms: records are durable, starts are accepted, and stopped runs are
@@ -46,7 +46,7 @@
 func (c *cluster) step() Plan {
 	c.now = c.now.Add(50 * time.Millisecond)
 	plan := c.engine.Decide(c.now)
-	c.engine.Recorded(c.now)
+	c.engine.MarkRecordsDurable(c.now)
 	started := c.engine.Decide(c.now)
 	plan.Starts = append(plan.Starts, started.Starts...)
 	plan.Stops = append(plan.Stops, started.Stops...)
@@ -55,7 +55,7 @@
 	}
 	for _, stop := range plan.Stops {
 		c.endNumbers[stop.Worker]++
-		end := EndedTask{Number: c.endNumbers[stop.Worker], Task: stop.Task, Run: stop.Run, How: EndStopped}
+		end := EndedTask{Number: c.endNumbers[stop.Worker], Task: stop.Task, Run: stop.Run, Kind: EndStopped}
 		c.engine.Report(stop.Worker, c.now, c.runningTasks(stop), []EndedTask{end}, time.Time{}, c.now)
 	}
 	return plan
@@ -123,7 +123,7 @@
 	c.submit(urgent)
 	stopped := 0
 	start := c.now
-	for !c.allRunning(urgent.ID) && c.now.Sub(start) < testLimits.Reclaim {
+	for !c.allRunning(urgent.ID) && c.now.Sub(start) < testLimits.ReclaimTimeout {
 		stopped += len(c.step().Stops)
 	}
 	is.True(c.allRunning(urgent.ID))
@@ -140,7 +140,7 @@
 	for i := range 6 {
 		c.submit(testJob(hexID(50+i), 0, gangStep(2, 8)))
 	}
-	c.steps(int(testLimits.Reclaim / (50 * time.Millisecond)))
+	c.steps(int(testLimits.ReclaimTimeout / (50 * time.Millisecond)))
 	for i := range 6 {
 		is.True(c.allRunning(hexID(50 + i)))
 		is.Equal(len(c.racksOf(hexID(50+i))), 1)
@@ -184,7 +184,7 @@
 	spread := testJob(hexID(98), 0, gangStep(3, 8))
 	c.submit(spread)
 	c.submit(testJob(hexID(99), 0, gangStep(4, 8)))
-	rackDelay := time.Duration(urgentDelayShare * float64(testLimits.Reclaim))
+	rackDelay := time.Duration(urgentDelayShare * float64(testLimits.ReclaimTimeout))
 	c.steps(int(rackDelay/(50*time.Millisecond)) + 4)
 	is.True(c.allRunning(spread.ID))
 	is.Equal(len(c.racksOf(spread.ID)), 3)
@@ -222,14 +222,14 @@
 	owed.Workspace = "nashua"
 	c.submit(owed)
 	start, stopped := c.now, 0
-	for !c.allRunning(owed.ID) && c.now.Sub(start) < testLimits.Reclaim {
+	for !c.allRunning(owed.ID) && c.now.Sub(start) < testLimits.ReclaimTimeout {
 		stopped += len(c.step().Stops)
 	}
 	is.True(c.allRunning(owed.ID))
 	is.Equal(stopped, 16)
 	second := testJob(hexID(100), 0, gangStep(2, 8)) // beyond the guarantee, so it waits
 	c.submit(second)
-	c.steps(int(testLimits.Reclaim / (50 * time.Millisecond)))
+	c.steps(int(testLimits.ReclaimTimeout / (50 * time.Millisecond)))
 	is.True(!c.allRunning(second.ID))
 }
 
--- a/placing/worker.go
+++ b/placing/worker.go
@@ -9,18 +9,18 @@
 // WorkerEntry is one incarnation of a worker as the platform lists it. A restarted worker may
 // keep its name; each incarnation has an ID of its own.
 type WorkerEntry struct {
-	ID        string // LifeID of Name and BornMS
-	Name      string // the platform's name of the worker
-	BornMS    int64  // Unix milliseconds of the start of this incarnation; 0 if unknown
-	Address   string // IP:PORT
-	Pool      string
-	Kind      string // label of the type of worker
-	Rack      string
-	Zone      string // availability zone; empty if unknown
-	Labels    []string
-	Capacity  jobs.Resources
-	Leaving   bool
-	Remaining time.Duration // minimum time left while Leaving
+	ID           string // IncarnationID of Name and BornMS
+	Name         string // the platform's name of the worker
+	BornMS       int64  // Unix milliseconds of the start of this incarnation; 0 if unknown
+	Address      string // IP:PORT
+	Pool         string
+	Kind         string // label of the type of worker
+	Rack         string
+	Zone         string // availability zone; empty if unknown
+	Labels       []string
+	Capacity     jobs.Resources
+	Leaving      bool
+	MinRemaining time.Duration // minimum time left while Leaving
 }
 
 // HasLabel reports whether the worker carries a label. It is true for the empty label.
@@ -45,17 +45,17 @@
 	Load       int64 // tail latency in milliseconds, or thousandths of cores in use
 }
 
-// How is the way in which a run ended.
-type How string
+// EndKind is the way in which a run ended.
+type EndKind string
 
 // Ends of runs as workers report them.
 const (
-	EndDone    How = "done"
-	EndFailed  How = "failed"  // through the task or the worker
-	EndStopped How = "stopped" // by a stop order
-	EndLapsed  How = "lapsed"  // its lease ran out
-	EndBroken  How = "broken"  // another member of its gang ended
-	EndAlone   How = "alone"   // the gang was not complete in time
+	EndDone           EndKind = "done"
+	EndFailed         EndKind = "failed"  // through the task or the worker
+	EndStopped        EndKind = "stopped" // by a stop order
+	EndLeaseExpired   EndKind = "lapsed"  // its lease ran out
+	EndGangBroken     EndKind = "broken"  // another member of its gang ended
+	EndGangIncomplete EndKind = "alone"   // the gang was not complete in time
 )
 
 // EndedTask is the end of a run, which a worker reports until it is acknowledged.
@@ -63,6 +63,6 @@
 	Number     int64 // counts the ends of this incarnation of the worker
 	Task       jobs.TaskKey
 	Run        int
-	How        How
+	Kind       EndKind
 	Checkpoint string
 }
