--- a/batch/batch_test.go
+++ b/batch/batch_test.go
@@ -118,17 +118,17 @@
 		fate    error
 	}{
 		{nil, nil},
-		{[]error{ErrNotDone}, ErrNotDone},
-		{[]error{ErrUnknown, nil}, nil},
-		{[]error{ErrUnknown, ErrNotDone}, ErrUnknown}, // the first try may still take effect
-		{[]error{ErrUnknown, ErrUnknown}, ErrUnknown},
+		{[]error{ErrNotApplied}, ErrNotApplied},
+		{[]error{ErrResultUnknown, nil}, nil},
+		{[]error{ErrResultUnknown, ErrNotApplied}, ErrResultUnknown}, // the first try may still take effect
+		{[]error{ErrResultUnknown, ErrResultUnknown}, ErrResultUnknown},
 	} {
 		committer := startCommitter(t, &scriptedStore{results: c.results})
 		is.Equal(committer.write(context.Background(), jobs.CancelRecord("a")), c.fate)
 	}
 }
 
-// A record that its caller withdrew before it was sent is never sent, so the outcome ErrNotDone is
+// A record that its caller withdrew before it was sent is never sent, so the outcome ErrNotApplied is
 // correct.
 func TestGivenUpBeforeSendingIsNotDone(t *testing.T) {
 	is := is.New(t)
@@ -141,7 +141,7 @@
 	}
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	is.Equal(committer.write(cancelled, jobs.CancelRecord("second")), ErrNotDone)
+	is.Equal(committer.write(cancelled, jobs.CancelRecord("second")), ErrNotApplied)
 	close(store.block)
 	is.NoErr(<-first)
 	is.NoErr(committer.write(context.Background(), jobs.CancelRecord("third")))
@@ -159,11 +159,11 @@
 
 var errDown = errors.New("out of reach")
 
-func (downStore) Append(context.Context, int, []jobs.Record, *Fence) error { return ErrNotDone }
+func (downStore) Append(context.Context, int, []jobs.Record, *Fence) error { return ErrNotApplied }
 func (downStore) Read(context.Context, Stream, int, int64, time.Duration) (Batch, error) {
 	return Batch{}, errDown
 }
-func (downStore) Newest(context.Context, Stream, int) (Batch, error) { return Batch{}, errDown }
+func (downStore) ReadNewest(context.Context, Stream, int) (Batch, error) { return Batch{}, errDown }
 
 func discardLog() *logrus.Entry {
 	log := logrus.New()
@@ -195,9 +195,9 @@
 			seen = append(seen, record.Key)
 		}
 	}}
-	f.applyBatch(Batch{Records: []jobs.Record{{Key: "1"}, {Key: "2"}, {Key: "3"}}, Offsets: []int64{1, 2, 3}, Next: 4}, testNow)
-	f.applyBatch(Batch{Records: []jobs.Record{{Key: "2"}, {Key: "3"}}, Offsets: []int64{2, 3}, Next: 4}, testNow)
-	f.applyBatch(Batch{Records: []jobs.Record{{Key: "9"}}, Offsets: []int64{9}, Next: 10}, testNow)
+	f.applyBatch(Batch{Records: []jobs.Record{{Key: "1"}, {Key: "2"}, {Key: "3"}}, Offsets: []int64{1, 2, 3}, NextOffset: 4}, testNow)
+	f.applyBatch(Batch{Records: []jobs.Record{{Key: "2"}, {Key: "3"}}, Offsets: []int64{2, 3}, NextOffset: 4}, testNow)
+	f.applyBatch(Batch{Records: []jobs.Record{{Key: "9"}}, Offsets: []int64{9}, NextOffset: 10}, testNow)
 	is.Equal(seen, []string{"2", "3"})
 	is.Equal(f.nextOffset, int64(4))
 }
@@ -206,10 +206,10 @@
 // that callers get the definite answer that their job did not run.
 func TestUnresponsiveStoreIsNotWrittenTo(t *testing.T) {
 	is := is.New(t)
-	committer := startCommitter(t, &scriptedStore{results: []error{ErrUnknown, ErrUnknown}})
+	committer := startCommitter(t, &scriptedStore{results: []error{ErrResultUnknown, ErrResultUnknown}})
 	before := committer.clock.Now()
 	is.True(!committer.unresponsive(before))
-	is.Equal(committer.write(context.Background(), jobs.CancelRecord("a")), ErrUnknown)
+	is.Equal(committer.write(context.Background(), jobs.CancelRecord("a")), ErrResultUnknown)
 	for committer.unknownAt.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -239,7 +239,7 @@
 	s.appends++
 	s.lock.Unlock()
 	<-ctx.Done()
-	return ErrUnknown
+	return ErrResultUnknown
 }
 
 func (s *lossyStore) contains(_ context.Context, records []jobs.Record) (bool, error) {
@@ -264,12 +264,12 @@
 		is.NoErr(committer.append(t.Context(), []*commit{{record: jobs.CancelRecord("a")}}))
 		is.Equal(store.appends, 1)
 		committer.readBack = func(context.Context, []jobs.Record) (bool, error) { return false, nil }
-		is.Equal(committer.append(t.Context(), []*commit{{record: jobs.CancelRecord("a")}}), ErrUnknown)
+		is.Equal(committer.append(t.Context(), []*commit{{record: jobs.CancelRecord("a")}}), ErrResultUnknown)
 		is.Equal(store.appends, 1+maxCommitTries)
 		// If reads fail too, the call goes to other instances without another try.
 		committer.readBack = func(context.Context, []jobs.Record) (bool, error) { return false, errDown }
 		err := committer.append(t.Context(), []*commit{{record: jobs.CancelRecord("a")}})
-		is.True(errors.Is(err, errStoreUnreachable) && errors.Is(err, ErrUnknown))
+		is.True(errors.Is(err, errStoreUnreachable) && errors.Is(err, ErrResultUnknown))
 		is.Equal(store.appends, 2+maxCommitTries)
 	})
 }
@@ -287,7 +287,7 @@
 		record, err := jobs.TermRecord(jobs.Term{Epoch: 3, Leader: "a/1", Renewals: 6})
 		is.NoErr(err)
 		instance.fold.apply(statePart, Batch{Records: []jobs.Record{record}, Offsets: []int64{0}})
-		is.Equal(writer.states.tryAppend(t.Context(), nil), ErrUnknown)
+		is.Equal(writer.states.tryAppend(t.Context(), nil), ErrResultUnknown)
 		record, err = jobs.TermRecord(renewed)
 		is.NoErr(err)
 		instance.fold.apply(statePart, Batch{Records: []jobs.Record{record}, Offsets: []int64{1}})
@@ -379,6 +379,6 @@
 		instance := writer.leader.instance
 		instance.fold.apply(7, Batch{Records: first, Offsets: []int64{0, 1}})
 		is.NoErr(writer.progress.tryAppend(t.Context(), first))
-		is.Equal(writer.progress.tryAppend(t.Context(), second), ErrUnknown)
+		is.Equal(writer.progress.tryAppend(t.Context(), second), ErrResultUnknown)
 	})
 }
--- a/batch/bounds.go
+++ b/batch/bounds.go
@@ -9,13 +9,13 @@
 
 // Bounds are the settings that may change while an instance runs.
 type Bounds struct {
-	Lease      time.Duration // longest lease that a worker grants
-	StopWithin time.Duration // longest time that a stop takes
-	Reclaim    time.Duration // time within which guaranteed urgent jobs start
-	KeepEnded  time.Duration // retention of ended jobs
-	// Evacuate is the time after which nothing starts any more in an evacuated availability zone;
+	MaxLease          time.Duration // longest lease that a worker grants
+	MaxStopTime       time.Duration // longest time that a stop takes
+	ReclaimTimeout    time.Duration // time within which guaranteed urgent jobs start
+	EndedJobRetention time.Duration // retention of ended jobs
+	// EvacuationTimeout is the time after which nothing starts any more in an evacuated availability zone;
 	// 0 if no bound is set.
-	Evacuate time.Duration
+	EvacuationTimeout time.Duration
 }
 
 // boundsPropagationTime is how long after a change here other instances may still use the previous
@@ -34,7 +34,7 @@
 }
 
 func newBounds(first Bounds) *bounds {
-	return &bounds{current: first, shortestLease: first.Lease, longestLease: first.Lease}
+	return &bounds{current: first, shortestLease: first.MaxLease, longestLease: first.MaxLease}
 }
 
 // update puts new bounds in force.
@@ -42,8 +42,8 @@
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.expireOldLeases(now)
-	b.shortestLease = min(b.shortestLease, next.Lease)
-	b.longestLease = max(b.longestLease, next.Lease)
+	b.shortestLease = min(b.shortestLease, next.MaxLease)
+	b.longestLease = max(b.longestLease, next.MaxLease)
 	b.propagatedAt = now.Add(boundsPropagationTime + placing.LeaseExpiry(b.longestLease))
 	b.current = next
 }
@@ -53,8 +53,8 @@
 	if now.Before(b.propagatedAt) {
 		return
 	}
-	b.shortestLease = b.current.Lease
-	b.longestLease = b.current.Lease
+	b.shortestLease = b.current.MaxLease
+	b.longestLease = b.current.MaxLease
 }
 
 func (b *bounds) latest() Bounds {
@@ -90,10 +90,10 @@
 	current := i.bounds.latest()
 	return placing.Limits{
 		MaxLease:            i.bounds.maxGrantedLease(now),
-		MaxStopTime:         current.StopWithin,
-		ReclaimTimeout:      current.Reclaim,
-		EndedJobRetention:   current.KeepEnded,
-		EvacuationTimeout:   current.Evacuate,
+		MaxStopTime:         current.MaxStopTime,
+		ReclaimTimeout:      current.ReclaimTimeout,
+		EndedJobRetention:   current.EndedJobRetention,
+		EvacuationTimeout:   current.EvacuationTimeout,
 		LostLeaderTimeout:   leaderGiveUpTime,
 		ReleasedTermTimeout: handOverTimeout,
 		// A delegate may keep driving workers for an ended leader until its grant expires.
--- a/batch/bounds_test.go
+++ b/batch/bounds_test.go
@@ -35,16 +35,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBounds(Bounds{Lease: c.leases[0]})
+			b := newBounds(Bounds{MaxLease: c.leases[0]})
 			is.Equal(b.leaseToRequest(start), c.leases[0])
 			is.Equal(b.maxGrantedLease(start), c.leases[0])
 			now := start
 			for _, lease := range c.leases[1:] {
 				now = now.Add(time.Second)
-				b.update(Bounds{Lease: lease}, now)
+				b.update(Bounds{MaxLease: lease}, now)
 			}
 			newest := c.leases[len(c.leases)-1]
-			is.Equal(b.latest().Lease, newest)
+			is.Equal(b.latest().MaxLease, newest)
 			// The last lease that another instance requested under the previous bounds has not lapsed yet.
 			lastMoment := now.Add(boundsPropagationTime + placing.LeaseExpiry(longLease) - time.Millisecond)
 			for _, at := range []time.Time{now, lastMoment} {
@@ -62,12 +62,12 @@
 func TestShorterLeaseBoundKeepsGrantedLease(t *testing.T) {
 	is := is.New(t)
 	link, _, _ := scriptedLink(nil)
-	link.env.bounds = newBounds(Bounds{Lease: longLease})
+	link.env.bounds = newBounds(Bounds{MaxLease: longLease})
 	link.recordAnswer(1)
 	now := link.env.clock.Now()
 	link.extendLease(now)
 	grantedLapse := link.lapse()
-	link.env.bounds.update(Bounds{Lease: shortLease}, now)
+	link.env.bounds.update(Bounds{MaxLease: shortLease}, now)
 	link.extendLease(now.Add(100 * time.Millisecond))
 	is.Equal(link.lapse(), grantedLapse)
 	later := now.Add(3 * time.Second)
@@ -85,7 +85,7 @@
 		l := newTestLeader(ctx, store, 3)
 		useTestClock(l.clock)
 		l.writer.confirmedAt = l.clock.Now()
-		l.instance.SetBounds(Bounds{KeepEnded: time.Hour})
+		l.instance.SetBounds(Bounds{EndedJobRetention: time.Hour})
 		l.spawn(ctx, l.loop)
 		record, err := jobs.SubmissionRecord(&jobs.Submission{ID: "a1", Steps: []jobs.Step{{Tasks: 1}}})
 		l.instance.applyRecord(t, partOf("a1", 8), record, err)
@@ -96,7 +96,7 @@
 		}
 		time.Sleep(10 * time.Minute)
 		is.True(!forgotten())
-		l.instance.SetBounds(Bounds{KeepEnded: time.Second})
+		l.instance.SetBounds(Bounds{EndedJobRetention: time.Second})
 		time.Sleep(time.Minute)
 		is.True(forgotten())
 		cancel()
--- a/batch/calls.go
+++ b/batch/calls.go
@@ -65,7 +65,7 @@
 }
 
 func (i *Instance) submit(ctx context.Context, submission *jobs.Submission) Outcome {
-	if reason := i.settings.NotServed; reason != "" {
+	if reason := i.settings.NotServedReason; reason != "" {
 		return Outcome{Verdict: NotRun, Reason: reason}
 	}
 	if i.hasJob(submission.ID) {
@@ -83,7 +83,7 @@
 	switch {
 	case err == nil:
 		return Outcome{Verdict: Accepted, Reason: "stored"}
-	case errors.Is(err, ErrNotDone):
+	case errors.Is(err, ErrNotApplied):
 		return Outcome{Verdict: NotRun, Reason: "store away", RetryAfter: i.retryDelay(submission.Queue.Priority)}
 	}
 	if i.hasJob(submission.ID) {
@@ -123,7 +123,7 @@
 		return Outcome{Verdict: Accepted, Reason: "already " + string(state)}
 	}
 	err := i.writeRecord(ctx, jobs.CancelRecord(id))
-	if errors.Is(err, ErrNotDone) {
+	if errors.Is(err, ErrNotApplied) {
 		return Outcome{Verdict: Unavailable, Reason: "store away", RetryAfter: i.retryDelay(0)}
 	}
 	if err != nil {
@@ -219,8 +219,8 @@
 	return state, ok
 }
 
-// Waiting counts the accepted jobs of a queue of which nothing has started.
-func (i *Instance) Waiting(queue string) int {
+// WaitingJobs counts the accepted jobs of a queue of which nothing has started.
+func (i *Instance) WaitingJobs(queue string) int {
 	i.foldLock.Lock()
 	defer i.foldLock.Unlock()
 	return i.fold.table.QueuedCount(queue)
--- a/batch/claim.go
+++ b/batch/claim.go
@@ -41,7 +41,7 @@
 	e := newElection(i.settings.Name, i.identity, claimDelay(i.nameHash, i.settings.CPUShare))
 	takeover := &stallTakeover{instance: i}
 	defer takeover.wg.Wait()
-	for ctx.Err() == nil && i.settings.NotServed == "" {
+	for ctx.Err() == nil && i.settings.NotServedReason == "" {
 		select {
 		case <-i.fold.signal:
 		case <-time.After(tickInterval):
--- a/batch/commit.go
+++ b/batch/commit.go
@@ -81,7 +81,7 @@
 type commit struct {
 	record jobs.Record
 	state  atomic.Int32
-	result chan error // nil, ErrNotDone or ErrUnknown; buffered
+	result chan error // nil, ErrNotApplied or ErrResultUnknown; buffered
 }
 
 // readBackFunc reads the log and reports whether it contains all of the records.
@@ -89,7 +89,7 @@
 
 // errStoreUnreachable reports that neither an append nor a read-back was answered: the store is
 // down or this instance is cut off from it.
-var errStoreUnreachable = eris.Wrap(ErrUnknown, "the store is out of reach")
+var errStoreUnreachable = eris.Wrap(ErrResultUnknown, "the store is out of reach")
 
 // committer appends the records of this instance's callers in groups.
 type committer struct {
@@ -115,12 +115,12 @@
 	return answeredAt.UnixNano() <= c.unknownAt.Load()
 }
 
-// write appends a record and waits for the outcome. ErrNotDone means that the record never takes
-// effect; ErrUnknown that it may.
+// write appends a record and waits for the outcome. ErrNotApplied means that the record never takes
+// effect; ErrResultUnknown that it may.
 func (c *committer) write(ctx context.Context, record jobs.Record) error {
 	pending := &commit{record: record, result: make(chan error, 1)}
 	if c.openGroups.Load() >= maxOpenGroups || !c.queue.Offer(pending) {
-		return ErrNotDone
+		return ErrNotApplied
 	}
 	select {
 	case err := <-pending.result:
@@ -128,10 +128,10 @@
 	case <-ctx.Done():
 	}
 	if pending.state.CompareAndSwap(commitQueued, commitWithdrawn) {
-		return ErrNotDone
+		return ErrNotApplied
 	}
 	pending.state.Store(commitAbandoned)
-	return ErrUnknown
+	return ErrResultUnknown
 }
 
 func (c *committer) run(ctx context.Context) {
@@ -177,15 +177,15 @@
 		if err == nil {
 			return nil
 		}
-		if errors.Is(err, ErrNotDone) && !unanswered {
-			return ErrNotDone
+		if errors.Is(err, ErrNotApplied) && !unanswered {
+			return ErrNotApplied
 		}
 		if errors.Is(err, errStoreUnreachable) {
 			return err
 		}
 		unanswered = true
 	}
-	return ErrUnknown
+	return ErrResultUnknown
 }
 
 // tryAppend sends a group once. Halfway through the timeout and at its end it reads the group
@@ -199,7 +199,7 @@
 	answer := make(chan error, 1)
 	go func() { answer <- c.store.Append(ctx, c.part, records, nil) }()
 	err := c.awaitAnswer(ctx, answer, records, limit)
-	if errors.Is(err, ErrUnknown) {
+	if errors.Is(err, ErrResultUnknown) {
 		c.timeout.recordLoss()
 		return err
 	}
@@ -231,7 +231,7 @@
 	case err := <-answer:
 		return c.resolveUnknown(ctx, err, records)
 	case <-deadline.C:
-		return c.resolveUnknown(ctx, ErrUnknown, records)
+		return c.resolveUnknown(ctx, ErrResultUnknown, records)
 	}
 }
 
@@ -245,7 +245,7 @@
 
 // resolveUnknown reads the log back if the append got no answer.
 func (c *committer) resolveUnknown(ctx context.Context, appendErr error, records []jobs.Record) error {
-	if !errors.Is(appendErr, ErrUnknown) {
+	if !errors.Is(appendErr, ErrResultUnknown) {
 		return appendErr
 	}
 	found, err := c.isInLog(ctx, records)
--- a/batch/config.go
+++ b/batch/config.go
@@ -17,13 +17,13 @@
 // Config is one complete operator configuration. It is immutable, so that a request sees one
 // version from start to end.
 type Config struct {
-	Version       int64
-	MaxBodyBytes  int64
-	Queues        []Queue
-	Pools         []string          // names of the worker pools
-	Unguarded     map[string]bool   // pools whose workers start tasks without checking capacity
-	WorkspaceKeys map[string]string // workspace by API key
-	Guarantees    map[string]int64  // guaranteed accelerators by workspace
+	Version        int64
+	MaxBodyBytes   int64
+	Queues         []Queue
+	Pools          []string          // names of the worker pools
+	UncheckedPools map[string]bool   // pools whose workers start tasks without checking capacity
+	WorkspaceKeys  map[string]string // workspace by API key
+	Guarantees     map[string]int64  // guaranteed accelerators by workspace
 }
 
 // Route returns the queue that serves a path of a host and the rest of the path after the queue's
--- a/batch/config_test.go
+++ b/batch/config_test.go
@@ -63,7 +63,7 @@
 		<-ctx.Done()
 		return Batch{}, ctx.Err()
 	}
-	return Batch{Records: []jobs.Record{{Key: "x"}}, Offsets: []int64{from}, Next: from + 1}, nil
+	return Batch{Records: []jobs.Record{{Key: "x"}}, Offsets: []int64{from}, NextOffset: from + 1}, nil
 }
 
 // An instance that is not the leader reads at long intervals. When it becomes the leader, neither
--- a/batch/delegation.go
+++ b/batch/delegation.go
@@ -48,8 +48,8 @@
 	workerCount int
 }
 
-// Keep serves a session opened by the leader of a term, until the session ends.
-func (i *Instance) Keep(ctx context.Context, opened *relaypb.Keep, stream *relay.Stream) {
+// ServeDelegation serves a session opened by the leader of a term, until the session ends.
+func (i *Instance) ServeDelegation(ctx context.Context, opened *relaypb.Keep, stream *relay.Stream) {
 	log := i.log.WithField("epoch", opened.Epoch).WithField("holder", opened.Holder)
 	i.awaitLoaded(ctx)
 	if !opened.Lives || i.draining.Load() || !i.work.isLoaded() || i.leading.Load() && i.term().Epoch >= opened.Epoch {
--- a/batch/evacuation.go
+++ b/batch/evacuation.go
@@ -134,7 +134,7 @@
 // bounds how long a start may have waited here, for example while the process was frozen. It
 // allows no start if the operator stream was last read too long ago.
 func (i *Instance) mayStartWithoutGrant(zone string) bool {
-	within := i.bounds.latest().Evacuate
+	within := i.bounds.latest().EvacuationTimeout
 	fresh := within <= 0 || i.clock.Now().Sub(i.operator.lastContact()) < within-evacuationStartMargin
 	return fresh && i.mayStartInZone(zone)
 }
--- a/batch/evacuation_test.go
+++ b/batch/evacuation_test.go
@@ -41,8 +41,8 @@
 	records []jobs.Record
 }
 
-func (s *recordsStore) Newest(context.Context, Stream, int) (Batch, error) {
-	return Batch{Records: s.records, Next: 9}, nil
+func (s *recordsStore) ReadNewest(context.Context, Stream, int) (Batch, error) {
+	return Batch{Records: s.records, NextOffset: 9}, nil
 }
 
 func TestEvacuationsFollowOperatorStream(t *testing.T) {
@@ -143,7 +143,7 @@
 		instance := newLoadedInstance(t, &tailStore{}, "a1")
 		useTestClock(instance.clock)
 		is.True(instance.mayStartWithoutGrant("z1")) // no bound is set
-		instance.SetBounds(Bounds{Evacuate: 5 * time.Second})
+		instance.SetBounds(Bounds{EvacuationTimeout: 5 * time.Second})
 		instance.operator.recordAnswer(instance.clock.Now())
 		is.True(instance.mayStartWithoutGrant("z1"))
 		time.Sleep(5*time.Second - evacuationStartMargin)
@@ -258,7 +258,7 @@
 func TestHolderThatDoesNotReadTheOperatorsStartsNothing(t *testing.T) {
 	inFleet(t, fewWorkers, 0, time.Second, func(f *testFleet, is *is.I) {
 		i := f.leader.instance
-		i.SetBounds(Bounds{Lease: simLease, StopWithin: simBounds.StopWithin, Evacuate: 5 * time.Second})
+		i.SetBounds(Bounds{MaxLease: simLease, MaxStopTime: simBounds.MaxStopTime, EvacuationTimeout: 5 * time.Second})
 		f.submit("a1", 10)
 		time.Sleep(3 * time.Second)
 		is.Equal(f.doneTasks(), 0) // the leader has not read the operator stream yet
--- a/batch/fencedappend.go
+++ b/batch/fencedappend.go
@@ -44,7 +44,7 @@
 		if err == nil || errors.Is(err, ErrFenced) {
 			return err
 		}
-		if errors.Is(err, ErrNotDone) {
+		if errors.Is(err, ErrNotApplied) {
 			logstream.Sleep(ctx, refusedBackoff)
 		}
 	}
@@ -61,7 +61,7 @@
 		answer <- p.store.Append(ctx, p.part, records, &Fence{Epoch: p.epoch, Sequence: p.sequence})
 	}()
 	err := p.awaitAnswer(answer, records)
-	if errors.Is(err, ErrUnknown) {
+	if errors.Is(err, ErrResultUnknown) {
 		p.timeout.recordLoss()
 		return err
 	}
--- a/batch/follower.go
+++ b/batch/follower.go
@@ -104,7 +104,7 @@
 	if errors.Is(err, errWoken) {
 		return nil
 	}
-	if errors.Is(err, ErrForgotten) {
+	if errors.Is(err, ErrNotRetained) {
 		f.log.WithField("stream", string(f.stream)).Info("history_forgotten")
 		return f.load(ctx)
 	}
@@ -161,7 +161,7 @@
 // before the first page.
 func (f *follower) load(ctx context.Context) error {
 	sent := f.clock.Now()
-	batch, err := f.store.Newest(ctx, f.stream, f.part)
+	batch, err := f.store.ReadNewest(ctx, f.stream, f.part)
 	if err != nil {
 		return err
 	}
@@ -171,7 +171,7 @@
 		f.reset()
 	}
 	f.apply(batch)
-	f.nextOffset = max(f.nextOffset, batch.Next)
+	f.nextOffset = max(f.nextOffset, batch.NextOffset)
 	f.publishedOffset.Store(f.nextOffset)
 	f.loaded = true
 	f.recordAnswer(sent)
@@ -194,7 +194,7 @@
 	for {
 		previous := f.position()
 		err := f.refresh(ctx, 0)
-		if errors.Is(err, ErrForgotten) {
+		if errors.Is(err, ErrNotRetained) {
 			return f.load(ctx)
 		}
 		if err != nil || f.position() == previous {
@@ -208,7 +208,7 @@
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.recordAnswer(sent)
-	first := batch.Next - int64(len(batch.Records))
+	first := batch.NextOffset - int64(len(batch.Records))
 	skip := f.nextOffset - first
 	if skip < 0 || skip > int64(len(batch.Records)) {
 		return
@@ -219,7 +219,7 @@
 		return
 	}
 	f.apply(batch)
-	f.nextOffset = batch.Next
+	f.nextOffset = batch.NextOffset
 	f.publishedOffset.Store(f.nextOffset)
 }
 
--- a/batch/handover_test.go
+++ b/batch/handover_test.go
@@ -81,7 +81,7 @@
 func (s *stuckStore) Append(ctx context.Context, part int, records []jobs.Record, fence *Fence) error {
 	if part == s.part {
 		<-ctx.Done()
-		return ErrUnknown
+		return ErrResultUnknown
 	}
 	return s.partitionedStore.Append(ctx, part, records, fence)
 }
--- a/batch/instance.go
+++ b/batch/instance.go
@@ -75,12 +75,12 @@
 
 	draining       atomic.Bool
 	leading        atomic.Bool
-	sharing        atomic.Pointer[SharingStatus] // nil unless this instance is the leader
-	readFailedAt   atomic.Int64                  // boot time in nanoseconds of the newest failed read of any stream
-	requestedEpoch atomic.Int64                  // epoch of the leader that requested a claim of its term
-	stalledAt      atomic.Int64                  // boot time in nanoseconds when this instance, as leader, last failed to write progress
-	handOver       chan struct{}                 // closed when the term is to be handed over
-	lastClaim      jobs.Term                     // last term that this process claimed
+	sharing        atomic.Pointer[ShardingStatus] // nil unless this instance is the leader
+	readFailedAt   atomic.Int64                   // boot time in nanoseconds of the newest failed read of any stream
+	requestedEpoch atomic.Int64                   // epoch of the leader that requested a claim of its term
+	stalledAt      atomic.Int64                   // boot time in nanoseconds when this instance, as leader, last failed to write progress
+	handOver       chan struct{}                  // closed when the term is to be handed over
+	lastClaim      jobs.Term                      // last term that this process claimed
 	claimSequence  int64
 }
 
@@ -222,8 +222,8 @@
 func (i *Instance) Start() {
 	i.kernel.Start()
 	i.log.WithField("holder", i.identity).Info("instance_started")
-	if i.settings.NotServed != "" {
-		i.log.WithField("reason", i.settings.NotServed).Error("jobs_not_served")
+	if i.settings.NotServedReason != "" {
+		i.log.WithField("reason", i.settings.NotServedReason).Error("jobs_not_served")
 	}
 }
 
@@ -249,13 +249,13 @@
 
 // Ready reports whether callers should be routed to this instance.
 func (i *Instance) Ready() bool {
-	return i.settings.NotServed == "" && i.Config() != nil && i.loaded() && i.work.isReachable() && !i.draining.Load()
+	return i.settings.NotServedReason == "" && i.Config() != nil && i.loaded() && i.work.isReachable() && !i.draining.Load()
 }
 
-// LogPosition returns the offset up to which this instance has read the part of the log with the
+// LogOffset returns the offset up to which this instance has read the part of the log with the
 // term and the job states. Everything the instance does reflects all records before it, so
 // positions order actions of several instances whose clocks differ.
-func (i *Instance) LogPosition() int64 { return i.work.publishedOffset.Load() }
+func (i *Instance) LogOffset() int64 { return i.work.publishedOffset.Load() }
 
 // Draining reports whether the instance is about to stop.
 func (i *Instance) Draining() bool { return i.draining.Load() }
--- a/batch/interfaces.go
+++ b/batch/interfaces.go
@@ -13,14 +13,14 @@
 
 // Errors of a Store.
 var (
-	// ErrNotDone is returned if the store certainly did nothing.
-	ErrNotDone = eris.New("the store did nothing")
-	// ErrUnknown is returned if a write may have taken effect, or may still do so.
-	ErrUnknown = eris.New("no answer from the store")
+	// ErrNotApplied is returned if the store certainly did nothing.
+	ErrNotApplied = eris.New("the store did nothing")
+	// ErrResultUnknown is returned if a write may have taken effect, or may still do so.
+	ErrResultUnknown = eris.New("no answer from the store")
 	// ErrFenced is returned if a leader with a higher epoch has written.
 	ErrFenced = eris.New("a later term has written")
-	// ErrForgotten is returned if the requested records are no longer retained.
-	ErrForgotten = eris.New("records are no longer kept")
+	// ErrNotRetained is returned if the requested records are no longer retained.
+	ErrNotRetained = eris.New("records are no longer kept")
 )
 
 // Stream names a stream of keyed records.
@@ -44,23 +44,23 @@
 
 // Batch is a sequence of records of a stream. Offsets[i] is the offset of Records[i].
 type Batch struct {
-	Records []jobs.Record
-	Offsets []int64
-	Next    int64 // offset of the next read
+	Records    []jobs.Record
+	Offsets    []int64
+	NextOffset int64 // offset of the next read
 }
 
 // Store is the platform's store of keyed records. Its methods may be called concurrently, and
 // each call ends with its context.
 type Store interface {
 	// Append adds records to a part of StreamWork, all or none. A nil fence sets no condition.
-	// Errors: ErrNotDone, ErrUnknown, ErrFenced.
+	// Errors: ErrNotApplied, ErrResultUnknown, ErrFenced.
 	Append(ctx context.Context, part int, records []jobs.Record, fence *Fence) error
 	// Read returns records of a part of a stream from an offset on. It waits up to wait for the
-	// first one. Errors: ErrForgotten, or any failure of the call.
+	// first one. Errors: ErrNotRetained, or any failure of the call.
 	Read(ctx context.Context, stream Stream, part int, from int64, wait time.Duration) (Batch, error)
-	// Newest returns the newest record of each key. Next is the offset at which reading has to
+	// ReadNewest returns the newest record of each key. Next is the offset at which reading has to
 	// continue, as others write while the pages are read.
-	Newest(ctx context.Context, stream Stream, part int) (Batch, error)
+	ReadNewest(ctx context.Context, stream Stream, part int) (Batch, error)
 }
 
 // Decoder decodes the records of the outer streams.
@@ -76,7 +76,7 @@
 
 // Workers sends orders to workers. Calls end with their context. After any error other than an
 // *OrderError the order may still take effect. An order is meant for one incarnation of a worker;
-// an answer from another one is returned as an *OtherLifeError.
+// an answer from another one is returned as an *OtherIncarnationError.
 type Workers interface {
 	Start(ctx context.Context, worker placing.WorkerEntry, order StartOrder) (clockMS int64, err error)
 	Stop(ctx context.Context, worker placing.WorkerEntry, order StopOrder) (clockMS int64, err error)
@@ -94,14 +94,14 @@
 
 // Refusals of workers. A refused order has had and will have no effect.
 const (
-	RefusedFence   Refusal = "fence"   // the worker has served a later term
-	RefusedOld     Refusal = "old"     // the run is not above one that was stopped or ended there
-	RefusedLate    Refusal = "late"    // the requested lease has already ended
-	RefusedRoom    Refusal = "room"    // the task does not fit
-	RefusedBusy    Refusal = "busy"    // the worker is unhealthy
-	RefusedReborn  Refusal = "reborn"  // another incarnation of the worker answered
-	RefusedInvalid Refusal = "invalid" // the worker cannot read the order
-	RefusedTicket  Refusal = "ticket"  // the ticket is missing or not valid
+	RefusedStaleTerm        Refusal = "fence"   // the worker has served a later term
+	RefusedStaleRun         Refusal = "old"     // the run is not above one that was stopped or ended there
+	RefusedLeaseOver        Refusal = "late"    // the requested lease has already ended
+	RefusedCapacity         Refusal = "room"    // the task does not fit
+	RefusedUnhealthy        Refusal = "busy"    // the worker is unhealthy
+	RefusedOtherIncarnation Refusal = "reborn"  // another incarnation of the worker answered
+	RefusedInvalid          Refusal = "invalid" // the worker cannot read the order
+	RefusedTicket           Refusal = "ticket"  // the ticket is missing or not valid
 )
 
 // OrderError is returned if a worker refuses an order.
@@ -110,14 +110,14 @@
 	ClockMS int64
 }
 
-// OtherLifeError is returned if another incarnation of the worker answered than the one that the
+// OtherIncarnationError is returned if another incarnation of the worker answered than the one that the
 // order was meant for. The former one is gone; the one that answered may have carried the order out.
-type OtherLifeError struct {
+type OtherIncarnationError struct {
 	BornMS int64 // start of the incarnation that answered, in Unix milliseconds
 }
 
 // Error describes the incarnation that answered.
-func (e *OtherLifeError) Error() string {
+func (e *OtherIncarnationError) Error() string {
 	return "another incarnation of the worker answered, started at " + strconv.FormatInt(e.BornMS, 10)
 }
 
@@ -126,13 +126,13 @@
 
 // StartOrder starts a run of a task.
 type StartOrder struct {
-	Task       jobs.TaskKey
-	Run        int
-	Spec       string
-	Checkpoint string
-	Ticket     string
-	UntilMS    int64 // lease, on the worker's clock
-	Epoch      int64
+	Task         jobs.TaskKey
+	Run          int
+	Spec         string
+	Checkpoint   string
+	Ticket       string
+	LeaseUntilMS int64 // lease, on the worker's clock
+	Epoch        int64
 }
 
 // StopOrder stops a run, or makes the worker refuse its start if that arrives later.
@@ -153,10 +153,10 @@
 // HoldOrder renews the lease of everything that runs on a worker, lets it forget its ends up to
 // Ack, and requests a report of its runs and ends.
 type HoldOrder struct {
-	UntilMS int64 // on the worker's clock; 0 renews nothing
-	Epoch   int64
-	Ack     int64
-	Wait    time.Duration // how long the worker may wait for an end before it answers
+	LeaseUntilMS int64 // on the worker's clock; 0 renews nothing
+	Epoch        int64
+	Ack          int64
+	Wait         time.Duration // how long the worker may wait for an end before it answers
 }
 
 // HoldReport is the answer to a hold.
--- a/batch/leader.go
+++ b/batch/leader.go
@@ -184,7 +184,7 @@
 	for _, pool := range config.Pools {
 		l.pools[pool] = true
 	}
-	l.engine.Configure(queues, config.Guarantees, config.Unguarded)
+	l.engine.Configure(queues, config.Guarantees, config.UncheckedPools)
 	l.offer(listChangedEvent{})
 }
 
--- a/batch/leaderstall_test.go
+++ b/batch/leaderstall_test.go
@@ -49,7 +49,7 @@
 func (c *logClient) Append(ctx context.Context, part int, records []jobs.Record, fence *Fence) error {
 	if part == progressPart(8) && c.isStuck() {
 		<-ctx.Done()
-		return ErrUnknown
+		return ErrResultUnknown
 	}
 	time.Sleep(4 * time.Millisecond)
 	l := c.sharedLog
@@ -79,7 +79,7 @@
 	}
 }
 
-func (c *logClient) Newest(ctx context.Context, stream Stream, part int) (Batch, error) {
+func (c *logClient) ReadNewest(ctx context.Context, stream Stream, part int) (Batch, error) {
 	if stream == StreamWork && part == progressPart(8) {
 		select {
 		case <-ctx.Done():
@@ -94,12 +94,12 @@
 func (l *sharedLog) readFrom(stream Stream, part int, from int64) Batch {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	batch := Batch{Next: from}
+	batch := Batch{NextOffset: from}
 	if stream == StreamWorkers && from == 0 {
 		for id := range l.fleet.entries() {
 			batch.Records = append(batch.Records, jobs.Record{Key: id})
-			batch.Offsets = append(batch.Offsets, batch.Next)
-			batch.Next++
+			batch.Offsets = append(batch.Offsets, batch.NextOffset)
+			batch.NextOffset++
 		}
 	}
 	if stream != StreamWork {
@@ -108,7 +108,7 @@
 	for offset := from; offset < int64(len(l.parts[part])); offset++ {
 		batch.Records = append(batch.Records, l.parts[part][offset])
 		batch.Offsets = append(batch.Offsets, offset)
-		batch.Next = offset + 1
+		batch.NextOffset = offset + 1
 	}
 	return batch
 }
--- a/batch/link.go
+++ b/batch/link.go
@@ -121,7 +121,7 @@
 		return HoldReport{}, time.Time{}, errNoGrant
 	}
 	sent := l.env.clock.Now()
-	order := HoldOrder{UntilMS: l.extendLease(sent), Epoch: l.env.epoch, Wait: wait}
+	order := HoldOrder{LeaseUntilMS: l.extendLease(sent), Epoch: l.env.epoch, Wait: wait}
 	if !l.attachAck(sent, &order) {
 		order.Wait = 0
 	}
@@ -239,7 +239,7 @@
 
 // reportIncarnation reports that another incarnation of the worker has answered.
 func (l *link) reportIncarnation(ctx context.Context, err error) {
-	var other *OtherLifeError
+	var other *OtherIncarnationError
 	if !errors.As(err, &other) {
 		return
 	}
@@ -250,9 +250,9 @@
 // handleRefusal reports refusals that concern more than the refused order.
 func (l *link) handleRefusal(ctx context.Context, refused *OrderError) {
 	switch refused.Refusal {
-	case RefusedFence:
+	case RefusedStaleTerm:
 		l.env.report(ctx, termFencedEvent{})
-	case RefusedReborn:
+	case RefusedOtherIncarnation:
 		l.env.report(ctx, incarnationChange{worker: l.worker().ID})
 	}
 }
--- a/batch/order.go
+++ b/batch/order.go
@@ -45,13 +45,13 @@
 			return errZoneEvacuated
 		}
 		_, err := l.env.workers.Start(ctx, l.worker(), StartOrder{
-			Task:       order.Task,
-			Run:        order.Run,
-			Spec:       order.Spec,
-			Checkpoint: order.Checkpoint,
-			Ticket:     order.Ticket,
-			UntilMS:    l.leaseForStart(l.env.clock.Now()),
-			Epoch:      l.env.epoch,
+			Task:         order.Task,
+			Run:          order.Run,
+			Spec:         order.Spec,
+			Checkpoint:   order.Checkpoint,
+			Ticket:       order.Ticket,
+			LeaseUntilMS: l.leaseForStart(l.env.clock.Now()),
+			Epoch:        l.env.epoch,
 		})
 		return err
 	})
@@ -92,7 +92,7 @@
 // isAnswer reports whether an error is an answer of the worker, so that the order is not retried.
 func isAnswer(err error) bool {
 	var refused *OrderError
-	var other *OtherLifeError
+	var other *OtherIncarnationError
 	return errors.As(err, &refused) || errors.As(err, &other)
 }
 
@@ -152,9 +152,9 @@
 	switch refused.Refusal {
 	case RefusedTicket:
 		return placing.StartNoTicket
-	case RefusedRoom:
+	case RefusedCapacity:
 		return placing.StartNoCapacity
-	case RefusedBusy:
+	case RefusedUnhealthy:
 		return placing.StartBusy
 	}
 	return placing.StartRefused
@@ -169,7 +169,7 @@
 	if err == nil {
 		answeredAt := l.env.clock.Now()
 		l.env.report(ctx, stopReply{worker: order.Worker, task: order.Task, run: order.Run})
-		logstream.Sleep(ctx, l.env.bounds.latest().StopWithin+reportMargin)
+		logstream.Sleep(ctx, l.env.bounds.latest().MaxStopTime+reportMargin)
 		l.requestReport(answeredAt)
 		return
 	}
--- a/batch/order_test.go
+++ b/batch/order_test.go
@@ -80,7 +80,7 @@
 // An unanswered start is retried: an order may be lost or late, and a gang whose other members wait
 // would have to start over.
 func TestStartIsSentAgainUntilItIsAnswered(t *testing.T) {
-	refused := refusedFor(RefusedRoom)
+	refused := refusedFor(RefusedCapacity)
 	for _, c := range []struct {
 		name    string
 		answers []func() error
--- a/batch/outage_test.go
+++ b/batch/outage_test.go
@@ -36,7 +36,7 @@
 	if !s.isDown() {
 		select {
 		case <-time.After(wait + time.Millisecond):
-			return Batch{Next: from}, nil
+			return Batch{NextOffset: from}, nil
 		case <-ctx.Done():
 			return Batch{}, ctx.Err()
 		case <-s.down:
@@ -48,7 +48,7 @@
 func (s *failingStore) Append(context.Context, int, []jobs.Record, *Fence) error {
 	s.appends.Add(1)
 	if s.isDown() {
-		return ErrUnknown
+		return ErrResultUnknown
 	}
 	return nil
 }
@@ -119,7 +119,7 @@
 		}
 	})
 	<-ctx.Done()
-	return ErrUnknown
+	return ErrResultUnknown
 }
 
 func (s *lateStore) contains(_ context.Context, records []jobs.Record) (bool, error) {
@@ -145,7 +145,7 @@
 	}{
 		{"late once", []time.Duration{1700 * time.Millisecond, 10 * time.Second}, nil, 2 * time.Second},
 		{"the fourth is in time", []time.Duration{9 * time.Second, 9 * time.Second, 9 * time.Second, 100 * time.Millisecond}, nil, 2 * time.Second},
-		{"all are too late", []time.Duration{9 * time.Second}, ErrUnknown, 2850 * time.Millisecond},
+		{"all are too late", []time.Duration{9 * time.Second}, ErrResultUnknown, 2850 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -209,7 +209,7 @@
 	time.Sleep(slowLatency)
 	<-s.busy
 	if ctx.Err() != nil {
-		return ErrUnknown
+		return ErrResultUnknown
 	}
 	return nil
 }
@@ -258,7 +258,7 @@
 		committer.readBack = store.contains
 		go committer.run(ctx)
 		committer.openGroups.Store(maxOpenGroups)
-		is.Equal(committer.write(ctx, jobs.CancelRecord("a")), ErrNotDone)
+		is.Equal(committer.write(ctx, jobs.CancelRecord("a")), ErrNotApplied)
 		is.Equal(store.sent, 0)
 		committer.openGroups.Store(0)
 		go func() { _ = committer.write(ctx, jobs.CancelRecord("b")) }()
--- a/batch/peers.go
+++ b/batch/peers.go
@@ -99,10 +99,10 @@
 	return p.unansweredCalls >= isolatedAfterFailures && p.clock.Now().Sub(p.failedAt) < isolationDuration
 }
 
-// write has another instance append a record. ErrNotDone means that none did or will.
+// write has another instance append a record. ErrNotApplied means that none did or will.
 func (p *peers) write(ctx context.Context, addresses []string, record jobs.Record) error {
 	call := &relaypb.Call{Body: &relaypb.Call_Write{Write: &relaypb.Write{Key: record.Key, Value: record.Value}}}
-	result := ErrNotDone
+	result := ErrNotApplied
 	for _, address := range addresses {
 		answer, err := p.call(ctx, address, call)
 		switch {
@@ -111,7 +111,7 @@
 		case err == nil && answer.Fate == relaypb.Fate_FATE_NOT_DONE:
 			p.backOff(address)
 		case !errors.Is(err, relay.ErrNotSent):
-			result = ErrUnknown
+			result = ErrResultUnknown
 		}
 	}
 	return result
@@ -132,11 +132,11 @@
 
 // writeRecord appends a caller's record, here or through another instance.
 func (i *Instance) writeRecord(ctx context.Context, record jobs.Record) error {
-	err := ErrNotDone
+	err := ErrNotApplied
 	if i.mayWrite(ctx, record) {
 		err = i.committerFor(record).write(ctx, record)
 	}
-	if err == nil || errors.Is(err, ErrUnknown) && !errors.Is(err, errStoreUnreachable) {
+	if err == nil || errors.Is(err, ErrResultUnknown) && !errors.Is(err, errStoreUnreachable) {
 		return err // the store is slow or loses answers for all instances
 	}
 	relayErr := i.peers.write(ctx, i.peerAddresses(), record)
@@ -144,7 +144,7 @@
 	if relayErr == nil {
 		return nil
 	}
-	if errors.Is(err, ErrUnknown) {
+	if errors.Is(err, ErrResultUnknown) {
 		return err
 	}
 	return relayErr
@@ -182,8 +182,8 @@
 	return i.peers.choose(i.registeredInstances(), i.settings.Name)
 }
 
-// Relayed answers a call of another instance. It does not relay the call further.
-func (i *Instance) Relayed(ctx context.Context, call *relaypb.Call) *relaypb.Answer {
+// HandleRelayedCall answers a call of another instance. It does not relay the call further.
+func (i *Instance) HandleRelayedCall(ctx context.Context, call *relaypb.Call) *relaypb.Answer {
 	switch body := call.Body.(type) {
 	case *relaypb.Call_Write:
 		return &relaypb.Answer{Fate: i.relayedWrite(ctx, body.Write)}
@@ -204,7 +204,7 @@
 	switch {
 	case err == nil:
 		return relaypb.Fate_FATE_DONE
-	case errors.Is(err, ErrNotDone):
+	case errors.Is(err, ErrNotApplied):
 		return relaypb.Fate_FATE_NOT_DONE
 	}
 	return relaypb.Fate_FATE_UNKNOWN
--- a/batch/resolve.go
+++ b/batch/resolve.go
@@ -37,7 +37,7 @@
 		c.deliver(group, c.resolve(ctx, group, sent))
 		return
 	}
-	if errors.Is(err, ErrUnknown) {
+	if errors.Is(err, ErrResultUnknown) {
 		c.unknownAt.Store(c.clock.Now().UnixNano())
 	}
 	close(overtaken)
@@ -51,7 +51,7 @@
 // isUnresolved reports whether reading the log and sending again may resolve the outcome of a
 // group.
 func (c *committer) isUnresolved(err error) bool {
-	return errors.Is(err, ErrUnknown) && !errors.Is(err, errStoreUnreachable) && c.readBack != nil
+	return errors.Is(err, ErrResultUnknown) && !errors.Is(err, errStoreUnreachable) && c.readBack != nil
 }
 
 func (c *committer) deliver(group []*commit, err error) {
@@ -72,7 +72,7 @@
 	for until := time.Now().Add(maxResolveTime); time.Now().Before(until) && c.hasWaiters(group); {
 		select {
 		case err := <-sent:
-			if resent && errors.Is(err, ErrNotDone) {
+			if resent && errors.Is(err, ErrNotApplied) {
 				continue // holds only for append's own tries
 			}
 			if !c.isUnresolved(err) {
@@ -92,14 +92,14 @@
 			}
 			c.recordReadTime(began)
 		case <-ctx.Done():
-			return ErrUnknown
+			return ErrResultUnknown
 		}
 		if !c.storeSlow.Load() && time.Since(sentAt) >= max(resendInterval, c.timeout.currentIgnoringLosses()) {
 			sentAt, resent = time.Now(), true
 			go func() { resendResults <- c.resend(ctx, records) }()
 		}
 	}
-	return ErrUnknown
+	return ErrResultUnknown
 }
 
 func (c *committer) resend(ctx context.Context, records []jobs.Record) error {
--- a/batch/restart_test.go
+++ b/batch/restart_test.go
@@ -187,7 +187,7 @@
 				is := is.New(t)
 				link, _, _ := scriptedLink(nil)
 				link.entry.BornMS = c.bornMS
-				link.env.bounds = newBounds(Bounds{Lease: simLease})
+				link.env.bounds = newBounds(Bounds{MaxLease: simLease})
 				link.recordAnswer(1)
 				link.extendLease(link.env.clock.Now())
 				granted := link.lapse()
--- a/batch/settings.go
+++ b/batch/settings.go
@@ -9,8 +9,8 @@
 	CPUShare     float64  // share of a core that the machine provides; 0 if unknown
 	RelayAddress string   // IP:PORT for calls of other instances; empty for none
 	StoreParts   int      // number of parts of a stream of the store
-	// NotServed is the reason why no job can run on this deployment; empty if jobs can. If set, all
+	// NotServedReason is the reason why no job can run on this deployment; empty if jobs can. If set, all
 	// jobs are refused for good, and the instance is not ready and claims no term.
-	NotServed string
+	NotServedReason string
 	Bounds
 }
--- a/batch/shards.go
+++ b/batch/shards.go
@@ -213,20 +213,20 @@
 
 // updateStatus publishes how many workers each dispatcher has.
 func (d *dispatchers) updateStatus() {
-	status := &SharingStatus{Shared: d.shared, Keepers: map[string]int{}}
+	status := &ShardingStatus{Sharded: d.shared, Delegates: map[string]int{}}
 	for _, w := range d.workers {
 		switch {
 		case w.state != assigned:
-			status.Moving++
+			status.MovingWorkers++
 		case w.instance == ownInstance:
-			status.Own++
+			status.OwnWorkers++
 		default:
-			status.Keepers[w.instance]++
+			status.Delegates[w.instance]++
 		}
 	}
 	i := d.leader.instance
 	i.sharing.Store(status)
 	i.metrics.sessions.Update(int64(len(d.sessions)))
-	i.metrics.ownWorkers.Update(int64(status.Own))
-	i.metrics.movingWorkers.Update(int64(status.Moving))
+	i.metrics.ownWorkers.Update(int64(status.OwnWorkers))
+	i.metrics.movingWorkers.Update(int64(status.MovingWorkers))
 }
--- a/batch/shards_test.go
+++ b/batch/shards_test.go
@@ -181,8 +181,8 @@
 		draining := f.busiest()
 		f.instances[draining].Drain()
 		time.Sleep(2 * time.Second)
-		is.Equal(f.instances[draining].Status().Keeping, 0)
-		is.Equal(f.leader.instance.Status().Sharing.Keepers[draining], 0)
+		is.Equal(f.instances[draining].Status().DelegatedWorkers, 0)
+		is.Equal(f.leader.instance.Status().Sharding.Delegates[draining], 0)
 		is.Equal(f.workers.dispatchedBy(100 * time.Millisecond)[draining], 0)
 		f.kill(draining)
 		is.Equal(f.decisionCount("run_stopped"), int64(0))
@@ -249,7 +249,7 @@
 			instance := newLoadedInstance(t, &tailStore{}, "none")
 			change(instance)
 			near, far := relay.Pipe()
-			go instance.Keep(t.Context(), &relaypb.Keep{Epoch: 8, Lives: true}, far)
+			go instance.ServeDelegation(t.Context(), &relaypb.Keep{Epoch: 8, Lives: true}, far)
 			answer := &relaypb.Kept{}
 			is.NoErr(near.Receive(answer))
 			is.True(answer.Refused || answer.Fenced)
@@ -265,7 +265,7 @@
 		near, far := relay.Pipe()
 		delegate := newLoadedInstance(t, &tailStore{}, "none")
 		useTestClock(delegate.clock)
-		go delegate.Keep(t.Context(), &relaypb.Keep{Epoch: 8}, far)
+		go delegate.ServeDelegation(t.Context(), &relaypb.Keep{Epoch: 8}, far)
 		answer := &relaypb.Kept{}
 		is.NoErr(near.Receive(answer))
 		is.True(answer.Refused)
@@ -335,13 +335,13 @@
 func TestStatusShowsDelegates(t *testing.T) {
 	inFleet(t, manyWorkers, 8, time.Second, func(f *testFleet, is *is.I) {
 		status := f.leader.instance.Status()
-		is.True(status.Sharing.Shared)
-		is.Equal(status.Sharing.Own, 0)
+		is.True(status.Sharding.Sharded)
+		is.Equal(status.Sharding.OwnWorkers, 0)
 		total := 0
-		for name, count := range status.Sharing.Keepers {
+		for name, count := range status.Sharding.Delegates {
 			is.True(strings.HasPrefix(name, "keeper-"))
 			total += count
-			is.Equal(f.instances[name].Status().Keeping, count)
+			is.Equal(f.instances[name].Status().DelegatedWorkers, count)
 		}
 		is.Equal(total, manyWorkers)
 	})
--- a/batch/simworkers_test.go
+++ b/batch/simworkers_test.go
@@ -229,7 +229,7 @@
 	w.advance(s)
 	if epoch < w.fence {
 		s.lock.Unlock()
-		return nil, &OrderError{Refusal: RefusedFence}
+		return nil, &OrderError{Refusal: RefusedStaleTerm}
 	}
 	w.fence = epoch
 	w.lastCaller = c.instance
@@ -261,7 +261,7 @@
 		return w.clockMS(), nil
 	}
 	if order.Run <= w.highest[order.Task] {
-		return 0, &OrderError{Refusal: RefusedOld}
+		return 0, &OrderError{Refusal: RefusedStaleRun}
 	}
 	for _, other := range c.fleet.workers {
 		other.advance(c.fleet)
@@ -275,7 +275,7 @@
 		w.doubleRuns++
 	}
 	c.fleet.newestRun[order.Task] = max(c.fleet.newestRun[order.Task], order.Run)
-	w.extendLease(order.UntilMS)
+	w.extendLease(order.LeaseUntilMS)
 	w.runs[key] = time.Now()
 	w.startCount++
 	w.startedAt = time.Now()
@@ -310,7 +310,7 @@
 		bornMS = w.bornMS
 		w.holds++
 		w.lastHoldAt = time.Now()
-		w.extendLease(order.UntilMS)
+		w.extendLease(order.LeaseUntilMS)
 		for len(w.ends) > 0 && w.ends[0].Number <= order.Ack {
 			w.acknowledgeEnd(c.fleet, w.ends[0])
 			w.ends = w.ends[1:]
@@ -323,7 +323,7 @@
 			}
 			c.fleet.lock.Unlock()
 			if bornMS != worker.BornMS {
-				return HoldReport{}, &OtherLifeError{BornMS: bornMS}
+				return HoldReport{}, &OtherIncarnationError{BornMS: bornMS}
 			}
 			return report, nil
 		}
--- a/batch/standby_test.go
+++ b/batch/standby_test.go
@@ -144,7 +144,7 @@
 	firstRead map[int]time.Time
 }
 
-func (s *firstReadStore) Newest(_ context.Context, stream Stream, part int) (Batch, error) {
+func (s *firstReadStore) ReadNewest(_ context.Context, stream Stream, part int) (Batch, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if stream == StreamWork && s.firstRead[part].IsZero() {
--- a/batch/state_test.go
+++ b/batch/state_test.go
@@ -39,7 +39,7 @@
 		if len(records) == 0 && time.Now().Before(until) && ctx.Err() == nil {
 			continue
 		}
-		batch := Batch{Records: records, Next: from + int64(len(records))}
+		batch := Batch{Records: records, NextOffset: from + int64(len(records))}
 		for index := range records {
 			batch.Offsets = append(batch.Offsets, from+int64(index))
 		}
@@ -114,7 +114,7 @@
 		instance := newLoadedInstance(t, store, "a1")
 		instance.config.Store(&Config{Version: 1})
 		is.True(instance.Ready())
-		instance.settings.NotServed = "workers cannot be given orders"
+		instance.settings.NotServedReason = "workers cannot be given orders"
 		is.True(!instance.Ready())
 		outcome := instance.Submit(t.Context(), &jobs.Submission{ID: "a2", Steps: []jobs.Step{{Tasks: 1}}})
 		is.Equal(outcome.Verdict, NotRun)
--- a/batch/status.go
+++ b/batch/status.go
@@ -4,42 +4,42 @@
 
 // Status is the state of an instance as it sees it, for operators.
 type Status struct {
-	Instance      string             `json:"instance"`
-	Leading       bool               `json:"leading"`
-	Term          jobs.Term          `json:"term"`
-	ConfigVersion int64              `json:"config_version"`
-	Evacuated     []string           `json:"evacuated,omitempty"` // availability zones that are evacuated
-	Ready         bool               `json:"ready"`
-	Draining      bool               `json:"draining"`
-	LogAgeMS      int64              `json:"log_age_ms"` // since the last answered read of the log
-	Jobs          map[jobs.State]int `json:"jobs"`
-	Waiting       map[string]int     `json:"waiting"`           // by queue
-	Keeping       int                `json:"keeping"`           // workers driven on behalf of the leader
-	Sharing       SharingStatus      `json:"sharing,omitempty"` // set on the leader only
+	Instance         string             `json:"instance"`
+	Leading          bool               `json:"leading"`
+	Term             jobs.Term          `json:"term"`
+	ConfigVersion    int64              `json:"config_version"`
+	Evacuated        []string           `json:"evacuated,omitempty"` // availability zones that are evacuated
+	Ready            bool               `json:"ready"`
+	Draining         bool               `json:"draining"`
+	LogAgeMS         int64              `json:"log_age_ms"` // since the last answered read of the log
+	Jobs             map[jobs.State]int `json:"jobs"`
+	Waiting          map[string]int     `json:"waiting"`           // by queue
+	DelegatedWorkers int                `json:"keeping"`           // workers driven on behalf of the leader
+	Sharding         ShardingStatus     `json:"sharing,omitempty"` // set on the leader only
 }
 
-// SharingStatus describes how the leader reaches the workers.
-type SharingStatus struct {
-	Shared  bool           `json:"shared"`            // workers are divided among delegates
-	Own     int            `json:"own"`               // workers that the leader drives itself
-	Moving  int            `json:"moving"`            // workers without a dispatcher, or in transfer
-	Keepers map[string]int `json:"keepers,omitempty"` // workers by delegate
+// ShardingStatus describes how the leader reaches the workers.
+type ShardingStatus struct {
+	Sharded       bool           `json:"shared"`            // workers are divided among delegates
+	OwnWorkers    int            `json:"own"`               // workers that the leader drives itself
+	MovingWorkers int            `json:"moving"`            // workers without a dispatcher, or in transfer
+	Delegates     map[string]int `json:"keepers,omitempty"` // workers by delegate
 }
 
 // Status returns the current status of this instance.
 func (i *Instance) Status() Status {
 	status := Status{
-		Instance:  i.settings.Name,
-		Leading:   i.fold.trackDirty.Load(),
-		Evacuated: i.evacuations.list(),
-		Ready:     i.Ready(),
-		Draining:  i.Draining(),
-		LogAgeMS:  ageMS(i.clock.Now(), i.work.lastAnswer()),
-		Waiting:   map[string]int{},
-		Keeping:   i.delegations.count(),
+		Instance:         i.settings.Name,
+		Leading:          i.fold.trackDirty.Load(),
+		Evacuated:        i.evacuations.list(),
+		Ready:            i.Ready(),
+		Draining:         i.Draining(),
+		LogAgeMS:         ageMS(i.clock.Now(), i.work.lastAnswer()),
+		Waiting:          map[string]int{},
+		DelegatedWorkers: i.delegations.count(),
 	}
 	if sharing := i.sharing.Load(); sharing != nil {
-		status.Sharing = *sharing
+		status.Sharding = *sharing
 	}
 	config := i.Config()
 	i.foldLock.Lock()
--- a/batch/successor_test.go
+++ b/batch/successor_test.go
@@ -58,7 +58,7 @@
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go relay.Serve(ctx, listener, other.Relayed, nil)
+	go relay.Serve(ctx, listener, other.HandleRelayedCall, nil)
 	leader := newLoadedInstance(t, downStore{}, "a1")
 	record, err := jobs.InstanceRecord("b", jobs.Instance{Address: listener.Addr().String()})
 	is.NoErr(err)
--- a/batch/testfleet_test.go
+++ b/batch/testfleet_test.go
@@ -36,7 +36,7 @@
 	sessions     sync.WaitGroup
 }
 
-var simBounds = Bounds{Lease: simLease, StopWithin: 200 * time.Millisecond}
+var simBounds = Bounds{MaxLease: simLease, MaxStopTime: 200 * time.Millisecond}
 
 func newTestFleet(t *testing.T, workers *simWorkers, instances int) *testFleet {
 	f := &testFleet{t: t, workers: workers, instances: map[string]*Instance{}, closeStreams: map[string][]func(){}, killed: map[string]bool{}, hanging: map[string]bool{}, loopDone: make(chan struct{})}
@@ -122,7 +122,7 @@
 	f.sessions.Go(func() { f.pump(address, toLeader, toDelegate, func() proto.Message { return &relaypb.Orders{} }, stop) })
 	f.sessions.Go(func() { f.pump(address, toDelegate, toLeader, func() proto.Message { return &relaypb.Kept{} }, stop) })
 	f.sessions.Go(func() {
-		f.instances[address].Keep(f.ctx, request, delegateEnd)
+		f.instances[address].ServeDelegation(f.ctx, request, delegateEnd)
 		delegateEnd.Close()
 	})
 	return leaderEnd, nil
--- a/command/fleet.go
+++ b/command/fleet.go
@@ -43,16 +43,16 @@
 func printStatus(out io.Writer, status *batch.Status) {
 	fmt.Fprintf(out, "instance=%s leading=%t epoch=%d holder=%s config=%d ready=%t draining=%t log_age_ms=%d jobs=%v waiting=%v keeping=%d",
 		status.Instance, status.Leading, status.Term.Epoch, status.Term.Leader, status.ConfigVersion, status.Ready,
-		status.Draining, status.LogAgeMS, status.Jobs, status.Waiting, status.Keeping)
+		status.Draining, status.LogAgeMS, status.Jobs, status.Waiting, status.DelegatedWorkers)
 	if len(status.Evacuated) > 0 {
 		fmt.Fprintf(out, " evacuated=%s", strings.Join(status.Evacuated, ","))
 	}
 	if status.Leading {
-		fmt.Fprintf(out, " shared=%t own=%d moving=%d", status.Sharing.Shared, status.Sharing.Own, status.Sharing.Moving)
+		fmt.Fprintf(out, " shared=%t own=%d moving=%d", status.Sharding.Sharded, status.Sharding.OwnWorkers, status.Sharding.MovingWorkers)
 	}
 	fmt.Fprintln(out)
-	for _, delegate := range slices.Sorted(maps.Keys(status.Sharing.Keepers)) {
-		fmt.Fprintf(out, "holder=%s keeper=%s workers=%d\n", status.Instance, delegate, status.Sharing.Keepers[delegate])
+	for _, delegate := range slices.Sorted(maps.Keys(status.Sharding.Delegates)) {
+		fmt.Fprintf(out, "holder=%s keeper=%s workers=%d\n", status.Instance, delegate, status.Sharding.Delegates[delegate])
 	}
 }
 
--- a/command/fleet_test.go
+++ b/command/fleet_test.go
@@ -15,7 +15,7 @@
 
 func TestFleetPrintsDelegates(t *testing.T) {
 	is := is.New(t)
-	status := batch.Status{Instance: "a", Leading: true, Sharing: batch.SharingStatus{Shared: true, Own: 1, Moving: 2, Keepers: map[string]int{"c": 118, "b": 121}}}
+	status := batch.Status{Instance: "a", Leading: true, Sharding: batch.ShardingStatus{Sharded: true, OwnWorkers: 1, MovingWorkers: 2, Delegates: map[string]int{"c": 118, "b": 121}}}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		is.Equal(r.URL.Path, "/status")
 		is.NoErr(json.NewEncoder(w).Encode(status))
--- a/command/front.go
+++ b/command/front.go
@@ -150,7 +150,7 @@
 
 // Fire implements logrus.Hook.
 func (h logPositionHook) Fire(entry *logrus.Entry) error {
-	entry.Data[logPositionField] = h.instance.LogPosition()
+	entry.Data[logPositionField] = h.instance.LogOffset()
 	return nil
 }
 
@@ -207,7 +207,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.stopRelay = cancel
-	go relay.Serve(ctx, listener, p.instance.Relayed, p.instance.Keep)
+	go relay.Serve(ctx, listener, p.instance.HandleRelayedCall, p.instance.ServeDelegation)
 	return nil
 }
 
--- a/command/serve.go
+++ b/command/serve.go
@@ -54,8 +54,8 @@
 		fmt.Fprintln(to.err, err.Error())
 		return ExitUsage
 	}
-	if loaded.NotServed != "" {
-		fmt.Fprintln(to.err, "no job can be run: "+loaded.NotServed)
+	if loaded.NotServedReason != "" {
+		fmt.Fprintln(to.err, "no job can be run: "+loaded.NotServedReason)
 		return ExitUsage
 	}
 	if len(loaded.Duties) > 0 {
