--- a/adapters/fronthttp/fronthttp.go
+++ b/adapters/fronthttp/fronthttp.go
@@ -148,7 +148,7 @@
 // readBody reads a body up to the limit and requires UTF-8. If it returns false, it has
 // answered the request.
 func (f *front) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, f.service.MaxBody()))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, f.service.MaxBodyBytes()))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -191,7 +191,7 @@
 		Workspace: r.Header.Get(HeaderWorkspace),
 		Class:     mux.Vars(r)["class"],
 		Key:       r.Header.Get(HeaderKey),
-		Issued:    issued,
+		IssuedAt:  issued,
 		Body:      body,
 	})
 	if result.Outcome == structs.OutcomeRan && (result.Answer != nil || !result.Replayed) {
@@ -271,11 +271,11 @@
 }
 
 func (f *front) propose(w http.ResponseWriter, r *http.Request) {
-	var proposal service.Document
+	var proposal service.TargetsDocument
 	if !f.readJSON(w, r, &proposal) {
 		return
 	}
-	reply, version := f.service.Propose(r.Context(), proposal)
+	reply, version := f.service.ProposeTargets(r.Context(), proposal)
 	body := replyBody(reply)
 	body.Version = version
 	writeReply(w, httpStatus(reply.Outcome, reply.Reason), body)
--- a/command/client.go
+++ b/command/client.go
@@ -154,7 +154,7 @@
 
 func getTargets(address string, to output) int {
 	status, answer, err := call(http.MethodGet, address, "/v1/targets", nil, nil)
-	var document service.Document
+	var document service.TargetsDocument
 	if err != nil || status != http.StatusOK || json.Unmarshal(answer, &document) != nil {
 		return printAnswer(to, "targets", status, answer, err)
 	}
@@ -171,10 +171,10 @@
 	if err != nil {
 		return fail(to, "targets", err)
 	}
-	return postTargets(address, "targets", service.Document{Version: base, Text: string(text)}, to)
+	return postTargets(address, "targets", service.TargetsDocument{Version: base, Text: string(text)}, to)
 }
 
-func postTargets(address, name string, document service.Document, to output) int {
+func postTargets(address, name string, document service.TargetsDocument, to output) int {
 	body, err := json.Marshal(document)
 	if err != nil {
 		return fail(to, name, err)
--- a/command/dev.go
+++ b/command/dev.go
@@ -179,7 +179,7 @@
 
 // proposeDevTargets applies the embedded targets and waits until every instance has them.
 func (s *devSystem) proposeDevTargets(ctx context.Context) error {
-	reply, version := s.instances[0].Propose(ctx, service.Document{Version: 0, Text: devTargets})
+	reply, version := s.instances[0].ProposeTargets(ctx, service.TargetsDocument{Version: 0, Text: devTargets})
 	if reply.Outcome != structs.OutcomeAccepted {
 		return eris.Errorf("targets were not accepted: %s %s", reply.Reason, reply.Detail)
 	}
--- a/command/zones.go
+++ b/command/zones.go
@@ -65,10 +65,10 @@
 	if err != nil {
 		return fail(to, "zones", err)
 	}
-	return postTargets(address, "zones", service.Document{Version: document.Version, Text: text}, to)
+	return postTargets(address, "zones", service.TargetsDocument{Version: document.Version, Text: text}, to)
 }
 
-func fetchTargets(address string) (*service.Document, error) {
+func fetchTargets(address string) (*service.TargetsDocument, error) {
 	status, answer, err := call(http.MethodGet, address, "/v1/targets", nil, nil)
 	if err != nil {
 		return nil, err
@@ -76,6 +76,6 @@
 	if status != http.StatusOK {
 		return nil, eris.Errorf("status %d", status)
 	}
-	document := new(service.Document)
+	document := new(service.TargetsDocument)
 	return document, eris.Wrap(json.Unmarshal(answer, document), "targets")
 }
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -316,7 +316,7 @@
 	results := make(chan int, 2)
 	for n := range 2 {
 		go func() {
-			body := service.Document{Version: 1, Text: testTargets + fmt.Sprintf("[workspace \"racer-%d\"]\n", n)}
+			body := service.TargetsDocument{Version: 1, Text: testTargets + fmt.Sprintf("[workspace \"racer-%d\"]\n", n)}
 			results <- s.tryProposeTargets(s.instances[n], body)
 		}()
 	}
@@ -324,7 +324,7 @@
 	is.True((first == http.StatusOK) != (second == http.StatusOK)) // exactly one proposal is accepted
 	s.setPlatformFaults(standin.PlatformFaults{Retain: 1})
 	for version := int64(2); version < 6; version++ {
-		is.Equal(s.tryProposeTargets(s.instances[0], service.Document{Version: version, Text: testTargets}), http.StatusOK)
+		is.Equal(s.tryProposeTargets(s.instances[0], service.TargetsDocument{Version: version, Text: testTargets}), http.StatusOK)
 	}
 	eventually(t, "a snapshot covers the versions", func() bool {
 		s.setPlatformFaults(standin.PlatformFaults{Retain: 1})
--- a/e2e/system_test.go
+++ b/e2e/system_test.go
@@ -267,7 +267,7 @@
 func (s *system) proposeTargets(base int64, text string) {
 	s.t.Helper()
 	instance := s.liveInstances()[0]
-	data, _ := json.Marshal(service.Document{Version: base, Text: text})
+	data, _ := json.Marshal(service.TargetsDocument{Version: base, Text: text})
 	response, err := http.Post("http://"+instance.addr+"/v1/targets", "application/json", bytes.NewReader(data))
 	if err != nil {
 		s.t.Fatal(err)
@@ -365,7 +365,7 @@
 }
 
 // tryProposeTargets proposes targets and returns the HTTP status, or 0 without a response.
-func (s *system) tryProposeTargets(instance *process, document service.Document) int {
+func (s *system) tryProposeTargets(instance *process, document service.TargetsDocument) int {
 	data, err := json.Marshal(document)
 	if err != nil {
 		return 0
--- a/instance/jobs.go
+++ b/instance/jobs.go
@@ -191,14 +191,14 @@
 }
 
 // Targets implements service.Service.
-func (i *Instance) Targets() service.Document {
+func (i *Instance) Targets() service.TargetsDocument {
 	text, version := i.replica.Document()
-	return service.Document{Version: version, Text: text}
+	return service.TargetsDocument{Version: version, Text: text}
 }
 
-// Propose implements service.Service. It validates the proposal before publishing; the
+// ProposeTargets implements service.Service. It validates the proposal before publishing; the
 // order of the log decides between concurrent proposals.
-func (i *Instance) Propose(ctx context.Context, proposal service.Document) (structs.Reply, int64) {
+func (i *Instance) ProposeTargets(ctx context.Context, proposal service.TargetsDocument) (structs.Reply, int64) {
 	_, version := i.replica.Document()
 	refuse := func(reason structs.Reason, detail string) (structs.Reply, int64) {
 		return structs.Reply{Outcome: structs.OutcomeNotRun, Reason: reason, Detail: detail}, version
@@ -284,4 +284,4 @@
 }
 
 // MaxBody implements service.Service.
-func (i *Instance) MaxBody() int64 { return i.settings.MaxBodyBytes }
+func (i *Instance) MaxBodyBytes() int64 { return i.settings.MaxBodyBytes }
--- a/instance/requests.go
+++ b/instance/requests.go
@@ -271,10 +271,10 @@
 }
 
 func (e *execution) issuedMS() int64 {
-	if e.request.Issued.IsZero() {
+	if e.request.IssuedAt.IsZero() {
 		return e.instance.now().UnixMilli()
 	}
-	return e.request.Issued.UnixMilli()
+	return e.request.IssuedAt.UnixMilli()
 }
 
 // abandoned reports to the writer whether the request has ended, so that a claim that
--- a/service/service.go
+++ b/service/service.go
@@ -25,7 +25,7 @@
 	Workspace string
 	Class     string
 	Key       string    // required for classes that are not idempotent
-	Issued    time.Time // when the caller created the key; zero means now
+	IssuedAt  time.Time // when the caller created the key; zero means now
 	Body      []byte
 }
 
@@ -55,8 +55,8 @@
 	EndMS     int64            `json:"end_ms,omitempty"`
 }
 
-// Document is the current targets document, or a proposal to replace it.
-type Document struct {
+// TargetsDocument is the current targets document, or a proposal to replace it.
+type TargetsDocument struct {
 	Version int64  `json:"version"` // current version, or the version that a proposal is based on
 	Text    string `json:"text"`
 }
@@ -89,9 +89,9 @@
 	// CancelJob returns once the cancellation is durable or refused.
 	CancelJob(ctx context.Context, id string) structs.Reply
 	// Targets returns the current targets document.
-	Targets() Document
-	// Propose returns once the proposal is accepted or refused, with the version in force.
-	Propose(ctx context.Context, proposal Document) (structs.Reply, int64)
+	Targets() TargetsDocument
+	// ProposeTargets returns once the proposal is accepted or refused, with the version in force.
+	ProposeTargets(ctx context.Context, proposal TargetsDocument) (structs.Reply, int64)
 	// Refusals returns the recorded refusals of a workspace, oldest first.
 	Refusals(ctx context.Context, workspace string) ([]structs.Refusal, error)
 	// Events returns the events of this process that match filter, and how many older
@@ -99,6 +99,6 @@
 	Events(filter timeline.Filter) ([]timeline.Event, int64)
 	// Status returns the state of the instance.
 	Status() Status
-	// MaxBody returns the maximum size of a request body in bytes.
-	MaxBody() int64
+	// MaxBodyBytes returns the maximum size of a request body in bytes.
+	MaxBodyBytes() int64
 }
