--- a/instance/instance.go
+++ b/instance/instance.go
@@ -82,7 +82,7 @@
 		boot:      boot,
 		identity:  s.Name + "/" + strconv.FormatInt(boot, 10),
 		log:       entry,
-		events:    timeline.NewRecorder(s.Name, hlc.New(now), s.TimelineEvents),
+		events:    timeline.NewRecorder(s.Name, hlc.New(now), s.MaxTimelineEvents),
 		registry:  metrics.NewRegistry(),
 		now:       now,
 		startedAt: now(),
@@ -182,7 +182,7 @@
 	i.draining.Store(true)
 	i.log.Info("draining")
 	i.events.Add("draining", i.settings.Name, "", "")
-	clean := i.kernel.Drain(i.settings.DrainWithin)
+	clean := i.kernel.Drain(i.settings.DrainTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if err := i.server.Shutdown(ctx); err != nil {
--- a/instance/jobs.go
+++ b/instance/jobs.go
@@ -44,7 +44,7 @@
 	select {
 	case reason := <-results:
 		return i.replyToSubmit(request, job, reason)
-	case <-time.After(i.settings.ClaimWait):
+	case <-time.After(i.settings.ClaimTimeout):
 	case <-ctx.Done():
 	}
 	// The submission may still reach the log; a retry with the same key finds or
@@ -179,7 +179,7 @@
 		return structs.Reply{Outcome: structs.OutcomeNotRun, Reason: structs.ReasonLogUnavailable, RetryAfter: refusedRetryAfter}
 	}
 	i.appendRecord(&structs.Record{Kind: structs.RecordCancel, Cancel: &structs.Cancel{Job: id}}, nil)
-	ctx, cancel := context.WithTimeout(ctx, i.settings.ClaimWait)
+	ctx, cancel := context.WithTimeout(ctx, i.settings.ClaimTimeout)
 	defer cancel()
 	for logstream.Sleep(ctx, foldPollInterval) {
 		entry = i.replica.Job(id)
@@ -227,7 +227,7 @@
 // publish appends a proposal and waits for the decision of the fold. An append without
 // an answer is not repeated: the fold shows whether it took effect.
 func (i *Instance) publish(ctx context.Context, data []byte, decisions <-chan targets.Decision, version int64) (structs.Reply, int64) {
-	ctx, cancel := context.WithTimeout(ctx, i.settings.ClaimWait)
+	ctx, cancel := context.WithTimeout(ctx, i.settings.ClaimTimeout)
 	defer cancel()
 	_, appendErr := i.platformLog.Append(ctx, logstream.StreamTargets, [][]byte{data})
 	select {
--- a/instance/maintainer.go
+++ b/instance/maintainer.go
@@ -44,7 +44,7 @@
 	i := m.instance
 	now := i.now()
 	ledgerNext, targetsNext := i.replica.Offsets()
-	if now.Sub(m.snapshotAt) < i.settings.SnapshotEvery || m.snapshotOffsets == ledgerNext+targetsNext {
+	if now.Sub(m.snapshotAt) < i.settings.SnapshotInterval || m.snapshotOffsets == ledgerNext+targetsNext {
 		return
 	}
 	if err := i.writeSnapshot(ctx); err != nil {
@@ -79,11 +79,11 @@
 func (m *maintainer) prune() {
 	i := m.instance
 	now := i.now()
-	if now.Sub(m.prunedAt) < i.settings.KeyWindow/prunesPerKeyWindow {
+	if now.Sub(m.prunedAt) < i.settings.KeyRetention/prunesPerKeyWindow {
 		return
 	}
 	m.prunedAt = now
-	cutoff := now.Add(-i.settings.KeyWindow).UnixMilli()
+	cutoff := now.Add(-i.settings.KeyRetention).UnixMilli()
 	if cutoff > i.replica.PrunedBefore() {
 		i.appendRecord(&structs.Record{Kind: structs.RecordPrune, Prune: &structs.Prune{BeforeMS: cutoff}}, nil)
 	}
--- a/instance/placer.go
+++ b/instance/placer.go
@@ -129,7 +129,7 @@
 	p.logUnavailable = false
 	p.trackedJobs = map[string]bool{}
 	p.scheduler = scheduler.New(scheduler.Config{Workers: workerSpecs(p.workers), Epoch: term})
-	p.coordinator = gangs.New(gangs.Config{Term: term, LeaseTTL: i.settings.LeaseTTL, ReclaimTimeout: i.settings.ReclaimWithin, RecordTimeout: recordTimeout})
+	p.coordinator = gangs.New(gangs.Config{Term: term, LeaseTTL: i.settings.LeaseTTL, ReclaimTimeout: i.settings.ReclaimTimeout, RecordTimeout: recordTimeout})
 	live := i.replica.LiveJobs()
 	sort.Slice(live, func(a, b int) bool { return submittedBefore(live[a], live[b]) })
 	for _, entry := range live {
@@ -346,7 +346,7 @@
 		return worker.ErrNoCapacity
 	}
 	order := worker.Order{Term: term, Run: call.Run, Checkpoint: call.Checkpoint,
-		CheckpointTimeout: i.settings.ReclaimWithin, Resume: call.Resume, Payload: call.Payload, MinLease: call.MinLease}
+		CheckpointTimeout: i.settings.ReclaimTimeout, Resume: call.Resume, Payload: call.Payload, MinLease: call.MinLease}
 	switch call.Kind {
 	case gangs.CallReserve:
 		return i.workerClient.Reserve(ctx, listed.Address, worker.ReserveRequest{Term: term, Run: call.Run, Job: call.Job,
--- a/instance/requests.go
+++ b/instance/requests.go
@@ -259,7 +259,7 @@
 		e.post(requests.ClaimRead{Reason: structs.ReasonLogUnavailable})
 		return
 	}
-	timer := time.NewTimer(i.settings.ClaimWait)
+	timer := time.NewTimer(i.settings.ClaimTimeout)
 	defer timer.Stop()
 	select {
 	case result := <-results:
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -19,25 +19,25 @@
 
 // Settings is the validated content of a settings file.
 type Settings struct {
-	Name             string        // instance name, unique among instances
-	Region           string        // region of the instance
-	AvailabilityZone string        // zone of the instance
-	HTTPAddress      string        // serves callers and operators
-	PeerAddress      string        // serves the other instances
-	PlatformAddress  string        // base URL of the platform
-	Adapter          string        // name of the registered adapters for external systems
-	MaxInFlight      int           // requests in flight
-	MaxBodyBytes     int64         // of a request
-	MaxAnswerBytes   int64         // of an upstream's answer
-	PendingRecords   int           // records buffered while the log is unavailable
-	TimelineEvents   int           // events kept in the timeline
-	ClaimWait        time.Duration // maximum wait until a claim is read back from the log
-	LeaseTTL         time.Duration // of a gang's leases on workers
-	TermTimeout      time.Duration // silence after which the leader is replaced
-	ReclaimWithin    time.Duration // maximum time for a checkpoint when capacity is reclaimed
-	DrainWithin      time.Duration // maximum time for a graceful stop
-	SnapshotEvery    time.Duration // interval between snapshots in the log
-	KeyWindow        time.Duration // retention of request keys
+	Name              string        // instance name, unique among instances
+	Region            string        // region of the instance
+	AvailabilityZone  string        // zone of the instance
+	HTTPAddress       string        // serves callers and operators
+	PeerAddress       string        // serves the other instances
+	PlatformAddress   string        // base URL of the platform
+	Adapter           string        // name of the registered adapters for external systems
+	MaxInFlight       int           // requests in flight
+	MaxBodyBytes      int64         // of a request
+	MaxAnswerBytes    int64         // of an upstream's answer
+	PendingRecords    int           // records buffered while the log is unavailable
+	MaxTimelineEvents int           // events kept in the timeline
+	ClaimTimeout      time.Duration // maximum wait until a claim is read back from the log
+	LeaseTTL          time.Duration // of a gang's leases on workers
+	TermTimeout       time.Duration // silence after which the leader is replaced
+	ReclaimTimeout    time.Duration // maximum time for a checkpoint when capacity is reclaimed
+	DrainTimeout      time.Duration // maximum time for a graceful stop
+	SnapshotInterval  time.Duration // interval between snapshots in the log
+	KeyRetention      time.Duration // retention of request keys
 }
 
 // FaultsError lists every invalid key of a settings file.
@@ -124,14 +124,14 @@
 	{"limits", "body_bytes", "1048576", "1 to 67108864", countSetter(func(s *Settings, n int64) { s.MaxBodyBytes = n }, 1, 64<<20)},
 	{"limits", "answer_bytes", "4194304", "1 to 67108864", countSetter(func(s *Settings, n int64) { s.MaxAnswerBytes = n }, 1, 64<<20)},
 	{"limits", "pending_records", "20000", "100 to 1000000", countSetter(func(s *Settings, n int64) { s.PendingRecords = int(n) }, 100, 1000000)},
-	{"limits", "timeline_events", "20000", "100 to 1000000", countSetter(func(s *Settings, n int64) { s.TimelineEvents = int(n) }, 100, 1000000)},
-	{"timing", "claim_wait", "2s", "50ms to 1m", durationSetter(func(s *Settings) *time.Duration { return &s.ClaimWait }, 50*time.Millisecond, time.Minute)},
+	{"limits", "timeline_events", "20000", "100 to 1000000", countSetter(func(s *Settings, n int64) { s.MaxTimelineEvents = int(n) }, 100, 1000000)},
+	{"timing", "claim_wait", "2s", "50ms to 1m", durationSetter(func(s *Settings) *time.Duration { return &s.ClaimTimeout }, 50*time.Millisecond, time.Minute)},
 	{"timing", "lease_ttl", "6s", "300ms to 5m", durationSetter(func(s *Settings) *time.Duration { return &s.LeaseTTL }, 300*time.Millisecond, 5*time.Minute)},
 	{"timing", "term_timeout", "3s", "200ms to 1m", durationSetter(func(s *Settings) *time.Duration { return &s.TermTimeout }, 200*time.Millisecond, time.Minute)},
-	{"timing", "reclaim_within", "30s", "100ms to 10m", durationSetter(func(s *Settings) *time.Duration { return &s.ReclaimWithin }, 100*time.Millisecond, 10*time.Minute)},
-	{"timing", "drain_within", "5m", "1s to 1h", durationSetter(func(s *Settings) *time.Duration { return &s.DrainWithin }, time.Second, time.Hour)},
-	{"timing", "snapshot_every", "1m", "100ms to 1h", durationSetter(func(s *Settings) *time.Duration { return &s.SnapshotEvery }, 100*time.Millisecond, time.Hour)},
-	{"timing", "key_window", "24h", "1m to 744h", durationSetter(func(s *Settings) *time.Duration { return &s.KeyWindow }, time.Minute, 744*time.Hour)},
+	{"timing", "reclaim_within", "30s", "100ms to 10m", durationSetter(func(s *Settings) *time.Duration { return &s.ReclaimTimeout }, 100*time.Millisecond, 10*time.Minute)},
+	{"timing", "drain_within", "5m", "1s to 1h", durationSetter(func(s *Settings) *time.Duration { return &s.DrainTimeout }, time.Second, time.Hour)},
+	{"timing", "snapshot_every", "1m", "100ms to 1h", durationSetter(func(s *Settings) *time.Duration { return &s.SnapshotInterval }, 100*time.Millisecond, time.Hour)},
+	{"timing", "key_window", "24h", "1m to 744h", durationSetter(func(s *Settings) *time.Duration { return &s.KeyRetention }, time.Minute, 744*time.Hour)},
 }
 
 // Load reads and validates a settings file. Invalid keys are returned as a *FaultsError.
