--- a/command/client.go
+++ b/command/client.go
@@ -55,7 +55,7 @@
 	if status >= http.StatusMultipleChoices {
 		return ExitFailed
 	}
-	return ExitDone
+	return ExitOK
 }
 
 // submitOptions holds the flags of the submit command.
@@ -159,7 +159,7 @@
 		return printAnswer(to, "targets", status, answer, err)
 	}
 	fmt.Fprintf(to.out, "; version = %d\n%s", document.Version, document.Text)
-	return ExitDone
+	return ExitOK
 }
 
 func proposeTargets(address string, base int64, path string, to output) int {
@@ -199,7 +199,7 @@
 		fmt.Fprintf(to.out, "at_ms=%d workspace=%s class=%s subject=%s outcome=%s reason=%s retry_after_s=%d instance=%s dropped_before=%d\n",
 			refusal.AtMS, refusal.Workspace, refusal.Class, refusal.Subject, refusal.Outcome, refusal.Reason, refusal.RetryAfter, refusal.Instance, refusal.Dropped)
 	}
-	return ExitDone
+	return ExitOK
 }
 
 func runTimeline(args []string, to output) int {
@@ -211,7 +211,7 @@
 	}
 	query := "/v1/timeline?job=" + url.QueryEscape(*job) + "&workspace=" + url.QueryEscape(*workspace)
 	var lists [][]timeline.Event
-	code := ExitDone
+	code := ExitOK
 	for _, address := range flags.Args() {
 		events, forgotten, err := fetchEvents(address, query)
 		if err != nil {
--- a/command/command.go
+++ b/command/command.go
@@ -14,7 +14,7 @@
 
 // Exit codes.
 const (
-	ExitDone   = 0 // the operation succeeded
+	ExitOK     = 0 // the operation succeeded
 	ExitFailed = 1 // the operation failed
 	ExitUsage  = 2 // wrong usage or settings
 )
@@ -95,7 +95,7 @@
 func parse(flags *flag.FlagSet, args []string, minArgs, maxArgs int, to output) (code int, ok bool) {
 	err := flags.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
-		return ExitDone, false
+		return ExitOK, false
 	}
 	if err != nil {
 		return ExitUsage, false
@@ -105,7 +105,7 @@
 		flags.Usage()
 		return ExitUsage, false
 	}
-	return ExitDone, true
+	return ExitOK, true
 }
 
 func fail(to output, name string, err error) int {
@@ -118,5 +118,5 @@
 		return code
 	}
 	fmt.Fprintln(to.out, "teaselcleat "+Version)
-	return ExitDone
+	return ExitOK
 }
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -37,7 +37,7 @@
 		code int
 		says string
 	}{
-		{"duties that nobody carries out", []string{"check", "-platform", withDuties}, ExitDone, "duties that are not carried out: upkeep"},
+		{"duties that nobody carries out", []string{"check", "-platform", withDuties}, ExitOK, "duties that are not carried out: upkeep"},
 		{"deployment that is not served", []string{"check", "-platform", byHeartbeat}, ExitUsage, "heartbeat"},
 		{"none", nil, ExitUsage, "usage:"},
 		{"unknown command", []string{"fly"}, ExitUsage, "unknown command"},
@@ -62,7 +62,7 @@
 func TestReplayPrintsSummaryLast(t *testing.T) {
 	is := is.New(t)
 	code, out, _ := run("replay", "-settings", "../replay/testdata/merrimack.ini", "../replay/testdata/merrimack.jsonl")
-	is.Equal(code, ExitDone)
+	is.Equal(code, ExitOK)
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	is.True(strings.HasPrefix(lines[len(lines)-1], "jobs=811 finished="))
 }
@@ -70,7 +70,7 @@
 func TestDemoServesEachClassAndAGang(t *testing.T) {
 	is := is.New(t)
 	code, out, _ := run("dev", "-demo")
-	is.Equal(code, ExitDone)
+	is.Equal(code, ExitOK)
 	for _, want := range []string{"class=surge-check outcome=ran", "class=flow-reconciliation outcome=ran", "event=gang_placed", "event=run_finished"} {
 		is.True(strings.Contains(out, want))
 	}
--- a/command/dev.go
+++ b/command/dev.go
@@ -225,7 +225,7 @@
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	<-signals
-	return ExitDone
+	return ExitOK
 }
 
 func (s *devSystem) print(to output) {
@@ -264,7 +264,7 @@
 	if job.Outcome != structs.OutcomeRan {
 		return ExitFailed
 	}
-	return ExitDone
+	return ExitOK
 }
 
 func (s *devSystem) demoGang(to output) (*service.JobState, error) {
--- a/command/explain.go
+++ b/command/explain.go
@@ -52,7 +52,7 @@
 		fmt.Fprintf(to.err, "explain: no line names %s\n", id)
 		return ExitFailed
 	}
-	return ExitDone
+	return ExitOK
 }
 
 // readLogs reads a log file or every file of a directory.
--- a/command/explain_test.go
+++ b/command/explain_test.go
@@ -26,7 +26,7 @@
 	is.NoErr(os.WriteFile(filepath.Join(dir, "one.log"), []byte(firstLog), 0o600))
 	is.NoErr(os.WriteFile(filepath.Join(dir, "two.log"), []byte(secondLog), 0o600))
 	var out, errs bytes.Buffer
-	is.Equal(Main([]string{"explain", "00000000000000a1", dir}, &out, &errs), ExitDone)
+	is.Equal(Main([]string{"explain", "00000000000000a1", dir}, &out, &errs), ExitOK)
 	var events []string
 	for _, line := range strings.Split(strings.TrimSpace(out.String()), "\n") {
 		_, rest, _ := strings.Cut(line, "msg=")
@@ -51,7 +51,7 @@
 	is.NoErr(os.WriteFile(filepath.Join(dir, "one.log"), []byte(firstLog), 0o600))
 	is.NoErr(os.WriteFile(filepath.Join(dir, "two.log"), []byte(secondLog), 0o600))
 	var out, errs bytes.Buffer
-	is.Equal(Main([]string{"explain", "00000000000000a1", dir}, &out, &errs), ExitDone)
+	is.Equal(Main([]string{"explain", "00000000000000a1", dir}, &out, &errs), ExitOK)
 	text := out.String()
 	is.True(strings.Index(text, "job_ended") < strings.Index(text, "state_told"))
 	is.True(strings.HasPrefix(text, "one.log"))
--- a/command/fleet.go
+++ b/command/fleet.go
@@ -25,7 +25,7 @@
 		return code
 	}
 	client := &http.Client{Timeout: statusTimeout}
-	code := ExitDone
+	code := ExitOK
 	for _, address := range flags.Args() {
 		status, err := fetchStatus(client, address)
 		if err != nil {
--- a/command/front.go
+++ b/command/front.go
@@ -79,7 +79,7 @@
 	}
 	process.pollSettings(*path, signals)
 	process.stop()
-	return ExitDone
+	return ExitOK
 }
 
 // pollSettings adopts changes of the settings file until the process is told to stop. It
--- a/command/replay.go
+++ b/command/replay.go
@@ -48,5 +48,5 @@
 	}
 	fmt.Fprintf(to.out, "large_gangs=%d large_gang_wait_p99_s=%.1f\n", report.LargeGangs, report.LargeGangWaitP99S)
 	fmt.Fprintln(to.out, report.Line())
-	return ExitDone
+	return ExitOK
 }
--- a/command/serve.go
+++ b/command/serve.go
@@ -28,7 +28,7 @@
 		fmt.Fprintf(to.err, "%s: %s\n", path, err.Error())
 		return nil, ExitUsage
 	}
-	return loaded, ExitDone
+	return loaded, ExitOK
 }
 
 func runCheck(args []string, to output) int {
@@ -41,11 +41,11 @@
 	if *platformPath != "" {
 		return checkPlatform(*platformPath, to)
 	}
-	if _, code := loadSettings(*path, to); code != ExitDone {
+	if _, code := loadSettings(*path, to); code != ExitOK {
 		return code
 	}
 	fmt.Fprintln(to.out, "settings are valid")
-	return ExitDone
+	return ExitOK
 }
 
 func checkPlatform(path string, to output) int {
@@ -62,7 +62,7 @@
 		fmt.Fprintln(to.err, "duties that are not carried out: "+strings.Join(loaded.Duties, ", "))
 	}
 	fmt.Fprintln(to.out, "settings are valid")
-	return ExitDone
+	return ExitOK
 }
 
 // newLog returns a logger that writes one line of key=value pairs per event.
@@ -84,7 +84,7 @@
 		return code
 	}
 	loaded, code := loadSettings(*path, to)
-	if code != ExitDone {
+	if code != ExitOK {
 		return code
 	}
 	inst, err := instance.New(loaded, newLog(to, *verbose))
@@ -99,5 +99,5 @@
 	if !inst.Stop() {
 		return ExitFailed
 	}
-	return ExitDone
+	return ExitOK
 }
--- a/command/zones.go
+++ b/command/zones.go
@@ -51,7 +51,7 @@
 	for _, zone := range parsed.EvacuatedZones() {
 		fmt.Fprintf(to.out, "zone=%s evacuated=true version=%d\n", zone, document.Version)
 	}
-	return ExitDone
+	return ExitOK
 }
 
 // changeZone proposes the current targets with a change in one zone. If another operator
--- a/command/zones_test.go
+++ b/command/zones_test.go
@@ -29,7 +29,7 @@
 	is.NoErr(sys.proposeDevTargets(ctx))
 	address := sys.instances[0].HTTPAddress()
 	code, _, errs := run("zones", "evacuate", "-addr", address, "lowell-hall")
-	is.Equal(code, ExitDone) // errs
+	is.Equal(code, ExitOK) // errs
 	is.Equal(errs, "")
 	_, out, _ := run("zones", "list", "-addr", address)
 	is.True(strings.Contains(out, "zone=lowell-hall evacuated=true"))
@@ -47,7 +47,7 @@
 	}
 	queued := phase()
 	code, _, _ = run("zones", "return", "-addr", address, "lowell-hall")
-	is.Equal(code, ExitDone)
+	is.Equal(code, ExitOK)
 	_, out, _ = run("zones", "list", "-addr", address)
 	is.Equal(out, "")
 	for phase() == queued {
