--- a/adapters/workerhttp/workerhttp.go
+++ b/adapters/workerhttp/workerhttp.go
@@ -32,9 +32,9 @@
 
 // Reasons in a Refusal.
 const (
-	RefusalStaleTerm = "stale_term"
-	RefusalNoRoom    = "no_room"
-	RefusalNoLease   = "no_lease"
+	RefusalStaleTerm  = "stale_term"
+	RefusalNoCapacity = "no_room"
+	RefusalNoLease    = "no_lease"
 )
 
 const (
@@ -125,7 +125,7 @@
 	switch refusal.Reason {
 	case RefusalStaleTerm:
 		return worker.ErrStaleTerm
-	case RefusalNoRoom:
+	case RefusalNoCapacity:
 		return worker.ErrNoCapacity
 	case RefusalNoLease:
 		return worker.ErrNoLease
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -350,7 +350,7 @@
 	case worker.ErrNoLease:
 		writeJSON(rw, http.StatusConflict, workerhttp.Refusal{Reason: workerhttp.RefusalNoLease})
 	default:
-		writeJSON(rw, http.StatusConflict, workerhttp.Refusal{Reason: workerhttp.RefusalNoRoom})
+		writeJSON(rw, http.StatusConflict, workerhttp.Refusal{Reason: workerhttp.RefusalNoCapacity})
 	}
 }
 
