--- a/command/dev.go
+++ b/command/dev.go
@@ -114,7 +114,7 @@
 			return err
 		}
 		s.runners = append(s.runners, runner)
-		s.platform.Fix(membership.Member{ID: name, Role: membership.RoleRunner, Boot: 1, Address: address, Slots: standin.RunnerSlots})
+		s.platform.AddFixed(membership.Member{ID: name, Role: membership.RoleRunner, Boot: 1, Address: address, Slots: standin.RunnerSlots})
 	}
 	return nil
 }
@@ -126,7 +126,7 @@
 			return err
 		}
 		rack := "rack-" + strconv.Itoa(n/devWorkersPerRack)
-		s.platform.Fix(membership.Member{ID: "worker-" + strconv.Itoa(n), Role: membership.RoleWorker, Boot: 1, Address: address,
+		s.platform.AddFixed(membership.Member{ID: "worker-" + strconv.Itoa(n), Role: membership.RoleWorker, Boot: 1, Address: address,
 			Rack: rack, AvailabilityZone: "lowell-hall", Accelerators: devAccelerators})
 	}
 	return nil
--- a/e2e/evacuation_test.go
+++ b/e2e/evacuation_test.go
@@ -35,7 +35,7 @@
 // and the store dropped its old records. The status, which `fleet` shows, and the metrics report
 // the evacuation. Work starts in the zone again after the evacuation ends.
 func TestPlatformEvacuation(t *testing.T) {
-	f := startFleet(&fleet{t: t, store: standin.NewKeyedStore(), taskDuration: defaultTaskDuration, ledger: standin.NewTaskLedger()}, 3, 4)
+	f := startFleet(&fleet{t: t, store: standin.NewKeyedStore(), taskDuration: defaultTaskDuration, ledger: standin.NewTaskChecker()}, 3, 4)
 	f.evacuate("z2")
 	f.waitEvacuated("z2")
 	const first, second, third = "00000000000000a1", "00000000000000a2", "00000000000000a3"
@@ -50,7 +50,7 @@
 	_ = leader.cmd.Process.Signal(syscall.SIGKILL) // the process exists
 	// The exit status only repeats the signal.
 	_ = leader.cmd.Wait()
-	f.store.SetFaults(standin.StoreFaults{Keep: 1})
+	f.store.SetFaults(standin.StoreFaults{Retain: 1})
 	for index, instance := range f.instances {
 		if instance == leader {
 			f.instances = append(f.instances[:index], f.instances[index+1:]...)
@@ -69,7 +69,7 @@
 	if f.startsInZone("z2", third) == 0 {
 		t.Error("no task was started in the zone after the evacuation ended")
 	}
-	for _, fault := range f.ledger.Faults() {
+	for _, fault := range f.ledger.Violations() {
 		t.Error(fault)
 	}
 }
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -31,8 +31,8 @@
 	taskDuration   time.Duration // duration of a task on a worker
 	rackSize       int           // machines per rack; 0 puts all in one rack
 	useProxies     bool          // every connection to workers, the store and instances passes a proxy
-	ledger         *standin.TaskLedger
-	gangs          *standin.Gangs
+	ledger         *standin.TaskChecker
+	gangs          *standin.GangCoordinator
 	earlierBinary  string // binary of an earlier version that every second instance runs; empty for none
 	startCount     int    // instances started so far
 	machines       []*machine
@@ -77,7 +77,7 @@
 	server := httptest.NewServer(f.store)
 	t.Cleanup(server.Close)
 	f.storeServer = server
-	f.gangs = standin.NewGangs(gangWaitTimeout)
+	f.gangs = standin.NewGangCoordinator(gangWaitTimeout)
 	f.storeAddr = strings.TrimPrefix(server.URL, "http://")
 	f.configure(1)
 	for index := range workers {
@@ -114,7 +114,7 @@
 // endEvacuation returns an evacuated zone to service.
 func (f *fleet) endEvacuation(zone string) {
 	if f.ledger != nil {
-		f.ledger.Return(zone)
+		f.ledger.EndEvacuation(zone)
 	}
 	f.store.Put("keyed.op", "evacuate/"+zone, nil)
 }
@@ -176,7 +176,7 @@
 		instance.callerProxy = f.proxy(frontAddr)
 		instance.frontAddr = instance.callerProxy.Address()
 		instance.peerProxy = f.proxy(fmt.Sprintf("127.0.0.1:%d", peerPort))
-		f.store.Translate(fmt.Sprintf("127.0.0.1:%d", peerPort), instance.peerProxy.Address())
+		f.store.TranslateAddress(fmt.Sprintf("127.0.0.1:%d", peerPort), instance.peerProxy.Address())
 	}
 	content := fmt.Sprintf(fleetSettings, name, zoneOf(name), peerPort, peerPort, frontAddr, instance.readyAddr, storeAddr)
 	if err := os.WriteFile(settingsPath, []byte(content), 0o600); err != nil {
--- a/e2e/idle_workers_test.go
+++ b/e2e/idle_workers_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// idleTaskDuration is the duration of a task; long tasks take standin.LongRuns times it, which
+	// idleTaskDuration is the duration of a task; long tasks take standin.LongRunFactor times it, which
 	// is far less than the estimate of the gangs.
 	idleTaskDuration = 1500 * time.Millisecond
 	idleRackSize     = 3 // machines per rack
--- a/e2e/machine_test.go
+++ b/e2e/machine_test.go
@@ -92,12 +92,12 @@
 	incarnation := standin.NewTaskWorker(id, m.fleet.taskDuration)
 	incarnation.BornMS = born
 	incarnation.Gangs = m.fleet.gangs
-	incarnation.Lease = maxLease
-	incarnation.Slow = m.clockSlowdown
-	incarnation.Ledger = m.fleet.ledger
+	incarnation.MaxLease = maxLease
+	incarnation.ClockLag = m.clockSlowdown
+	incarnation.Checker = m.fleet.ledger
 	incarnation.Zone = m.zone
 	if m.proxy != nil {
-		incarnation.CalmFor = m.proxy.CalmFor
+		incarnation.UndelayedFor = m.proxy.FaultFreeFor
 	}
 	incarnation.Crash = m.crash
 	m.incarnation = incarnation
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -188,7 +188,7 @@
 	if status != http.StatusServiceUnavailable {
 		t.Fatalf("submission: %d %s", status, body)
 	}
-	f.store.SetFaults(standin.StoreFaults{Keep: 1})
+	f.store.SetFaults(standin.StoreFaults{Retain: 1})
 	f.waitUntil("reported as never submitted", func() bool { return f.jobState(f.instances[0], id) == "410" })
 	f.checkLogLines(id, "verdict=not_run", "retry_after_ms=2000")
 }
--- a/e2e/restart_test.go
+++ b/e2e/restart_test.go
@@ -73,7 +73,7 @@
 	done, lost := 0, 0
 	for _, worker := range f.allIncarnations() {
 		done += worker.Done(id + ".0.1.0")
-		lost += worker.Lost(id + ".0.1.0")
+		lost += worker.LostDone(id + ".0.1.0")
 	}
 	if done-lost > 1 {
 		f.t.Errorf("a task of %s was done %d times, of which %d ends were lost with their workers", id, done, lost)
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -108,7 +108,7 @@
 	case 0:
 		s.restartInstance(index, syscall.SIGKILL)
 	case 1:
-		s.store.SetFaults(standin.StoreFaults{LoseAnswers: 3, Keep: 20})
+		s.store.SetFaults(standin.StoreFaults{LoseAnswers: 3, Retain: 20})
 	case 2:
 		s.instances[index].cmd.Process.Signal(syscall.SIGSTOP)
 		s.submit(2)
@@ -118,7 +118,7 @@
 		s.store.SetFaults(standin.StoreFaults{Down: true})
 		s.submit(2)
 		time.Sleep(time.Duration(s.random.IntN(1500)) * time.Millisecond)
-		s.store.SetFaults(standin.StoreFaults{Keep: 5})
+		s.store.SetFaults(standin.StoreFaults{Retain: 5})
 	case 4:
 		s.restartInstance(index, syscall.SIGTERM)
 	case 5:
--- a/e2e/storm_faults_test.go
+++ b/e2e/storm_faults_test.go
@@ -94,36 +94,36 @@
 	case 0:
 		return standin.ProxyFaults{Delay: time.Duration(20+s.random.IntN(300)) * time.Millisecond}
 	case 1:
-		return standin.ProxyFaults{Delay: time.Duration(1+s.random.IntN(20)) * time.Millisecond, Piece: 1 + s.random.IntN(200)}
+		return standin.ProxyFaults{Delay: time.Duration(1+s.random.IntN(20)) * time.Millisecond, MaxChunk: 1 + s.random.IntN(200)}
 	case 2:
-		return standin.ProxyFaults{HoldUp: true, HoldIn: true}
+		return standin.ProxyFaults{BlockToTarget: true, BlockFromTarget: true}
 	case 3:
-		return standin.ProxyFaults{HoldUp: true}
+		return standin.ProxyFaults{BlockToTarget: true}
 	case 4:
-		return standin.ProxyFaults{HoldIn: true}
+		return standin.ProxyFaults{BlockFromTarget: true}
 	}
 	return standin.ProxyFaults{Refuse: true}
 }
 
 // drawStoreFault draws a fault of the store.
 func (s *storm) drawStoreFault() func(time.Duration) {
-	faults := standin.StoreFaults{Keep: stormRetention}
+	faults := standin.StoreFaults{Retain: stormRetention}
 	switch s.random.IntN(4) {
 	case 0:
 		faults.Down = true
 	case 1:
 		faults.LoseAnswers = 1 + s.random.IntN(4)
-		faults.Keep = 5 + s.random.IntN(20)
+		faults.Retain = 5 + s.random.IntN(20)
 	case 2:
 		faults.LateAppends = 1 + s.random.IntN(4)
-		faults.LateBy = time.Duration(s.random.Int64N(int64(maxAppendDelay)))
+		faults.LateDelay = time.Duration(s.random.Int64N(int64(maxAppendDelay)))
 	case 3:
 		faults.Slow = time.Duration(20+s.random.IntN(280)) * time.Millisecond
 	}
 	return func(duration time.Duration) {
 		s.store.SetFaults(faults)
 		time.Sleep(duration)
-		s.store.SetFaults(standin.StoreFaults{Keep: stormRetention})
+		s.store.SetFaults(standin.StoreFaults{Retain: stormRetention})
 	}
 }
 
--- a/e2e/storm_test.go
+++ b/e2e/storm_test.go
@@ -106,7 +106,7 @@
 // request one rack and are wider than every rack. Memory and open files must stay within the
 // machine's limits.
 func TestPlatformStorm(t *testing.T) {
-	ledger := standin.NewTaskLedger()
+	ledger := standin.NewTaskChecker()
 	fleet := startFleet(&fleet{t: t, store: standin.NewKeyedStore(), taskDuration: stormTaskDuration, rackSize: stormRackSize, reuseIDs: true, useProxies: true, ledger: ledger, earlierBinary: *stormEarlierBinary}, *stormInstances, *stormWorkers)
 	s := &storm{fleet: fleet, random: rand.New(rand.NewPCG(*stormSeed, 5)), configVersion: 1, stop: make(chan struct{}), faultTargets: map[string]bool{}}
 	t.Cleanup(s.copyLogs)
@@ -123,7 +123,7 @@
 	s.checkJobEnds()
 	s.checkLimits()
 	s.checkAcks()
-	for _, fault := range ledger.Faults() {
+	for _, fault := range ledger.Violations() {
 		t.Error(fault)
 	}
 }
--- a/gangs/simulation_calls_test.go
+++ b/gangs/simulation_calls_test.go
@@ -102,7 +102,7 @@
 	first := len(s.executing(a.Run)) == 0 && !s.startedRuns[a.Job][a.Run]
 	held := 0
 	for _, name := range s.workerNames {
-		if s.workers[name].Holds(a.Run) {
+		if s.workers[name].HasLease(a.Run) {
 			held++
 		}
 	}
--- a/gangs/simulation_test.go
+++ b/gangs/simulation_test.go
@@ -305,7 +305,7 @@
 		return
 	}
 	for _, name := range s.workerNames {
-		if s.workers[name].Holds(run) {
+		if s.workers[name].HasLease(run) {
 			continue
 		}
 		since, known := s.leaseLostAt[run]
--- a/standin/gangs.go
+++ b/standin/gangs.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Gangs coordinates gang tasks across the workers of a fleet. The tasks of a gang start
+// GangCoordinator coordinates gang tasks across the workers of a fleet. The tasks of a gang start
 // their work when all have joined, and end together. The first step of a job whose spec
 // is "gangN" is a gang of N tasks.
-type Gangs struct {
-	Wait time.Duration // how long a gang waits for all its tasks
+type GangCoordinator struct {
+	JoinTimeout time.Duration // how long a gang waits for all its tasks
 
 	mu   sync.Mutex
 	runs map[string]*gangRun // by step name and run number
 }
 
-// NewGangs returns a coordinator without gangs.
-func NewGangs(wait time.Duration) *Gangs {
-	return &Gangs{Wait: wait, runs: map[string]*gangRun{}}
+// NewGangCoordinator returns a coordinator without gangs.
+func NewGangCoordinator(wait time.Duration) *GangCoordinator {
+	return &GangCoordinator{JoinTimeout: wait, runs: map[string]*gangRun{}}
 }
 
 // gangRun is the state of one run of a gang.
 type gangRun struct {
-	gangs     *Gangs
+	gangs     *GangCoordinator
 	size      int
 	members   []gangMember
 	startedAt time.Time // zero until all tasks have joined
@@ -55,14 +55,14 @@
 func stepName(task string) string { return task[:strings.LastIndexByte(task, '.')] }
 
 // join adds a started task to the run of its gang. The caller holds the worker's lock.
-func (g *Gangs) join(size int, member gangMember) *gangRun {
+func (g *GangCoordinator) join(size int, member gangMember) *gangRun {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	key := stepName(member.task) + "/" + strconv.Itoa(member.run.number)
 	gang := g.runs[key]
 	if gang == nil || gang.ended {
 		gang = &gangRun{gangs: g, size: size}
-		gang.timer = time.AfterFunc(g.Wait, func() { gang.endAll("alone") })
+		gang.timer = time.AfterFunc(g.JoinTimeout, func() { gang.endAll("alone") })
 		g.runs[key] = gang
 	}
 	gang.members = append(gang.members, member)
--- a/standin/gangs_test.go
+++ b/standin/gangs_test.go
@@ -39,7 +39,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				gangs := NewGangs(wait)
+				gangs := NewGangCoordinator(wait)
 				var workers [2]*TaskWorker
 				for i := range workers {
 					workers[i] = NewTaskWorker("w", runTime)
--- a/standin/keyedstore.go
+++ b/standin/keyedstore.go
@@ -20,13 +20,13 @@
 type StoreFaults struct {
 	Down        bool // every call is refused without effect
 	LoseAnswers int  // number of appends that take effect and get no answer
-	Keep        int  // newest records retained for reading in each part; 0 retains all
+	Retain      int  // newest records retained for reading in each part; 0 retains all
 	// Slow delays each call before it is processed.
 	Slow time.Duration
 	// LateAppends is the number of appends that get no answer and are applied after
-	// LateBy, if the producer's epoch and sequence still permit.
+	// LateDelay, if the producer's epoch and sequence still permit.
 	LateAppends int
-	LateBy      time.Duration
+	LateDelay   time.Duration
 }
 
 // KeyedStore is an in-memory stand-in of the users' store. Its topics consist of
@@ -83,13 +83,13 @@
 	defer s.mu.Unlock()
 	s.faults = faults
 	for _, part := range s.parts {
-		part.dropOldest(faults.Keep)
+		part.dropOldest(faults.Retain)
 	}
 }
 
-// Translate replaces an address in all records that are appended from now on. It models
+// TranslateAddress replaces an address in all records that are appended from now on. It models
 // a network in which a process is reached at another address than the one it listens on.
-func (s *KeyedStore) Translate(address, reachedAt string) {
+func (s *KeyedStore) TranslateAddress(address, reachedAt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.addresses[strconv.Quote(address)] = strconv.Quote(reachedAt)
@@ -112,7 +112,7 @@
 	defer s.mu.Unlock()
 	part := s.part(topic, "0")
 	part.add([]storeRecord{{key, value}})
-	part.dropOldest(s.faults.Keep)
+	part.dropOldest(s.faults.Retain)
 }
 
 func (s *KeyedStore) part(topic, partNumber string) *storePart {
@@ -158,7 +158,7 @@
 	defer s.mu.Unlock()
 	if s.faults.LateAppends > 0 {
 		s.faults.LateAppends--
-		time.AfterFunc(s.faults.LateBy, func() {
+		time.AfterFunc(s.faults.LateDelay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.append(r.URL.Query(), body)
@@ -187,7 +187,7 @@
 	}
 	offset := part.end()
 	part.add(s.translateAddresses(splitRecords(body)))
-	part.dropOldest(s.faults.Keep)
+	part.dropOldest(s.faults.Retain)
 	return http.StatusOK, map[string]any{"offset": offset, "end": part.end()}
 }
 
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -192,8 +192,8 @@
 	return nil
 }
 
-// Fix lists a machine until it is removed; it needs no refreshes.
-func (p *Platform) Fix(entry membership.Member) {
+// AddFixed lists a machine until it is removed; it needs no refreshes.
+func (p *Platform) AddFixed(entry membership.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.listed[entry.ID] = listing{entry: entry, fixed: true}
@@ -285,7 +285,7 @@
 func (p *Platform) serveFixed(w http.ResponseWriter, r *http.Request) {
 	var entry membership.Member
 	if readJSON(w, r, &entry) {
-		p.Fix(entry)
+		p.AddFixed(entry)
 	}
 }
 
--- a/standin/proxy.go
+++ b/standin/proxy.go
@@ -10,11 +10,11 @@
 // ProxyFaults are the network faults that a Proxy injects. The zero value forwards all
 // bytes immediately.
 type ProxyFaults struct {
-	Delay  time.Duration // of each chunk, in both directions
-	Piece  int           // largest chunk in bytes; 0 for no limit
-	HoldUp bool          // bytes to the target are blocked
-	HoldIn bool          // bytes from the target are blocked
-	Refuse bool          // new connections are reset
+	Delay           time.Duration // of each chunk, in both directions
+	MaxChunk        int           // largest chunk in bytes; 0 for no limit
+	BlockToTarget   bool          // bytes to the target are blocked
+	BlockFromTarget bool          // bytes from the target are blocked
+	Refuse          bool          // new connections are reset
 }
 
 // Proxy is a TCP proxy that stands in for the network path to one target address and
@@ -57,9 +57,9 @@
 	p.faultsChanged = make(chan struct{})
 }
 
-// CalmFor reports whether there have been no faults for a time span, so that no bytes that
+// FaultFreeFor reports whether there have been no faults for a time span, so that no bytes that
 // were sent before that span can still arrive.
-func (p *Proxy) CalmFor(span time.Duration) bool {
+func (p *Proxy) FaultFreeFor(span time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults == ProxyFaults{} && time.Since(p.faultyUntil) >= span
@@ -108,8 +108,8 @@
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { p.relay(client, server, func(f ProxyFaults) bool { return f.HoldUp }) })
-	wg.Go(func() { p.relay(server, client, func(f ProxyFaults) bool { return f.HoldIn }) })
+	wg.Go(func() { p.relay(client, server, func(f ProxyFaults) bool { return f.BlockToTarget }) })
+	wg.Go(func() { p.relay(server, client, func(f ProxyFaults) bool { return f.BlockFromTarget }) })
 	wg.Wait()
 	p.untrack(client, server)
 }
@@ -167,8 +167,8 @@
 func (p *Proxy) writeChunks(to net.Conn, data []byte, blocked func(ProxyFaults) bool) error {
 	for len(data) > 0 {
 		size := len(data)
-		if faults, _ := p.currentFaults(); faults.Piece > 0 {
-			size = min(size, faults.Piece)
+		if faults, _ := p.currentFaults(); faults.MaxChunk > 0 {
+			size = min(size, faults.MaxChunk)
 		}
 		p.waitUnblocked(blocked)
 		if _, err := to.Write(data[:size]); err != nil {
--- a/standin/proxy_test.go
+++ b/standin/proxy_test.go
@@ -56,7 +56,7 @@
 }
 
 func TestProxyBlocksBytesUntilFaultIsCleared(t *testing.T) {
-	for name, faults := range map[string]ProxyFaults{"towards": {HoldUp: true}, "from": {HoldIn: true}} {
+	for name, faults := range map[string]ProxyFaults{"towards": {BlockToTarget: true}, "from": {BlockFromTarget: true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			p := newEchoProxy(t)
--- a/standin/taskchecker.go
+++ b/standin/taskchecker.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TaskLedger checks invariants of tasks across several workers: a task runs on one worker
+// TaskChecker checks invariants of tasks across several workers: a task runs on one worker
 // at a time, and does not start again after its end as done was acknowledged.
-type TaskLedger struct {
+type TaskChecker struct {
 	mu           sync.Mutex
 	seq          int64
 	running      map[string]*TaskWorker // by task
@@ -20,22 +20,22 @@
 	evacuateWithin time.Duration        // time after which no task may start there; see Evacuate
 }
 
-// NewTaskLedger returns a ledger without tasks.
-func NewTaskLedger() *TaskLedger {
-	return &TaskLedger{running: map[string]*TaskWorker{}, started: map[string]int64{}, acknowledged: map[string]bool{}, evacuated: map[string]time.Time{}}
+// NewTaskChecker returns a ledger without tasks.
+func NewTaskChecker() *TaskChecker {
+	return &TaskChecker{running: map[string]*TaskWorker{}, started: map[string]int64{}, acknowledged: map[string]bool{}, evacuated: map[string]time.Time{}}
 }
 
 // Evacuate records that an availability zone is evacuated: from within after now until
 // Return, no task may start there.
-func (l *TaskLedger) Evacuate(zone string, within time.Duration) {
+func (l *TaskChecker) Evacuate(zone string, within time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.evacuateWithin = within
 	l.evacuated[zone] = time.Now()
 }
 
-// Return records that an availability zone may be used again.
-func (l *TaskLedger) Return(zone string) {
+// EndEvacuation records that an availability zone may be used again.
+func (l *TaskChecker) EndEvacuation(zone string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.evacuated, zone)
@@ -43,29 +43,29 @@
 
 // checkZone records a violation if a task starts in an evacuated zone too late. Starts on
 // a worker whose orders may have been delayed are exempt. The caller holds l.mu.
-func (l *TaskLedger) checkZone(w *TaskWorker, task string, run int) {
+func (l *TaskChecker) checkZone(w *TaskWorker, task string, run int) {
 	since, evacuated := l.evacuated[w.Zone]
 	if !evacuated || time.Since(since) <= l.evacuateWithin {
 		return
 	}
-	if w.CalmFor == nil || w.CalmFor(l.evacuateWithin) {
+	if w.UndelayedFor == nil || w.UndelayedFor(l.evacuateWithin) {
 		l.addViolation("%s run %d starts on %s %v after its zone %s was evacuated", task, run, w.ID, time.Since(since), w.Zone)
 	}
 }
 
-// Faults returns the violations that were recorded.
-func (l *TaskLedger) Faults() []string {
+// Violations returns the violations that were recorded.
+func (l *TaskChecker) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.violations...)
 }
 
-func (l *TaskLedger) addViolation(format string, args ...any) {
+func (l *TaskChecker) addViolation(format string, args ...any) {
 	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
 // recordStart records that a task starts on a worker, and checks that it may.
-func (l *TaskLedger) recordStart(w *TaskWorker, task string, run int) {
+func (l *TaskChecker) recordStart(w *TaskWorker, task string, run int) {
 	if l == nil {
 		return
 	}
@@ -84,7 +84,7 @@
 }
 
 // recordEnd records that a task no longer runs on a worker, and returns the seq of its end.
-func (l *TaskLedger) recordEnd(w *TaskWorker, task string) int64 {
+func (l *TaskChecker) recordEnd(w *TaskWorker, task string) int64 {
 	if l == nil {
 		return 0
 	}
@@ -98,7 +98,7 @@
 }
 
 // recordAck records that an end as done was acknowledged. seq is that of the end.
-func (l *TaskLedger) recordAck(task string, seq int64) {
+func (l *TaskChecker) recordAck(task string, seq int64) {
 	if l == nil {
 		return
 	}
--- a/standin/taskrun.go
+++ b/standin/taskrun.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// LongRuns is the factor by which tasks run longer if their spec is "long".
-const LongRuns = 7
+// LongRunFactor is the factor by which tasks run longer if their spec is "long".
+const LongRunFactor = 7
 
 // taskRun is a run of a task that executes on a worker.
 type taskRun struct {
--- a/standin/taskworker.go
+++ b/standin/taskworker.go
@@ -14,20 +14,20 @@
 
 // TaskWorker is a stand-in of one worker of the users' platform that runs tasks under
 // leases. A task runs for RunTime and ends as done, or as failed if its spec is "fail".
-// A task whose spec is "long" runs LongRuns times as long, and one whose spec is "crash"
+// A task whose spec is "long" runs LongRunFactor times as long, and one whose spec is "crash"
 // calls Crash on a separate goroutine. A TaskWorker is one incarnation of the worker: a
 // worker that replaces it, under the same ID or another, is another TaskWorker.
 type TaskWorker struct {
-	ID      string
-	BornMS  int64 // start of this incarnation in Unix milliseconds; 0 to omit it from replies
-	RunTime time.Duration
-	Lease   time.Duration // longest lease; 0 for no limit
-	Slow    float64       // share of elapsed time that the worker's clock loses
-	Crash   func()
-	Zone    string                        // availability zone
-	CalmFor func(span time.Duration) bool // reports that orders were not delayed for the span; nil for always
-	Ledger  *TaskLedger                   // records starts and ends; nil for none
-	Gangs   *Gangs                        // of the fleet; nil if every task runs by itself
+	ID           string
+	BornMS       int64 // start of this incarnation in Unix milliseconds; 0 to omit it from replies
+	RunTime      time.Duration
+	MaxLease     time.Duration // longest lease; 0 for no limit
+	ClockLag     float64       // share of elapsed time that the worker's clock loses
+	Crash        func()
+	Zone         string                        // availability zone
+	UndelayedFor func(span time.Duration) bool // reports that orders were not delayed for the span; nil for always
+	Checker      *TaskChecker                  // records starts and ends; nil for none
+	Gangs        *GangCoordinator              // of the fleet; nil if every task runs by itself
 
 	mu          sync.Mutex
 	halted      bool
@@ -98,14 +98,14 @@
 	}
 	for task, run := range w.running {
 		run.cancel()
-		w.Ledger.recordEnd(w, task)
+		w.Checker.recordEnd(w, task)
 	}
 	clear(w.running)
 }
 
-// Lost returns how many ends as done of a task were lost with the worker before they were
+// LostDone returns how many ends as done of a task were lost with the worker before they were
 // acknowledged.
-func (w *TaskWorker) Lost(task string) int {
+func (w *TaskWorker) LostDone(task string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lostDone[task]
@@ -146,7 +146,7 @@
 
 // clockMS returns the time of the worker's clock, in milliseconds from its start.
 func (w *TaskWorker) clockMS() int64 {
-	return int64(float64(time.Since(w.startedAt).Milliseconds())*(1-w.Slow)) + 1
+	return int64(float64(time.Since(w.startedAt).Milliseconds())*(1-w.ClockLag)) + 1
 }
 
 // acceptOrder reads an order, checks its fence and extends the lease. On success it
@@ -174,8 +174,8 @@
 // extendLease extends the lease, limited to the longest that is allowed. It never shortens
 // a lease. The caller holds w.mu.
 func (w *TaskWorker) extendLease(untilMS int64) {
-	if w.Lease > 0 {
-		untilMS = min(untilMS, w.clockMS()+w.Lease.Milliseconds())
+	if w.MaxLease > 0 {
+		untilMS = min(untilMS, w.clockMS()+w.MaxLease.Milliseconds())
 	}
 	if untilMS <= w.leaseUntil {
 		return
@@ -189,7 +189,7 @@
 
 // leaseRemaining converts the lease's remaining time from the worker's clock to real time.
 func (w *TaskWorker) leaseRemaining() time.Duration {
-	return time.Duration(float64(w.leaseUntil-w.clockMS())/(1-w.Slow)) * time.Millisecond
+	return time.Duration(float64(w.leaseUntil-w.clockMS())/(1-w.ClockLag)) * time.Millisecond
 }
 
 // expireLease ends all runs, unless the lease was renewed meanwhile. A task whose end was
@@ -216,9 +216,9 @@
 	}
 }
 
-// Lapses returns how many runs ended when their lease expired, or had ended and were not
+// LapsedRuns returns how many runs ended when their lease expired, or had ended and were not
 // acknowledged before.
-func (w *TaskWorker) Lapses() int {
+func (w *TaskWorker) LapsedRuns() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lapsedRuns
@@ -247,7 +247,7 @@
 		return
 	}
 	w.starts[order.Task]++
-	w.Ledger.recordStart(w, order.Task, order.Run)
+	w.Checker.recordStart(w, order.Task, order.Run)
 	run := &taskRun{number: order.Run, fails: strings.HasPrefix(order.Spec, "fail"), startedAt: time.Now(), duration: w.runDuration(order.Spec)}
 	if size := gangSize(order.Task, order.Spec); size > 1 && w.Gangs != nil {
 		run.gang = w.Gangs.join(size, gangMember{worker: w, task: order.Task, run: run})
@@ -263,7 +263,7 @@
 
 func (w *TaskWorker) runDuration(spec string) time.Duration {
 	if strings.HasPrefix(spec, "long") {
-		return LongRuns * w.RunTime
+		return LongRunFactor * w.RunTime
 	}
 	return w.RunTime
 }
@@ -298,7 +298,7 @@
 	if outcome == "done" {
 		w.done[task]++
 	}
-	seq := w.Ledger.recordEnd(w, task)
+	seq := w.Checker.recordEnd(w, task)
 	w.ends = append(w.ends, taskEnd{cursor: w.lastCursor, run: run, row: []any{w.lastCursor, task, run.number, outcome, ""}, seq: seq})
 	close(w.endsChanged)
 	w.endsChanged = make(chan struct{})
@@ -331,7 +331,7 @@
 			unacknowledged = append(unacknowledged, end)
 		} else if !end.lapsed {
 			for _, task := range end.completedTasks() {
-				w.Ledger.recordAck(task, end.seq)
+				w.Checker.recordAck(task, end.seq)
 			}
 		}
 	}
--- a/standin/taskworker_test.go
+++ b/standin/taskworker_test.go
@@ -48,7 +48,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := NewTaskWorker("w", time.Hour)
-				w.Lease, w.Slow = 6*time.Second, c.slow
+				w.MaxLease, w.ClockLag = 6*time.Second, c.slow
 				status, _ := sendOrder(t, w, "/api/run-start", taskOrder{Task: "a", Run: 1, UntilMS: 1 + c.requested.Milliseconds()})
 				is.Equal(status, http.StatusOK)
 				status, _ = sendOrder(t, w, "/api/hold", taskOrder{UntilMS: 1000}) // a shorter lease
@@ -57,7 +57,7 @@
 				is.Equal(w.Running(), 1)
 				time.Sleep(20 * time.Millisecond)
 				is.Equal(w.Running(), 0)
-				is.Equal(w.Lapses(), 1)
+				is.Equal(w.LapsedRuns(), 1)
 				status, reason := sendOrder(t, w, "/api/run-start", taskOrder{Task: "b", Run: 1})
 				is.Equal(status, http.StatusConflict)
 				is.Equal(reason, "late")
@@ -70,7 +70,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := NewTaskWorker("w", time.Hour)
-		w.Lease = 6 * time.Second
+		w.MaxLease = 6 * time.Second
 		sendOrder(t, w, "/api/run-start", taskOrder{Task: "a", Run: 1, UntilMS: 6000})
 		for range 5 {
 			time.Sleep(5 * time.Second)
@@ -92,14 +92,14 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				ledger := NewTaskLedger()
+				ledger := NewTaskChecker()
 				first, other := NewTaskWorker("a", time.Second), NewTaskWorker("b", time.Second)
-				first.Ledger, other.Ledger = ledger, ledger
+				first.Checker, other.Checker = ledger, ledger
 				sendOrder(t, first, "/api/run-start", taskOrder{Task: "t", Run: 1, UntilMS: 6000})
 				time.Sleep(c.acknowledgedAfter)
 				sendOrder(t, first, "/api/hold", taskOrder{AckCursor: 1})
 				sendOrder(t, other, "/api/run-start", taskOrder{Task: "t", Run: 2, UntilMS: 60000})
-				is.Equal(len(ledger.Faults()), c.violations)
+				is.Equal(len(ledger.Violations()), c.violations)
 				first.Halt()
 				other.Halt()
 			})
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -106,8 +106,8 @@
 	return append([]Interval(nil), w.history...)
 }
 
-// Holds reports whether the run has a lease on the worker.
-func (w *Worker) Holds(run string) bool {
+// HasLease reports whether the run has a lease on the worker.
+func (w *Worker) HasLease(run string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
