--- a/command/replay.go
+++ b/command/replay.go
@@ -34,7 +34,7 @@
 		return fail(to, "replay", err)
 	}
 	defer source.Close()
-	events, err := replay.Read(source)
+	events, err := replay.ReadTrace(source)
 	if err != nil {
 		return fail(to, path, err)
 	}
--- a/replay/generate_test.go
+++ b/replay/generate_test.go
@@ -193,12 +193,12 @@
 		if *update {
 			file, err := os.Create(path)
 			is.NoErr(err)
-			is.NoErr(Write(file, events))
+			is.NoErr(WriteTrace(file, events))
 			is.NoErr(file.Close())
 		}
 		file, err := os.Open(path)
 		is.NoErr(err)
-		read, err := Read(file)
+		read, err := ReadTrace(file)
 		is.NoErr(err)
 		is.NoErr(file.Close())
 		is.Equal(len(read), len(events))
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -50,7 +50,7 @@
 
 // Run replays a trace under the named policy and returns the results.
 func Run(setup *Setup, events []Event, policyName string) (*Report, error) {
-	policy, err := scheduler.Open(policyName, scheduler.Config{Workers: setup.Inventory.Specs(), Targets: setup.Targets})
+	policy, err := scheduler.Open(policyName, scheduler.Config{Workers: setup.Inventory.WorkerSpecs(), Targets: setup.Targets})
 	if err != nil {
 		return nil, err
 	}
@@ -156,7 +156,7 @@
 }
 
 func (r *replayer) workerSpec(name string) scheduler.WorkerSpec {
-	for _, spec := range r.setup.Inventory.Specs() {
+	for _, spec := range r.setup.Inventory.WorkerSpecs() {
 		if spec.ID == name {
 			return spec
 		}
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -21,7 +21,7 @@
 	file, err := os.Open("testdata/" + name + ".jsonl")
 	is.NoErr(err)
 	defer file.Close()
-	events, err := Read(file)
+	events, err := ReadTrace(file)
 	is.NoErr(err)
 	return setup, events
 }
@@ -57,7 +57,7 @@
 		{"no time", `{"event":"append_down"}`, "line 1: at_ms is missing"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Read(strings.NewReader(c.trace))
+			_, err := ReadTrace(strings.NewReader(c.trace))
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Fatalf("error %v does not contain %q", err, c.want)
 			}
--- a/replay/report.go
+++ b/replay/report.go
@@ -30,14 +30,14 @@
 
 // ClassReport holds the results of one class.
 type ClassReport struct {
-	Name            string
-	Jobs            int
-	Met             int
-	Missed          int
-	CompletionP50S  float64
-	CompletionP99S  float64
-	WaitP99S        float64
-	FinishWithinSec float64
+	Name           string
+	Jobs           int
+	TargetsMet     int
+	TargetsMissed  int
+	CompletionP50S float64
+	CompletionP99S float64
+	WaitP99S       float64
+	FinishWithinS  float64
 }
 
 // Report holds the results of a replay. Times are in seconds, unless the type says otherwise.
@@ -67,7 +67,7 @@
 // Line formats the results of the class as one line of output.
 func (c ClassReport) Line() string {
 	return fmt.Sprintf("class=%s jobs=%d targets_met=%d targets_missed=%d completion_p50_s=%.1f completion_p99_s=%.1f wait_p99_s=%.1f finish_within_s=%.0f",
-		c.Name, c.Jobs, c.Met, c.Missed, c.CompletionP50S, c.CompletionP99S, c.WaitP99S, c.FinishWithinSec)
+		c.Name, c.Jobs, c.TargetsMet, c.TargetsMissed, c.CompletionP50S, c.CompletionP99S, c.WaitP99S, c.FinishWithinS)
 }
 
 // targetOutcome returns whether a job counts towards its class's target, and whether it
@@ -170,16 +170,16 @@
 func (r *replayer) addClasses(report *Report) {
 	for _, name := range r.setup.Targets.ClassNames() {
 		ofClass := func(job *jobRecord) bool { return job.event.Class == name }
-		c := ClassReport{Name: name, FinishWithinSec: r.setup.Targets.Classes[name].FinishWithin.Seconds()}
+		c := ClassReport{Name: name, FinishWithinS: r.setup.Targets.Classes[name].FinishWithin.Seconds()}
 		for _, job := range r.submitted {
 			if !ofClass(job) {
 				continue
 			}
 			c.Jobs++
 			if counts, met := r.targetOutcome(job); counts && met {
-				c.Met++
+				c.TargetsMet++
 			} else if counts {
-				c.Missed++
+				c.TargetsMissed++
 			}
 		}
 		c.CompletionP50S = percentile(r.completionTimes(ofClass), 0.5)
--- a/replay/setup.go
+++ b/replay/setup.go
@@ -99,8 +99,8 @@
 	return list
 }
 
-// Specs returns the workers, with IDs from w0 up.
-func (i Inventory) Specs() []scheduler.WorkerSpec {
+// WorkerSpecs returns the workers, with IDs from w0 up.
+func (i Inventory) WorkerSpecs() []scheduler.WorkerSpec {
 	specs := make([]scheduler.WorkerSpec, 0, i.Workers)
 	for n := range i.Workers {
 		rack := n / i.WorkersPerRack
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -65,9 +65,9 @@
 	EventAppendUp:   {},
 }
 
-// Read reads a whole trace of JSON lines, which must be in order of time. Errors name the
+// ReadTrace reads a whole trace of JSON lines, which must be in order of time. Errors name the
 // line.
-func Read(source io.Reader) ([]Event, error) {
+func ReadTrace(source io.Reader) ([]Event, error) {
 	scanner := bufio.NewScanner(source)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var events []Event
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// Write writes events as JSON lines.
-func Write(to io.Writer, events []Event) error {
+// WriteTrace writes events as JSON lines.
+func WriteTrace(to io.Writer, events []Event) error {
 	encoder := json.NewEncoder(to)
 	for _, event := range events {
 		if err := encoder.Encode(event); err != nil {
