--- a/internal/prooftest/prooftest.go
+++ b/internal/prooftest/prooftest.go
@@ -61,8 +61,8 @@
 // violationChecks is the number of cases that Violates tries.
 const violationChecks = "5000"
 
-// Violates reports whether a property fails in any of the cases tried.
-func Violates(property func(*rapid.T)) (failed bool) {
+// Fails reports whether a property fails in any of the cases tried.
+func Fails(property func(*rapid.T)) (failed bool) {
 	defer overrideFlag("rapid.shrinktime", "0s")()
 	defer overrideFlag("rapid.checks", violationChecks)()
 	r := &failureRecorder{}
--- a/requests/simulation_test.go
+++ b/requests/simulation_test.go
@@ -339,7 +339,7 @@
 		"release of a lost holder by another": releaseByAnother,
 	} {
 		t.Run(name, func(t *testing.T) {
-			if !prooftest.Violates(func(t *rapid.T) { newSimulation(t, broken).run() }) {
+			if !prooftest.Fails(func(t *rapid.T) { newSimulation(t, broken).run() }) {
 				t.Fatal("the mutation was not detected")
 			}
 		})
