--- a/command/front.go
+++ b/command/front.go
@@ -130,7 +130,7 @@
 		ready:    &http.Server{Addr: loaded.ReadyAddress, Handler: platform.ReadyHandler(instance, registry), ReadTimeout: readTimeout, IdleTimeout: idleTimeout},
 	}
 	if metricsPort > 0 {
-		address := net.JoinHostPort(loaded.Address, strconv.Itoa(metricsPort))
+		address := net.JoinHostPort(loaded.IP, strconv.Itoa(metricsPort))
 		process.metrics = &http.Server{Addr: address, Handler: platform.MetricsHandler(registry), ReadTimeout: readTimeout, IdleTimeout: idleTimeout}
 	}
 	return process
@@ -163,7 +163,7 @@
 		go p.serve(server, listener)
 	}
 	p.serveMetrics()
-	p.log.WithField("terms", strings.Join(p.settings.Terms, ",")).Info("settings_read")
+	p.log.WithField("terms", strings.Join(p.settings.Contracts, ",")).Info("settings_read")
 	p.logUnsupportedDuties()
 	p.instance.Start()
 	return p.serveRelay()
@@ -215,8 +215,8 @@
 // calls finish and stops within the grace period.
 func (p *frontProcess) stop() {
 	p.instance.Drain()
-	time.Sleep(min(balancerLeaveDelay, p.settings.Grace/2))
-	ctx, cancel := context.WithTimeout(context.Background(), p.settings.Grace/2-shutdownReserve)
+	time.Sleep(min(balancerLeaveDelay, p.settings.GracePeriod/2))
+	ctx, cancel := context.WithTimeout(context.Background(), p.settings.GracePeriod/2-shutdownReserve)
 	defer cancel()
 	if err := p.front.Shutdown(ctx); err != nil {
 		p.log.WithField("error", err.Error()).Warn("calls_cut")
--- a/command/reload.go
+++ b/command/reload.go
@@ -55,8 +55,8 @@
 	adopted, needRestart := p.settings.Adopt(loaded)
 	if len(adopted) > 0 {
 		p.instance.SetBounds(p.settings.Bounds)
-		p.store.MoveTo(p.settings.StoreAddress)
-		p.workers.SetAdviser(p.settings.AdviceAddress)
+		p.store.SetAddress(p.settings.StoreAddress)
+		p.workers.SetAdviceAddress(p.settings.AdviceAddress)
 		setMemoryLimit(p.settings.MemoryMB)
 		p.logUnsupportedDuties()
 	}
