--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -27,14 +27,14 @@
 	store          *standin.KeyedStore
 	storeServer    *httptest.Server
 	storeAddr      string
-	reuseIDs       bool          // restarted workers keep their IDs
-	taskDuration   time.Duration // duration of a task on a worker
-	rackSize       int           // machines per rack; 0 puts all in one rack
-	useProxies     bool          // every connection to workers, the store and instances passes a proxy
-	ledger         *standin.TaskLedger
-	gangs          *standin.Gangs
-	earlierBinary  string // binary of an earlier version that every second instance runs; empty for none
-	startCount     int    // instances started so far
+	reuseIDs       bool                // restarted workers keep their IDs
+	taskDuration   time.Duration       // duration of a task on a worker
+	rackSize       int                 // machines per rack; 0 puts all in one rack
+	useProxies     bool                // every connection to workers, the store and instances passes a proxy
+	ledger         *standin.TaskLedger // checks that no task runs twice or in an evacuated zone; nil for none
+	gangs          *standin.Gangs      // lets the tasks of a gang start and end together
+	earlierBinary  string              // binary of an earlier version that every second instance runs; empty for none
+	startCount     int                 // instances started so far
 	machines       []*machine
 	incarnationsMu sync.Mutex
 	incarnations   []*standin.TaskWorker // all incarnations so far, including the current ones
@@ -48,7 +48,7 @@
 	callerProxy  *standin.Proxy // between callers and the instance; nil for none
 	peerProxy    *standin.Proxy // between the other instances and this one; nil for none
 	frontAddr    string         // address for callers
-	readyAddr    string
+	readyAddr    string         // address for readiness and status
 	metricsAddr  string
 	settingsPath string
 	cmd          *exec.Cmd
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -32,7 +32,7 @@
 	*fleet
 	random   *rand.Rand
 	accepted []string
-	unknown  []string // without an answer: accepted or not
+	unknown  []string // no definite answer: may have been accepted
 	refused  []string // refused as never to run
 	crashing []string // accepted, and their task crashes its worker
 	nextID   int
