--- a/placing/advice.go
+++ b/placing/advice.go
@@ -140,7 +140,7 @@
 // HandleAdvice takes the response to a request that was sent at sentAt: tickets by worker,
 // and how long they are valid. Workers without a ticket may never run the step. ok is
 // false if the request failed.
-func (e *Engine) HandleAdvice(ask AdviceRequest, ok bool, tickets map[string]string, valid time.Duration, sentAt, now time.Time) {
+func (e *Engine) HandleAdvice(request AdviceRequest, ok bool, tickets map[string]string, valid time.Duration, sentAt, now time.Time) {
 	step := e.adviceStep
 	e.adviceStep = nil
 	if !ok {
@@ -150,7 +150,7 @@
 	if step.advice == nil {
 		step.advice = &advice{tickets: map[string]ticket{}, forbidden: map[string]bool{}}
 	}
-	for _, worker := range ask.Workers {
+	for _, worker := range request.Workers {
 		text, permitted := tickets[worker.ID]
 		if permitted {
 			step.advice.tickets[worker.ID] = ticket{text: text, expiresAt: sentAt.Add(valid - ticketMargin)}
--- a/placing/advice_order_test.go
+++ b/placing/advice_order_test.go
@@ -104,6 +104,6 @@
 	a.submit(hexID(1), 1, false)
 	a.submit(hexID(2), 1, false)
 	started := a.startsWithin(hexID(2), 10*time.Second)
-	t.Log("questions for the first step:", a.requests[hexID(1)], "for the other:", a.requests[hexID(2)])
+	t.Log("requests for the first step:", a.requests[hexID(1)], "for the other:", a.requests[hexID(2)])
 	is.True(started)
 }
--- a/placing/bench_test.go
+++ b/placing/bench_test.go
@@ -62,10 +62,10 @@
 			if unit.job.submission != urgent {
 				b.Fatal("the urgent gang is not first")
 			}
-			open := e.schedulableView(now)
+			view := e.schedulableView(now)
 			b.ReportAllocs()
 			for b.Loop() {
-				if chosen, _ := e.selectVictims(unit, open, now); chosen == nil {
+				if chosen, _ := e.selectVictims(unit, view, now); chosen == nil {
 					b.Fatal("no placement found")
 				}
 			}
@@ -86,10 +86,10 @@
 	gang.Gang = true
 	e.ApplyJob(&jobs.Job{Submission: testJob("ffffffffffffffff", 1, gang)}, testStart)
 	unit := e.waitingUnits(testStart)[0]
-	open := newView(nodes)
+	view := newView(nodes)
 	b.ReportAllocs()
 	for b.Loop() {
-		if open.fit(unit, false) == nil {
+		if view.fit(unit, false) == nil {
 			b.Fatal("no placement found")
 		}
 	}
--- a/placing/capacity.go
+++ b/placing/capacity.go
@@ -6,11 +6,11 @@
 )
 
 // maxListAge is how long the list of workers is relied on for the capacity of workers that do
-// not check it themselves. The operators allow a heartbeat and three seconds at least, 4.5 s,
-// until a worker that has shrunk gets nothing beyond its capacity.
+// not check it themselves. The operators allow a heartbeat and three seconds, at least 4.5 s,
+// until a worker that has shrunk must get nothing beyond its capacity.
 const maxListAge = 3 * time.Second
 
-// SetListReadAt records as of when the list of workers is known.
+// SetListReadAt sets the time when the list of workers was last read.
 func (e *Engine) SetListReadAt(at time.Time) { e.listReadAt = at }
 
 // logResize logs a change of the capacity that a worker offers, and invalidates what was cached
--- a/placing/capacity_search_test.go
+++ b/placing/capacity_search_test.go
@@ -9,7 +9,7 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// The search for capacity to preempt must end for a step that is limited by PerWorker and
+// The search for capacity to preempt must end for a step that is limited by MaxPerWorker and
 // gains nothing from a preemption.
 func TestSearchOfRoomEndsForStepsWithMoreTasksThanWorkers(t *testing.T) {
 	for name, gang := range map[string]bool{"tasks": false, "gang": true} {
@@ -32,8 +32,8 @@
 	}
 }
 
-// The same for a long-running step of an urgent queue that is limited by PerWorker and loses a
-// worker.
+// The same for a long-running step of an urgent queue that is limited by MaxPerWorker and loses
+// a worker.
 func TestSearchOfCapacityEndsForLongRunningStepThatLostWorker(t *testing.T) {
 	is := is.New(t)
 	s := newDelaySim(t, 1, 3)
--- a/placing/crash_sim_test.go
+++ b/placing/crash_sim_test.go
@@ -40,15 +40,15 @@
 	entry          WorkerEntry
 	up             bool
 	lostAt         time.Time
-	reportedSilent bool // whether the engine was told that it is unreachable
+	reportedSilent bool // whether the engine was notified that it is unreachable
 	unackedEnds    []EndedTask
 	lastEnd        int64
 	running        map[jobs.TaskKey]simRun
 }
 
 // runningTasks returns the running tasks in a deterministic order.
-func (c *simWorker) runningTasks() []jobs.TaskKey {
-	keys := slices.Collect(maps.Keys(c.running))
+func (w *simWorker) runningTasks() []jobs.TaskKey {
+	keys := slices.Collect(maps.Keys(w.running))
 	slices.SortFunc(keys, func(a, b jobs.TaskKey) int { return strings.Compare(a.String(), b.String()) })
 	return keys
 }
--- a/placing/crash_test.go
+++ b/placing/crash_test.go
@@ -11,21 +11,13 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// A task that crashes its workers must be given up. An urgent job was started every three to
-// four seconds until the day ended, 32 times; each start took its worker away for three
-// seconds, and the job never failed.
-//
-// A task starts on an empty worker, whose connection ends 10 ms later. After 3.2 s another
-// incarnation answers at its address, so all its runs are over, and the same pass places the
-// task on the next worker. Leader changes make no difference.
-//
-// Only an end that a worker reports counted as an attempt. A lost worker reports nothing, so a
-// run that ended with its worker left no trace in its task.
-//
-// The leader's log showed one run after another with "worker reborn" as the only reason, each
-// on another worker, each after some 10 ms, in one term. No run of the task was reported as
-// failed, no other worker was lost, and the recorded progress held a number of runs and no
-// other counter.
+// A task that crashes its workers must be given up. A lost worker reports no end, so a run that
+// ends with its worker counts as no attempt; unless losses are counted too, the task is started
+// on one worker after the other. The connection of its worker ends 10 ms after the start. After
+// 3.2 s another incarnation answers at the address, so the run is over ("worker reborn" in the
+// log), and the same pass places the task on the next worker. In one case an urgent job was
+// started every three to four seconds, 32 times; each start took its worker away for three
+// seconds, and the job never failed. Leader changes make no difference.
 func TestTaskThatEndsItsWorkersIsGivenUp(t *testing.T) {
 	big, small, several := testStep(1, 8), testStep(1, 1), testStep(6, 1)
 	gang := gangStep(3, 8)
@@ -66,8 +58,8 @@
 	}
 }
 
-// Workers that repeatedly crash and restart take their runs along, and a suspect would be
-// tried on an empty worker that has just restarted. No job may fail for it: the loss of a
+// Workers that repeatedly crash and restart lose their runs, and a suspect would be retried
+// on an empty worker that has just restarted. No job may fail for it: the loss of a
 // recently restarted worker is no evidence against a task, and random losses are mostly not
 // early. Over 400 seeds it does happen: three of 30,400 jobs lost their worker five times.
 func TestUnsteadyWorkersEndNoJob(t *testing.T) {
@@ -145,12 +137,12 @@
 	c.submit(testJob(hexID(3), 1, testStep(1, 1)))
 	c.steps(2)
 	is.True(suspect.run == nil || len(suspect.run.node.runs) == 1)
-	begun := c.now
-	for suspect.run == nil && c.now.Sub(begun) < 5*time.Second {
+	startedAt := c.now
+	for suspect.run == nil && c.now.Sub(startedAt) < 5*time.Second {
 		c.step()
 	}
 	is.True(suspect.run != nil)
-	is.True(c.now.Sub(begun) <= maxIsolationDelay+100*time.Millisecond)
+	is.True(c.now.Sub(startedAt) <= maxIsolationDelay+100*time.Millisecond)
 }
 
 // The losses of a task that a leader knows are recorded with the next start of the task.
--- a/placing/delay_headroom_test.go
+++ b/placing/delay_headroom_test.go
@@ -48,12 +48,12 @@
 func TestHeadroomIsReservedInPoolOfItsWork(t *testing.T) {
 	is := is.New(t)
 	s := newTwoPoolSim(t)
-	open := s.engine.schedulableView(s.now)
-	s.engine.reserveHeadroom(s.engine.waitingUnits(s.now), open, s.now)
+	view := s.engine.schedulableView(s.now)
+	s.engine.reserveHeadroom(s.engine.waitingUnits(s.now), view, s.now)
 	idle := s.engine.nodes[s.workers[11].entry.ID]
-	is.True(open.headroom[classTask] != nil)
-	for i, reserved := range open.headroom[classTask] {
-		if node := open.nodes[i]; node == idle || node.entry.Pool == "other" {
+	is.True(view.headroom[classTask] != nil)
+	for i, reserved := range view.headroom[classTask] {
+		if node := view.nodes[i]; node == idle || node.entry.Pool == "other" {
 			is.Equal(reserved, node == idle)
 		}
 	}
--- a/placing/delay_log_test.go
+++ b/placing/delay_log_test.go
@@ -10,12 +10,12 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// noteDetails returns the details of a job's notes with the given event.
-func noteDetails(plan Plan, event, job string) []string {
+// jobEventDetails returns the details of a job's log events of the given kind.
+func jobEventDetails(plan Plan, event, job string) []string {
 	var details []string
-	for _, note := range plan.LogEvents {
-		if note.Event == event && note.Job == job {
-			details = append(details, note.Detail)
+	for _, logEvent := range plan.LogEvents {
+		if logEvent.Event == event && logEvent.Job == job {
+			details = append(details, logEvent.Detail)
 		}
 	}
 	return details
@@ -41,7 +41,7 @@
 	c.submit(job)
 	var details []string
 	for range 30 {
-		details = append(details, noteDetails(c.step(), "start_held", job.ID)...)
+		details = append(details, jobEventDetails(c.step(), "start_held", job.ID)...)
 	}
 	is.Equal(len(details), 1) // logged once in two seconds
 	is.True(strings.Contains(details[0], " for one_rack room_for 14 pool_used_percent "))
@@ -54,7 +54,7 @@
 	c.backOffAll()
 	job := testJob(hexID(1), 1, testStep(1, 1))
 	c.submit(job)
-	entries := []WorkerEntry{testWorker("unheard", "r1-0")}
+	entries := []WorkerEntry{testWorker("unreported", "r1-0")}
 	for _, node := range c.engine.nodeOrder {
 		entries = append(entries, node.entry)
 	}
@@ -62,7 +62,7 @@
 	overdue := time.Duration(0)
 	for overdue == 0 && c.now.Sub(testStart) < 10*time.Second {
 		c.engine.jobs[job.ID].occurrences[0].steps[0].observedReadyAt = c.now // as for a leader whose workers have yet to report
-		if len(noteDetails(c.step(), "start_overdue", job.ID)) > 0 {
+		if len(jobEventDetails(c.step(), "start_overdue", job.ID)) > 0 {
 			overdue = c.now.Sub(testStart)
 		}
 	}
@@ -114,7 +114,7 @@
 	is.True(!c.startsWithin(job.ID, 2*overdueAfter))
 }
 
-func TestLapsedRunDoesNotCountAsWaitingTime(t *testing.T) {
+func TestExpiredRunDoesNotCountAsWaitingTime(t *testing.T) {
 	is := is.New(t)
 	s := newDelaySim(t, 2, 6)
 	s.run(time.Second)
@@ -135,7 +135,7 @@
 		s.tick()
 	}
 	is.True(s.countRunning(job, 0) > 0)
-	is.Equal(len(noteDetails(Plan{LogEvents: s.notes}, "start_overdue", job)), 0)
+	is.Equal(len(jobEventDetails(Plan{LogEvents: s.logEvents}, "start_overdue", job)), 0)
 }
 
 func TestStepIsNotOverdueRightAfterEvacuationEnds(t *testing.T) {
@@ -153,5 +153,5 @@
 	}
 	s.engine.SetEvacuatedZones(nil, s.now)
 	is.True(s.waitForStart(job, 0) <= maxIdleDelay)
-	is.Equal(len(noteDetails(Plan{LogEvents: s.notes}, "start_overdue", job)), 0)
+	is.Equal(len(jobEventDetails(Plan{LogEvents: s.logEvents}, "start_overdue", job)), 0)
 }
--- a/placing/delay_sim_test.go
+++ b/placing/delay_sim_test.go
@@ -40,7 +40,7 @@
 	adviceLatency  time.Duration // until an advice request is answered
 	ticketLifetime time.Duration // how long a ticket is valid
 	allowed        func(job, worker string) bool
-	notes          []LogEvent // of all passes
+	logEvents      []LogEvent // of all passes
 }
 
 // newDelaySim returns a simulation whose workers have eight accelerators each.
@@ -130,23 +130,23 @@
 func (s *delaySim) endRuns(w *simWorker) {
 	for _, key := range w.runningTasks() {
 		run := w.running[key]
-		how := EndDone
+		kind := EndDone
 		stop, stopped := s.stopSentAt[key]
 		switch {
 		case stopped && s.now.Sub(stop) >= s.stopDelay:
-			how = EndStopped
+			kind = EndStopped
 			delete(s.stopSentAt, key)
 		case s.percentDone(key, run) < 100 || s.stepOf(key).LongRunning:
 			continue
 		case s.failures[key.Job] > 0:
 			s.failures[key.Job]--
-			how = EndFailed
+			kind = EndFailed
 		default:
 			s.done[key] = true
 		}
 		delete(w.running, key)
 		w.lastEnd++
-		w.unackedEnds = append(w.unackedEnds, EndedTask{Number: w.lastEnd, Task: key, Run: run.number, Kind: how})
+		w.unackedEnds = append(w.unackedEnds, EndedTask{Number: w.lastEnd, Task: key, Run: run.number, Kind: kind})
 	}
 }
 
@@ -200,7 +200,7 @@
 
 func (s *delaySim) executePass() {
 	plan := s.engine.Decide(s.now)
-	s.notes = append(s.notes, plan.LogEvents...)
+	s.logEvents = append(s.logEvents, plan.LogEvents...)
 	s.appendRecords(plan.Records...)
 	if len(plan.Records) > 0 {
 		s.engine.MarkRecordsDurable(s.now)
--- a/placing/engine.go
+++ b/placing/engine.go
@@ -9,7 +9,7 @@
 )
 
 // Engine is the scheduling state of the leader. Its methods are called by one
-// goroutine; now never runs backwards.
+// goroutine, and the time passed to them never goes back.
 type Engine struct {
 	limits              Limits
 	epoch               int64
@@ -22,7 +22,7 @@
 	nodeOrder           []*node            // by ID, for deterministic decisions
 	queues              map[string]jobs.Queue
 	guarantees          map[string]int64
-	uncheckedPools      map[string]bool       // pools whose workers start what is ordered, whether or not it fits
+	uncheckedPools      map[string]bool       // pools whose workers accept starts without checking their capacity
 	listReadAt          time.Time             // when the list of workers was last read
 	overGuarantee       map[string]bool       // by workspace, see updateOverGuarantee
 	estimates           map[string]*estimate  // by queue
@@ -30,7 +30,7 @@
 	recentlyRestarted   map[string]time.Time  // by address: until when incarnations there count as recently restarted
 	evacuations         evacuations
 	speedVariance       speedVariance
-	unexplainedSilences []time.Time // when workers without a run that had just begun recently fell silent, in order
+	unexplainedSilences []time.Time // recent times, in order, when workers without a just started run fell silent
 
 	demands map[string]*demands // by pool
 
@@ -45,17 +45,17 @@
 	acksInFlight         map[*node]int64
 	lastPassAt           time.Time
 	summarizedAt         time.Time // see logSummary
-	delaysCheckedAt      time.Time // see startDelayed
+	delaysCheckedAt      time.Time // see startDelayedUnits
 	idlePools            map[string]idlePool
 	adviceStep           *step   // of the outstanding advice request; nil if there is none
 	oldestAdviceFirst    bool    // the next request is for the unit that has waited longest since its last
 	adviceQueue          []*unit // of the present pass, see queueForAdvice
 	nextAdviceAt         time.Time
 	formerLeasesExpireAt time.Time       // when all leases granted by former leaders have expired
-	jobsComplete         bool            // see Complete
+	jobsComplete         bool            // see MarkJobsComplete
 	decisions            int64           // calls of Decide, for work that is not needed in each
 	pathScratch          []time.Duration // buffer of criticalPath
-	unitScratch          []unit          // buffer of waiting, as is units
+	unitScratch          []unit          // buffer of waitingUnits, as is units
 	units                []*unit
 }
 
@@ -115,7 +115,7 @@
 // Plan is the outcome of one decision: orders and records to be carried out.
 type Plan struct {
 	Records []jobs.Record // progress, to be appended as one group
-	States  []jobs.Record // states, to be appended after Records; then call Recorded
+	States  []jobs.Record // states, to be appended after Records; then call MarkRecordsDurable
 	// EarlyStates are final states to be appended at once, though a group is in
 	// flight: a final state is valid without its progress.
 	EarlyStates    []jobs.Record
@@ -123,7 +123,7 @@
 	Stops          []Stop           // to be sent
 	Acks           map[string]int64 // by worker: ends up to this number may be forgotten
 	Paces          []Pace           // to be sent; call PaceAcknowledged
-	AdviceRequest  *AdviceRequest   // to be sent; call Advised with the response
+	AdviceRequest  *AdviceRequest   // to be sent; call HandleAdvice with the response
 	RemovedWorkers []string         // workers that need not be polled any more
 	ExpiredJobs    []string         // ended jobs whose records can be dropped
 	LogEvents      []LogEvent       // decisions and their reasons, for the log
@@ -155,7 +155,7 @@
 }
 
 // LoadJobs takes over the jobs in the log at the beginning of the term. Recorded runs are
-// looked for at their workers. Those at workers that are not listed any more count as
+// expected at their workers. Those at workers that are not listed any more count as
 // running until the leases of the former leader have expired.
 func (e *Engine) LoadJobs(loaded []*jobs.Job, former FormerLeaderState, now time.Time) {
 	e.formerLeasesExpireAt = now.Add(LeaseExpiry(e.limits.MaxLease) + e.limits.formerLeaderTimeout(former))
@@ -177,7 +177,7 @@
 	}
 }
 
-// MarkJobsComplete marks that every job that a former leader may have started was learned.
+// MarkJobsComplete marks that every job that a former leader may have started is loaded.
 // Until then runs and ends of unknown jobs are left alone at their workers.
 func (e *Engine) MarkJobsComplete() { e.jobsComplete = true }
 
@@ -289,8 +289,8 @@
 	e.recordsSentAt = now
 }
 
-// emitEarlyStates emits the final states of ended jobs while a group has been in
-// flight for long: their callers wait for them.
+// emitEarlyStates emits the final states of ended jobs when a group has been in flight
+// for earlyStateDelay: their callers wait for them.
 func (e *Engine) emitEarlyStates() {
 	for _, job := range e.changedJobs {
 		if job.state.Final() && job.state != job.recordedState {
--- a/placing/engine_test.go
+++ b/placing/engine_test.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// Ends do not wait while a group of records is in flight for long: the final state
+// The ends of jobs do not wait for a group of records that stays in flight: the final state
 // is written ahead, once, and the progress follows with the next group.
 func TestFinalStateDoesNotWaitForAGroupThatIsStuck(t *testing.T) {
 	is := is.New(t)
@@ -214,9 +214,9 @@
 			e.LoadJobs([]*jobs.Job{{Submission: submission, Progress: record.Value}}, former, testStart)
 			e.UpdateWorkers([]WorkerEntry{testWorker("w1", "r1-1")}, testStart)
 			e.Report("w1", testStart, nil, nil, time.Time{}, testStart)
-			lapse := testStart.Add(LeaseExpiry(testLimits.MaxLease) + wait)
-			is.Equal(len(startAll(e, lapse.Add(-time.Millisecond))), 0)
-			is.Equal(len(startAll(e, lapse.Add(time.Second))), 1)
+			expiry := testStart.Add(LeaseExpiry(testLimits.MaxLease) + wait)
+			is.Equal(len(startAll(e, expiry.Add(-time.Millisecond))), 0)
+			is.Equal(len(startAll(e, expiry.Add(time.Second))), 1)
 		})
 	}
 }
--- a/placing/estimate.go
+++ b/placing/estimate.go
@@ -36,7 +36,7 @@
 	est.factor += estimateWeight * (observed - est.factor)
 }
 
-// expectedRuntime returns the expected duration of one task of a step on a sound worker.
+// expectedRuntime returns the expected duration of one task of a step on a healthy worker.
 func (e *Engine) expectedRuntime(job *job, spec int) time.Duration {
 	estimated := time.Duration(job.submission.Steps[spec].EstimateMS) * time.Millisecond
 	if estimated <= 0 {
--- a/placing/evacuation_test.go
+++ b/placing/evacuation_test.go
@@ -157,7 +157,7 @@
 
 // An order that was sent just before the evacuation may still be in transit: its run is
 // stopped with its whole gang after the time that its retries take.
-func TestUnansweredStartsAreRecalledFromAnEvacuatedZone(t *testing.T) {
+func TestUnansweredStartsAreStoppedInAnEvacuatedZone(t *testing.T) {
 	is := is.New(t)
 	e := newZonedEngine(testJob("0000000000000001", 1, spreadGang(4)))
 	e.Decide(testStart)
@@ -276,9 +276,9 @@
 	plan := e.Decide(testStart)
 	is.Equal(len(plan.Records), 0)
 	detail := ""
-	for _, note := range plan.LogEvents {
-		if note.Event == "load" {
-			detail = note.Detail
+	for _, logEvent := range plan.LogEvents {
+		if logEvent.Event == "load" {
+			detail = logEvent.Detail
 		}
 	}
 	is.True(strings.Contains(detail, "usable 0") && strings.Contains(detail, "evacuated 32"))
--- a/placing/fit.go
+++ b/placing/fit.go
@@ -146,8 +146,8 @@
 	return v.pack(unit, v.nodes)
 }
 
-// searchDataRack prefers the rack that holds the step's data, and allows no other if
-// strict.
+// searchDataRack prefers the rack that holds the step's data. If strict is set and the rack has
+// nodes in the view, it allows no other.
 func (v *view) searchDataRack(unit *unit, strict bool) []placement {
 	var dataRackNodes []*node
 	for _, rack := range v.racks {
@@ -165,9 +165,9 @@
 	for _, p := range placements {
 		v.allocate(p.node, unit.step.need())
 	}
-	rest := *unit
-	rest.tasks = unit.tasks[len(placements):]
-	elsewhere := v.pack(&rest, v.nodes)
+	remaining := *unit
+	remaining.tasks = unit.tasks[len(placements):]
+	elsewhere := v.pack(&remaining, v.nodes)
 	for _, p := range placements {
 		v.release(p.node, unit.step.need())
 	}
@@ -312,7 +312,8 @@
 // recently restarted ones are used only where nothing else fits.
 const probationWeight = 20
 
-// lastResortWeight is above the sum of these: for workers that should get no work.
+// lastResortWeight is above the sum of the other weights. It is added for workers that should
+// get no new work.
 const lastResortWeight = 100
 
 // freeShare returns the free share of the node. Accelerators count twice, as large tasks
--- a/placing/headroom_test.go
+++ b/placing/headroom_test.go
@@ -77,17 +77,17 @@
 
 // countOnTime counts the submitted jobs of a priority, and those of them
 // that ended within a time.
-func (s *loadSim) countOnTime(priority int, within time.Duration) (all, met int) {
-	for id, handed := range s.submittedAt {
+func (s *loadSim) countOnTime(priority int, within time.Duration) (total, onTime int) {
+	for id, submitted := range s.submittedAt {
 		if s.engine.jobs[id].queue.Priority != priority {
 			continue
 		}
-		all++
-		if ended, ok := s.endedAt[id]; ok && ended.Sub(handed) <= within {
-			met++
+		total++
+		if ended, ok := s.endedAt[id]; ok && ended.Sub(submitted) <= within {
+			onTime++
 		}
 	}
-	return all, met
+	return total, onTime
 }
 
 func wideGang(tasks int, accelerators int64) jobs.Step {
--- a/placing/health.go
+++ b/placing/health.go
@@ -36,7 +36,8 @@
 func (h *health) markBusy(now time.Time)   { h.backOff(now, busyBackoff) }
 func (h *health) markSilent(now time.Time) { h.backOff(now, silentBackoff) }
 
-// markStalled backs off until the next report, and puts the worker on probation.
+// markStalled backs off for minWorkerBackoff, which each pass extends while a run there is
+// stalled, and puts the worker on probation.
 func (h *health) markStalled(now time.Time) {
 	h.onProbation = true
 	h.backOff(now, minWorkerBackoff)
--- a/placing/idle_test.go
+++ b/placing/idle_test.go
@@ -38,7 +38,7 @@
 
 // All other workers are idle, and the estimates are long.
 func TestStepDoesNotWaitForRackThatCannotHoldIt(t *testing.T) {
-	near := func(step jobs.Step, rack, label string) jobs.Step {
+	withDataRack := func(step jobs.Step, rack, label string) jobs.Step {
 		step.DataRack, step.RequiredLabel = rack, label
 		return step
 	}
@@ -46,10 +46,10 @@
 	spread.OneRack = false
 	for name, step := range map[string]jobs.Step{
 		"a gang wider than a rack":                gangStep(12, 4),
-		"a gang wider than its data's rack":       near(spread, "r1-1", ""),
-		"a task that may not use its data's rack": near(testStep(1, 1), "r1-1", "r1-2"),
-		"a gang that may not use its data's rack": near(spreadGang(1), "r1-1", "r1-2"),
-		"a task whose data's rack is full":        near(testStep(1, 1), "r1-0", ""),
+		"a gang wider than its data's rack":       withDataRack(spread, "r1-1", ""),
+		"a task that may not use its data's rack": withDataRack(testStep(1, 1), "r1-1", "r1-2"),
+		"a gang that may not use its data's rack": withDataRack(spreadGang(1), "r1-1", "r1-2"),
+		"a task whose data's rack is full":        withDataRack(testStep(1, 1), "r1-0", ""),
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/placing/incarnation.go
+++ b/placing/incarnation.go
@@ -8,11 +8,11 @@
 // A worker may restart under its name. Its next incarnation knows no run of the one before
 // and numbers the ends of runs anew, so all state about a worker belongs to one incarnation,
 // under an ID that names it. Orders, however, address the worker by name alone: an order sent
-// while the next incarnation is there but not known yet is carried out by that one. An order
-// that had reached an incarnation is lost with it.
+// after a restart that this leader has not noticed is carried out by the next incarnation. An
+// order that had reached an incarnation is lost with it.
 
-// IncarnationID returns the ID of one incarnation of a worker. Where the platform does not state
-// when incarnations begin, as each has a name of its own, it is the name.
+// IncarnationID returns the ID of one incarnation of a worker. It is the name alone where the
+// platform gives each incarnation a name of its own and states no start time (bornMS is 0).
 func IncarnationID(name string, bornMS int64) string {
 	if bornMS == 0 {
 		return name
@@ -79,12 +79,12 @@
 	}
 }
 
-// ReplaceIncarnation reports that an incarnation of a worker has ended, as a later one answers that
-// began at bornMS; 0 stands for another worker at its address. Orders that the later
-// incarnation may yet carry out are stopped there: next is then its entry, to be polled
-// though it may not be listed. If the incarnation that answers began earlier, its answer
-// is late and proves nothing against one that has reported.
-func (e *Engine) ReplaceIncarnation(worker string, bornMS int64, now time.Time) (next WorkerEntry, mustWatch bool) {
+// ReplaceIncarnation reports that another incarnation answers in place of a worker's known one.
+// It began at bornMS; 0 stands for another worker at the address. If it began later, the known
+// incarnation has ended, and runs that the later one may yet start are stopped there: next is
+// its entry, and mustPoll is set if it must be polled although it is not listed. If it began
+// earlier, its answer is late and does not end an incarnation that has reported.
+func (e *Engine) ReplaceIncarnation(worker string, bornMS int64, now time.Time) (next WorkerEntry, mustPoll bool) {
 	former := e.nodes[worker]
 	if former == nil {
 		return WorkerEntry{}, false
--- a/placing/incarnation_test.go
+++ b/placing/incarnation_test.go
@@ -92,8 +92,8 @@
 	now := testStart.Add(time.Second)
 	e.UpdateWorkers([]WorkerEntry{first, other}, now) // the list does not show the next incarnation yet
 	e.Report(other.ID, now, nil, nil, time.Time{}, now)
-	next, mustWatch := e.ReplaceIncarnation(first.ID, 200, now)
-	is.True(mustWatch)
+	next, mustPoll := e.ReplaceIncarnation(first.ID, 200, now)
+	is.True(mustPoll)
 	is.Equal(next.ID, IncarnationID("w1", 200))
 	plan := e.Decide(now)
 	is.Equal(plan.Stops, []Stop{{Task: key, Run: 1, Worker: next.ID}})
@@ -143,7 +143,7 @@
 }
 
 // Where workers have a new name for each incarnation the ID is the name.
-func TestIncarnationIDWithoutBirthIsTheName(t *testing.T) {
+func TestIncarnationIDWithoutStartTimeIsTheName(t *testing.T) {
 	is := is.New(t)
 	is.Equal(IncarnationID("i-1", 0), "i-1")
 	is.Equal(IncarnationID("i-1", 5), "i-1@5")
--- a/placing/job.go
+++ b/placing/job.go
@@ -20,7 +20,7 @@
 	readyMS       int64 // time of day when the newest step became ready that had waited for other steps
 	dirty         bool
 	occurrences   []*occurrence
-	reservation   *reservation // capacity set aside while others are preempted for this job
+	reservation   *reservation // capacity set aside while victims are stopped for this job
 }
 
 // occurrence is one execution of the steps of a job.
@@ -30,14 +30,14 @@
 	remainingTasks int // tasks not done
 }
 
-// step is one step of an occurrence. A gang's tasks are placed, ended and
-// counted as one.
+// step is one step of an occurrence. The tasks of a gang are placed and ended together, and
+// their attempts and losses are counted once.
 type step struct {
 	job             *job
 	spec            *jobs.Step
 	tasks           []*task
 	remainingTasks  int            // tasks not done
-	readyAt         time.Time      // when it became ready, whoever was leader then; zero before
+	readyAt         time.Time      // when it became ready, under this or a former leader; zero before
 	observedReadyAt time.Time      // when this leader first found it ready
 	nextSearchAt    time.Time      // no search for capacity before
 	delayLoggedAt   time.Time      // when the reason of its start delay was last logged
@@ -62,17 +62,17 @@
 	startBackoff   startBackoff
 	stalls         int       // runs that were stopped as stalled
 	capacitySince  time.Time // since when it has waited despite ample free capacity; zero: it does not
-	lastRunEndedAt time.Time // when its last run that had begun, or may have, ended
+	lastRunEndedAt time.Time // when its last run that started, or may have, ended
 }
 
-// phase is the progress of a run.
+// phase is the stage that a run has reached.
 type phase int
 
 const (
 	phasePlanned   phase = iota // capacity is taken, nothing was sent
 	phaseOrdered                // the start was sent and not yet answered
 	phaseRunning                // the worker has it
-	phaseUncertain              // it may be at the worker or arrive there; a stop settles it
+	phaseUncertain              // it may be at the worker or arrive there; a stop was ordered
 	phaseStopping               // a stop was ordered
 )
 
@@ -227,8 +227,8 @@
 	e.applyProgress(job, progress, e.formerLeasesExpireAt)
 }
 
-// applyProgress applies the progress of a job from the log. Recorded runs are looked for
-// at their workers until leaseExpiry.
+// applyProgress applies the progress of a job from the log. Recorded runs are expected at
+// their workers until leaseExpiry.
 func (e *Engine) applyProgress(job *job, progress *jobs.Progress, leaseExpiry time.Time) {
 	job.state = progress.State
 	job.reason = progress.Reason
@@ -276,7 +276,7 @@
 	task.step.job.occurrences[task.key.Occurrence].remainingTasks--
 }
 
-// predecessorsDone reports whether the steps before this one have ended.
+// predecessorsDone reports whether the steps that this one depends on have ended.
 func (s *step) predecessorsDone(occurrence *occurrence) bool {
 	for _, earlier := range s.spec.After {
 		if occurrence.steps[earlier].remainingTasks > 0 {
--- a/placing/long_running_test.go
+++ b/placing/long_running_test.go
@@ -36,11 +36,11 @@
 	c := newCluster(1)
 	c.submit(testJob(hexID(1), 2, longRunningStep(1)))
 	c.steps(2)
-	for number, how := range []EndKind{EndFailed, EndDone, EndLeaseExpired, EndFailed, EndGangBroken} {
+	for number, kind := range []EndKind{EndFailed, EndDone, EndLeaseExpired, EndFailed, EndGangBroken} {
 		task := c.engine.jobs[hexID(1)].allTasks()[0]
 		is.True(task.run != nil)
 		worker := task.run.node.entry.ID
-		end := EndedTask{Number: int64(number + 1), Task: task.key, Run: task.run.number, Kind: how}
+		end := EndedTask{Number: int64(number + 1), Task: task.key, Run: task.run.number, Kind: kind}
 		c.endNumbers[worker]++
 		end.Number = c.endNumbers[worker]
 		c.engine.Report(worker, c.now, nil, []EndedTask{end}, time.Time{}, c.now)
--- a/placing/loss.go
+++ b/placing/loss.go
@@ -22,8 +22,9 @@
 	// maxEarlyLosses is the number of early losses at which a job is failed: on the users'
 	// worst days two of them may still be chance.
 	maxEarlyLosses = 3
-	// maxLosses is the number of losses of any kind at which the job of a task that is
-	// not long-running is failed: the users allow two starts after the third worker was lost under it.
+	// maxLosses is the number of losses of any kind at which a job is failed: the users allow
+	// two starts after the third worker was lost under a task. Long-running tasks are cleared
+	// of their losses after longRunningProof.
 	maxLosses = 5
 	// minLossesToIsolate is the number of losses from which a task is suspect though none
 	// was early.
--- a/placing/loss_test.go
+++ b/placing/loss_test.go
@@ -33,9 +33,9 @@
 
 func eventDetails(plan Plan, event string) []string {
 	var list []string
-	for _, note := range plan.LogEvents {
-		if note.Event == event {
-			list = append(list, note.Detail)
+	for _, logEvent := range plan.LogEvents {
+		if logEvent.Event == event {
+			list = append(list, logEvent.Detail)
 		}
 	}
 	return list
@@ -68,9 +68,8 @@
 	is.Equal(len(c.engine.recentlyRestarted), 0)
 }
 
-// Until the loss of a worker is noticed it gets orders that reach nobody. That these were
-// not answered does not count against their tasks: a job three of whose starts went to
-// such workers goes on.
+// Until the loss of a worker is noticed, orders are still sent to it. Unanswered ones do not
+// count against their tasks: a job goes on although three of its starts went to lost workers.
 func TestStartsThatMetDeadWorkersEndNoJob(t *testing.T) {
 	is := is.New(t)
 	e := testEngine(1)
--- a/placing/node.go
+++ b/placing/node.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// clockDrift is by how much a worker's clock may be slow, and its leases last longer,
-	// as the platform states it.
+	// clockDrift is the share by which a worker's clock may be slow, and its leases last
+	// longer, as the platform states it.
 	clockDrift = 0.02
 	// leaseMargin covers the error of the estimate of the worker's clock and the delivery
 	// of an order.
@@ -35,7 +35,7 @@
 	at                     int            // index in the view of the present pass
 	unknownRuns            int            // runs there that this engine does not know
 	lastEnd                int64          // highest number of an end that was handled
-	fullUntil              time.Time      // it refused a start for lack of capacity; until its next report
+	fullUntil              time.Time      // until when it gets nothing new after it refused a start for lack of capacity
 	leaveAt                time.Time      // when it may be gone, while leaving
 	evacuated              bool           // its availability zone gets nothing new
 	health                 health
@@ -114,8 +114,8 @@
 	return n
 }
 
-// UpdateWorkers sets the workers that the platform lists now, and returns those that are present as
-// far as known. Workers that are not listed any more get nothing new; their runs go on
+// UpdateWorkers sets the workers that the platform lists now, and returns the entries that are
+// not outdated. Workers that are not listed any more get nothing new; their runs go on
 // while they answer.
 func (e *Engine) UpdateWorkers(entries []WorkerEntry, now time.Time) []WorkerEntry {
 	for _, n := range e.nodeOrder {
--- a/placing/pass.go
+++ b/placing/pass.go
@@ -45,7 +45,7 @@
 		e.placeUnit(unit, view, now)
 	}
 	e.requestAdvice(view, now)
-	e.startDelayed(units, view, now)
+	e.startDelayedUnits(units, view, now)
 }
 
 // schedulableView returns a view of the free capacity of the schedulable nodes.
@@ -60,7 +60,7 @@
 	return e.viewOf(nodes)
 }
 
-// expireReservations drops reservations that were held for longer than the stops may take.
+// expireReservations drops the reservations that have expired.
 func (e *Engine) expireReservations(now time.Time) {
 	for _, job := range e.active {
 		if job.reservation != nil && !now.Before(job.reservation.expiresAt) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// viewOf returns a view of what is free on the given nodes besides reserved capacity.
+// viewOf returns a view of the free capacity of the given nodes, less reserved capacity.
 func (e *Engine) viewOf(nodes []*node) *view {
 	v := newView(nodes)
 	v.speedsSignificant = e.speedVariance.significant
@@ -96,6 +96,8 @@
 	return n.usable(now) && n.isolatedRuns == 0 && !now.Before(n.health.backoffUntil)
 }
 
+// placeUnit places the tasks of a unit. If none fits, it queues the unit for advice
+// and, if it is urgent, preempts other work.
 func (e *Engine) placeUnit(unit *unit, view *view, now time.Time) {
 	reservation := unit.releaseReservation(view)
 	placements := e.findPlacements(unit, reservation, view, now)
@@ -139,8 +141,8 @@
 	}
 }
 
-// findPlacements finds placements for a unit. While its reservation stands they are in the rack
-// that suits the step, or those of the reservation itself.
+// findPlacements finds placements for a unit. With a reservation they are in the rack that suits
+// the step, or those of the reservation itself.
 func (e *Engine) findPlacements(unit *unit, reservation *reservation, view *view, now time.Time) []placement {
 	if reservation == nil {
 		return e.preferredPlacements(unit, view, now)
@@ -151,6 +153,7 @@
 	return view.stillAvailable(unit, reservation.placements)
 }
 
+// assumeUnit assumes the given placements of a unit. The runs of a gang get the same number.
 func (e *Engine) assumeUnit(unit *unit, placements []placement, view *view, now time.Time) {
 	number := 0
 	if unit.step.spec.Gang {
--- a/placing/preempt.go
+++ b/placing/preempt.go
@@ -21,7 +21,7 @@
 	// core-second about six times as much as a lost one, and the victims also finish later.
 	maxLossFactor = 2
 	// urgentLossWeight is the weight of losses of urgent victims, stopped beyond their guarantee
-	// for a guaranteed job; a second is added for their late end. The users value an urgent
+	// for a guaranteed job; one second of their work is added for their late end. The users value an urgent
 	// core-second about six times as much.
 	urgentLossWeight = 6
 	// preemptionBackoff is the pause before victims are searched again for a step that found none,
@@ -165,7 +165,7 @@
 			plan.placements = s.view.pack(s.unit, s.nodes)
 			return plan
 		}
-		next := s.cheapestStep()
+		next := s.cheapestNext()
 		if next == nil {
 			return nil
 		}
@@ -178,7 +178,8 @@
 	}
 }
 
-func (s *victimSearch) cheapestStep() *preemptionPlan {
+// cheapestNext returns the plan that places one more task at the least loss, or nil.
+func (s *victimSearch) cheapestNext() *preemptionPlan {
 	var best *preemptionPlan
 	for _, plan := range s.next {
 		if plan != nil && (best == nil || plan.loss < best.loss) {
--- a/placing/property_test.go
+++ b/placing/property_test.go
@@ -33,8 +33,8 @@
 		s.faultsDisabled = true
 		s.endEvacuations()
 		s.run(60*time.Second, func() {})
-		for _, fault := range s.violations {
-			t.Error(fault)
+		for _, violation := range s.violations {
+			t.Error(violation)
 		}
 		checkEnds(t, s)
 	})
--- a/placing/rack_delay.go
+++ b/placing/rack_delay.go
@@ -13,8 +13,8 @@
 	// urgentDelayShare is the bound for urgent steps, as a share of the reclaim time. They have
 	// to start within all of it, and some need a preemption first.
 	urgentDelayShare = 0.4
-	// reconnectTimeout is how long a silent worker is expected back: within it connections that
-	// were reset are opened again.
+	// reconnectTimeout is the time within which a silent worker is expected to answer again:
+	// connections that were reset are reopened by then.
 	reconnectTimeout = time.Second
 )
 
--- a/placing/rack_delay_test.go
+++ b/placing/rack_delay_test.go
@@ -39,7 +39,7 @@
 
 func TestGangStartsElsewhereWhenEveryRackLacksAWorker(t *testing.T) {
 	occupy := map[string]func(c *cluster, rack string){
-		"away": func(c *cluster, rack string) {
+		"unreachable": func(c *cluster, rack string) {
 			for _, n := range c.engine.nodeOrder {
 				if n.entry.Rack == rack {
 					c.engine.WorkerUnreachable(n.entry.ID, time.Time{}, c.now.Add(-reconnectTimeout))
@@ -55,7 +55,7 @@
 		"in use by a long-running task": func(c *cluster, rack string) {
 			small := longRunningStep(1)
 			small.RequiredLabel = rack
-			c.submit(testJob("lasting-"+rack, 2, small))
+			c.submit(testJob("long-running-"+rack, 2, small))
 		},
 	}
 	for name, occupyWorker := range occupy {
@@ -76,7 +76,7 @@
 }
 
 // Outside of one rack a gang takes three times as long.
-func TestGangWaitsForARackThatComesFreeSoon(t *testing.T) {
+func TestGangWaitsForARackThatIsFreedSoon(t *testing.T) {
 	is := is.New(t)
 	d := newLoadSim(2)
 	for rack := range 2 {
--- a/placing/rank.go
+++ b/placing/rank.go
@@ -50,9 +50,9 @@
 	density           float64 // value per core-second of remaining work
 	deadline          time.Time
 	now               time.Time       // time of the pass
-	deferrable        bool            // can finish on time after other work goes first; see reserveHeadroom
+	deferrable        bool            // can finish on time though other work goes first; see reserveHeadroom
 	guaranteed        bool            // must start within the reclaim time
-	isolated          bool            // suspected of ending workers; gets a worker to itself
+	isolated          bool            // suspect; gets a worker to itself
 	emptyOnly         bool            // isolated and limited to empty workers that have not recently restarted
 	avoidWorker       string          // worker that is used only if no other fits
 	ignorePreferences bool            // placed without preferences, see start_delay.go
@@ -126,6 +126,7 @@
 	return units
 }
 
+// ranksBefore reports whether a is placed before b.
 func ranksBefore(a, b *unit) bool {
 	if a.tier != b.tier {
 		return a.tier < b.tier
@@ -239,6 +240,8 @@
 	return true
 }
 
+// rank returns a unit of an occurrence with its place in the scheduling order, without a step
+// or tasks.
 func (e *Engine) rank(job *job, occurrence *occurrence, now time.Time) unit {
 	objective := e.objective(job, occurrence)
 	start := e.startOfObjective(job, occurrence)
@@ -275,13 +278,14 @@
 	return weight * value / remaining
 }
 
-// meanWork returns the mean work of the active jobs of a queue.
+// meanWork returns the mean work of a queue's jobs that this leader has loaded, or the given
+// work of one job if there are none.
 func (e *Engine) meanWork(job *job, jobWork float64) float64 {
-	size := e.queueWork[job.queue.Name]
-	if size == nil || size.jobs == 0 {
+	work := e.queueWork[job.queue.Name]
+	if work == nil || work.jobs == 0 {
 		return max(1, jobWork)
 	}
-	return max(1, size.coreSeconds/float64(size.jobs))
+	return max(1, work.coreSeconds/float64(work.jobs))
 }
 
 // queueWork sums up the work of a queue's jobs, as submitted.
@@ -290,12 +294,13 @@
 	jobs        int
 }
 
+// recordQueueWork adds the work of a new job to that of its queue.
 func (e *Engine) recordQueueWork(job *job) {
-	size := e.queueWork[job.queue.Name]
-	if size == nil {
-		size = &queueWork{}
-		e.queueWork[job.queue.Name] = size
+	work := e.queueWork[job.queue.Name]
+	if work == nil {
+		work = &queueWork{}
+		e.queueWork[job.queue.Name] = work
 	}
-	size.coreSeconds += e.coreSeconds(job, job.occurrences[0], false)
-	size.jobs++
+	work.coreSeconds += e.coreSeconds(job, job.occurrences[0], false)
+	work.jobs++
 }
--- a/placing/ready_time_test.go
+++ b/placing/ready_time_test.go
@@ -9,8 +9,8 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// foldJobs returns the jobs that a new leader reads from the log.
-func foldJobs(t *testing.T, submission *jobs.Submission, written []jobs.Record) []*jobs.Job {
+// jobsFromLog returns the jobs that a new leader loads from the log.
+func jobsFromLog(t *testing.T, submission *jobs.Submission, written []jobs.Record) []*jobs.Job {
 	t.Helper()
 	table := jobs.NewTable()
 	first, err := jobs.SubmissionRecord(submission)
@@ -44,7 +44,7 @@
 
 	for _, later := range []time.Duration{time.Second, 5 * time.Second} {
 		next := testEngine(2)
-		next.LoadJobs(foldJobs(t, submission, records), FormerLeaderReleased, ready.Add(later))
+		next.LoadJobs(jobsFromLog(t, submission, records), FormerLeaderReleased, ready.Add(later))
 		next.MarkJobsComplete()
 		next.Decide(ready.Add(later))
 		step := next.jobs[submission.ID].occurrences[0].steps[1]
--- a/placing/recently_restarted.go
+++ b/placing/recently_restarted.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// maxUnexplainedSilences is how many workers without a run that had just started may fall silent
+	// maxUnexplainedSilences is how many workers without a just started run may fall silent
 	// within earlyLoss of a loss for the loss to count against a task. More point to a power
 	// failure of a whole room, or to this instance's own connections.
 	maxUnexplainedSilences = 3
@@ -30,8 +30,8 @@
 	}
 }
 
-// unexplainedSilencesNear returns how many workers without a run that had just started fell silent
-// within earlyLoss of a moment.
+// unexplainedSilencesNear returns how many workers without a just started run fell silent within
+// earlyLoss of a moment.
 func (e *Engine) unexplainedSilencesNear(at time.Time) int {
 	count := 0
 	for _, silentAt := range e.unexplainedSilences {
--- a/placing/report.go
+++ b/placing/report.go
@@ -7,7 +7,7 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// Report handles a worker's answer to a hold that was sent at sentAt. leasesExpireAt is when all
+// Report handles a worker's answer to a poll that was sent at sentAt. leasesExpireAt is when all
 // leases on the worker expire unless they are renewed later.
 func (e *Engine) Report(worker string, sentAt time.Time, running []RunningTask, ended []EndedTask, leasesExpireAt, now time.Time) {
 	n := e.nodes[worker]
@@ -158,7 +158,7 @@
 }
 
 // applyEnd handles one reported end. Ends are listed again until they are acknowledged, so
-// their numbers tell which are new.
+// their numbers show which are new.
 func (e *Engine) applyEnd(n *node, end EndedTask, now time.Time) {
 	if end.Number <= n.lastEnd {
 		e.logSkippedEnd(n, end)
--- a/placing/resize_test.go
+++ b/placing/resize_test.go
@@ -91,12 +91,12 @@
 
 // The list of workers may be unreachable while progress can be written. Workers that do not
 // check their capacity then get nothing new, as they may have shrunk; the others do.
-func TestUnguardedWorkerGetsNothingWhenTheListIsOld(t *testing.T) {
-	for name, unguarded := range map[string]bool{"guarded": false, "unguarded": true} {
+func TestUncheckedWorkerGetsNothingWhenTheListIsOld(t *testing.T) {
+	for name, unchecked := range map[string]bool{"checked": false, "unchecked": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(1)
-			c.engine.Configure(nil, nil, map[string]bool{"pool": unguarded})
+			c.engine.Configure(nil, nil, map[string]bool{"pool": unchecked})
 			c.engine.SetListReadAt(c.now)
 			c.submit(testJob(hexID(1), 1, testStep(1, 1)))
 			c.steps(2)
@@ -104,7 +104,7 @@
 			c.now = c.now.Add(maxListAge)
 			c.submit(testJob(hexID(2), 1, testStep(1, 1)))
 			c.steps(2)
-			is.Equal(c.allRunning(hexID(2)), !unguarded)
+			is.Equal(c.allRunning(hexID(2)), !unchecked)
 			c.engine.SetListReadAt(c.now)
 			c.steps(2)
 			is.True(c.allRunning(hexID(2)))
--- a/placing/runs.go
+++ b/placing/runs.go
@@ -91,6 +91,7 @@
 	}
 }
 
+// startAccepted marks an ordered run as running.
 func (e *Engine) startAccepted(run *run, now time.Time) {
 	if run.phase != phaseOrdered && run.phase != phaseUncertain {
 		return
@@ -104,6 +105,7 @@
 	}
 }
 
+// startRefused ends a run whose start was refused, and applies the reason to its worker or task.
 func (e *Engine) startRefused(run *run, result StartResult, now time.Time) {
 	if run.seen {
 		return // an earlier copy of the order has started it
@@ -162,7 +164,7 @@
 }
 
 // StopAcknowledged records that a worker acknowledged a stop. From then on the run cannot start
-// there, and the worker's next report tells whether it had started.
+// there, and the worker's next report shows whether it had started.
 func (e *Engine) StopAcknowledged(worker string, key jobs.TaskKey, number int, now time.Time) {
 	if run := e.findRun(worker, key, number); run != nil && run.stopDoneAt.IsZero() {
 		run.stopDoneAt = now
--- a/placing/sim_mixed_test.go
+++ b/placing/sim_mixed_test.go
@@ -136,9 +136,9 @@
 	s.listInterval = mixedListInterval
 	s.changeLeader()
 	next := s.now
-	begun := s.now
+	startedAt := s.now
 	s.run(submitTime, func() {
-		s.faultsDisabled = faultMode != faultsAtStart || s.now.Sub(begun) > faultTime
+		s.faultsDisabled = faultMode != faultsAtStart || s.now.Sub(startedAt) > faultTime
 		s.injectFault()
 		if faultMode == faultsLeaderChanges && !s.now.Before(next) {
 			s.changeLeader()
@@ -199,9 +199,9 @@
 		workers := rapid.IntRange(minFleetSize, maxFleetSize).Draw(t, "workers")
 		width := rapid.IntRange(minRackWidth, maxRackWidth).Draw(t, "width")
 		s := newSimOf(rapid.Uint64().Draw(t, "seed"), workers, (workers+width-1)/width, "w001")
-		runMixed(s, workers, rapid.IntRange(0, faultModes-1).Draw(t, "disturbance"))
-		for _, fault := range s.violations {
-			t.Error(fault)
+		runMixed(s, workers, rapid.IntRange(0, faultModes-1).Draw(t, "fault mode"))
+		for _, violation := range s.violations {
+			t.Error(violation)
 		}
 		checkEnds(t, s)
 	})
--- a/placing/sim_orders_test.go
+++ b/placing/sim_orders_test.go
@@ -55,7 +55,7 @@
 	id := start.Worker
 	if l.answered[id] {
 		l.leaseUntil[id] = s.now.Add(testLimits.MaxLease)
-		l.leaseLapseAt[id] = s.now.Add(LeaseExpiry(testLimits.MaxLease))
+		l.leaseExpiresAt[id] = s.now.Add(LeaseExpiry(testLimits.MaxLease))
 	}
 	until := l.leaseUntil[id]
 	s.sendOrder(s.findWorker(id).entry.Name, func(worker *modelWorker) bool {
@@ -70,7 +70,7 @@
 		switch {
 		case lost:
 			result = StartUnknown
-			l.leaseLapseAt[id] = laterTime(l.leaseLapseAt[id], s.now.Add(LeaseExpiry(testLimits.MaxLease)))
+			l.leaseExpiresAt[id] = laterTime(l.leaseExpiresAt[id], s.now.Add(LeaseExpiry(testLimits.MaxLease)))
 		case done:
 			result = StartAccepted
 		}
--- a/placing/sim_test.go
+++ b/placing/sim_test.go
@@ -66,18 +66,18 @@
 	return last
 }
 
-// modelLeader is an instance that is the leader, or believes to be.
+// modelLeader is an instance that is the leader, or still acts as one.
 type modelLeader struct {
-	engine       *Engine
-	epoch        int64
-	deposed      bool
-	acks         map[string]int64
-	leaseLapseAt map[string]time.Time
-	answered     map[string]bool
-	leaseUntil   map[string]time.Time // requested leases
-	lastAnswerAt map[string]time.Time // time of the latest answer
-	links        map[string]bool      // incarnations with an open link
-	evacuated    map[string]bool      // zones that it knows as evacuated
+	engine         *Engine
+	epoch          int64
+	deposed        bool
+	acks           map[string]int64
+	leaseExpiresAt map[string]time.Time
+	answered       map[string]bool
+	leaseUntil     map[string]time.Time // requested leases
+	lastAnswerAt   map[string]time.Time // time of the latest answer
+	links          map[string]bool      // incarnations with an open link
+	evacuated      map[string]bool      // zones that it knows as evacuated
 }
 
 type modelRun struct {
@@ -105,7 +105,7 @@
 	lastEndNumber    int64
 	ackedEndNumber   int64
 	endTimes         map[int64]time.Time
-	leaseLapsedAt    time.Time
+	leaseExpiredAt   time.Time
 }
 
 const simTick = 10 * time.Millisecond
@@ -151,9 +151,9 @@
 	if name == s.soleWorker {
 		entry.Labels = append(entry.Labels, soleLabel)
 	}
-	made := &modelWorker{entry: entry, up: true, running: map[jobs.TaskKey]*modelRun{}, highestEndedRun: map[jobs.TaskKey]int{}, endTimes: map[int64]time.Time{}}
-	s.workers = append(s.workers, made)
-	return made
+	worker := &modelWorker{entry: entry, up: true, running: map[jobs.TaskKey]*modelRun{}, highestEndedRun: map[jobs.TaskKey]int{}, endTimes: map[int64]time.Time{}}
+	s.workers = append(s.workers, worker)
+	return worker
 }
 
 // currentIncarnation returns the newest incarnation of a worker.
@@ -239,7 +239,7 @@
 	s.recordLeaderChange()
 	s.logEpoch++
 	leader := &modelLeader{engine: testEngine(s.logEpoch), epoch: s.logEpoch, acks: map[string]int64{}, lastAnswerAt: map[string]time.Time{}, leaseUntil: map[string]time.Time{},
-		leaseLapseAt: map[string]time.Time{}, answered: map[string]bool{}, links: map[string]bool{}}
+		leaseExpiresAt: map[string]time.Time{}, answered: map[string]bool{}, links: map[string]bool{}}
 	s.readEvacuations(leader)
 	leader.engine.LoadJobs(s.table.All(), FormerLeaderUnknown, s.now)
 	leader.engine.MarkJobsComplete()
--- a/placing/sim_workers_test.go
+++ b/placing/sim_workers_test.go
@@ -23,7 +23,7 @@
 		ack = l.acks[id]
 	}
 	if extends {
-		l.leaseLapseAt[id] = sent.Add(LeaseExpiry(testLimits.MaxLease))
+		l.leaseExpiresAt[id] = sent.Add(LeaseExpiry(testLimits.MaxLease))
 		l.leaseUntil[id] = sent.Add(testLimits.MaxLease)
 	}
 	until := l.leaseUntil[id]
@@ -36,8 +36,8 @@
 		if worker.entry.ID != id {
 			born := worker.entry.BornMS
 			s.schedule(s.networkDelay(), func() {
-				next, watch := l.engine.ReplaceIncarnation(id, born, s.now)
-				if watch {
+				next, mustPoll := l.engine.ReplaceIncarnation(id, born, s.now)
+				if mustPoll {
 					s.openLinks(l, []WorkerEntry{next})
 				}
 			})
@@ -55,13 +55,13 @@
 			}
 			l.answered[id] = true
 			l.lastAnswerAt[id] = s.now
-			l.engine.Report(id, sent, running, ended, l.leaseLapseAt[id], s.now)
+			l.engine.Report(id, sent, running, ended, l.leaseExpiresAt[id], s.now)
 		})
 		return true
 	}, func(_, lost bool) {
 		if lost {
 			l.answered[id] = false
-			l.engine.WorkerUnreachable(id, l.leaseLapseAt[id], s.now)
+			l.engine.WorkerUnreachable(id, l.leaseExpiresAt[id], s.now)
 		}
 		s.schedule(60*time.Millisecond, func() { s.pollWorker(l, entry) })
 	})
@@ -75,7 +75,7 @@
 			continue
 		}
 		// An end before the lease lapsed doesn't count as acknowledged after it.
-		if end.Kind == EndDone && worker.endTimes[end.Number].After(worker.leaseLapsedAt) {
+		if end.Kind == EndDone && worker.endTimes[end.Number].After(worker.leaseExpiredAt) {
 			s.ackedDone[end.Task] = true
 		}
 	}
@@ -91,7 +91,7 @@
 	return running, append([]EndedTask(nil), m.unackedEnds...)
 }
 
-func (s *simulation) endRun(worker *modelWorker, run *modelRun, how EndKind) {
+func (s *simulation) endRun(worker *modelWorker, run *modelRun, kind EndKind) {
 	if worker.running[run.key] != run {
 		return
 	}
@@ -99,11 +99,11 @@
 	worker.highestEndedRun[run.key] = max(worker.highestEndedRun[run.key], run.number)
 	worker.lastEndNumber++
 	worker.endTimes[worker.lastEndNumber] = s.now
-	worker.unackedEnds = append(worker.unackedEnds, EndedTask{Number: worker.lastEndNumber, Task: run.key, Run: run.number, Kind: how})
-	if how == EndDone {
+	worker.unackedEnds = append(worker.unackedEnds, EndedTask{Number: worker.lastEndNumber, Task: run.key, Run: run.number, Kind: kind})
+	if kind == EndDone {
 		s.done[run.key] = true
 	}
-	if how == EndFailed {
+	if kind == EndFailed {
 		s.failures[run.key]++
 	}
 }
@@ -115,7 +115,7 @@
 		return
 	}
 	if worker.leaseUntil.Before(s.now) {
-		worker.leaseLapsedAt = s.now
+		worker.leaseExpiredAt = s.now
 	}
 	for _, run := range sortedRuns(worker) {
 		switch {
@@ -169,11 +169,11 @@
 	case running < run.gangSize && s.now.Sub(run.startedAt) > gangJoinTimeout:
 		s.endRun(worker, run, EndGangIncomplete)
 	case running == run.gangSize && s.now.Sub(latest) > run.runTime:
-		how := gangMemberEnd(members, run)
+		endKindOf := gangMemberEnd(members, run)
 		for _, member := range members {
 			for _, candidate := range sortedRuns(member) {
 				if candidate.key.Job == run.key.Job && candidate.key.Step == run.key.Step {
-					s.endRun(member, candidate, how(candidate))
+					s.endRun(member, candidate, endKindOf(candidate))
 				}
 			}
 		}
--- a/placing/stall.go
+++ b/placing/stall.go
@@ -18,7 +18,7 @@
 	minStartStall   = time.Second
 	startStallShare = 0.25
 	// overdueRuntimeFactor times the expected run time is when a run that reports all of
-	// its work as done is given up: reports count work at the speed of a sound
+	// its work as done is given up: reports count work at the speed of a healthy
 	// worker, and slow ones are four to eight times slower for some seconds.
 	overdueRuntimeFactor = 8
 	// maxStallDoublings bounds how often the stall timeout of a task doubles.
--- a/placing/stall_overdue_test.go
+++ b/placing/stall_overdue_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// Workers count work at the speed of a sound one, so a run on a slow worker reports all
+// Workers count work at the speed of a healthy one, so a run on a slow worker reports all
 // of its work as done seconds before it ends. It is not stopped; a run that makes no
 // progress before that is.
 func TestOverdueRunIsNotStoppedAsStalled(t *testing.T) {
--- a/placing/stall_test.go
+++ b/placing/stall_test.go
@@ -45,8 +45,8 @@
 }
 
 // If no run on a worker makes progress, two reports are enough to start its runs elsewhere,
-// and the worker gets nothing new. An urgent job of 2.5 s has 1.5 s of slack; it used to wait
-// 5.5 s.
+// and the worker gets nothing new. An urgent job of 2.5 s has 1.5 s of slack, so a delay of
+// 5.5 s would miss its target.
 func TestRunThatStandsStillIsNoticedByTwoReports(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1)
@@ -66,9 +66,9 @@
 	slow.Steps[0].EstimateMS = 10_000
 	c.submit(slow)
 	c.steps(2)
-	whole := 8 * 3 * 10 * time.Second
+	slowRunTime := 8 * 3 * 10 * time.Second
 	_, stopped := c.stoppedWithin(time.Minute, hexID(1), func(passed time.Duration) map[string]int {
-		return map[string]int{hexID(1): int(100 * passed / whole)}
+		return map[string]int{hexID(1): int(100 * passed / slowRunTime)}
 	})
 	is.True(!stopped)
 	for _, node := range c.engine.nodeOrder {
@@ -82,9 +82,9 @@
 	c := newCluster(1)
 	c.submit(testJob(hexID(1), 1, gangStep(2, 8)))
 	c.steps(2)
-	runs := c.engine.jobs[hexID(1)].allTasks()
-	runs[1].run.phase = phasePlanned // not sent to its worker yet
-	runs[1].run.seen = false
+	members := c.engine.jobs[hexID(1)].allTasks()
+	members[1].run.phase = phasePlanned // not sent to its worker yet
+	members[1].run.seen = false
 	_, stopped := c.stoppedWithin(3*time.Second, hexID(1), func(passed time.Duration) map[string]int {
 		return map[string]int{hexID(1): 0}
 	})
@@ -137,11 +137,9 @@
 	is.True(after < 9*time.Second)
 }
 
-// Jobs whose tasks ran for more than a few seconds never finished: the reports showed the same
-// progress all along, so each run was stopped after a few seconds on one worker after the
-// other (`run_stopped` with `no progress`, `run_over` with `ended stopped`, `placed`, without
-// end). A run without reported progress was taken for a stalled one each time. A program may
-// report progress in jumps or not at all.
+// A program may report progress in jumps or not at all. If every run without progress were
+// stopped as stalled after the same few seconds, such tasks would move from worker to worker
+// without end (`run_stopped` with `no progress`, `run_over` with `ended stopped`, `placed`).
 func TestTasksThatShowNoProgressAreDoneAllTheSame(t *testing.T) {
 	steps := map[string]jobs.Step{"alone": testStep(1, 8), "gang": gangStep(2, 8)}
 	for _, c := range []struct {
--- a/placing/start_backoff_test.go
+++ b/placing/start_backoff_test.go
@@ -9,7 +9,7 @@
 
 // A start that every worker refuses does not count against any worker. Without a backoff the
 // task is placed, recorded and ordered again every 50 ms here, and as often as the log takes
-// appends on a real site.
+// appends in a real deployment.
 func TestRefusedStartsBackOff(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(2)
--- a/placing/start_delay.go
+++ b/placing/start_delay.go
@@ -23,7 +23,7 @@
 	// overdueAfter is the time within which users expect a ready step to start in an idle pool
 	// with ample capacity.
 	overdueAfter = 3 * time.Second
-	// maxStartDelay is how long preferences may delay a step there. Up to two check intervals,
+	// maxStartDelay is how long preferences may delay a step in such a pool. Up to two check intervals,
 	// the record and the start come on top.
 	maxStartDelay = 2 * time.Second
 	// firstReportTimeout is the time within which the workers of a pool report to a new leader.
@@ -47,10 +47,10 @@
 	logged    int                     // steps that were logged
 }
 
-// startDelayed places units that preferences have delayed for long enough, and logs why others
+// startDelayedUnits places units that preferences have delayed for long enough, and logs why others
 // wait although they fit. The pass must not use its own view afterwards, as nodes are
 // renumbered.
-func (e *Engine) startDelayed(units []*unit, view *view, now time.Time) {
+func (e *Engine) startDelayedUnits(units []*unit, view *view, now time.Time) {
 	if now.Sub(e.delaysCheckedAt) < delayCheckInterval {
 		return
 	}
@@ -123,8 +123,8 @@
 }
 
 // trackAmpleCapacity records since when the tasks of a unit have waited in an idle pool with
-// ample capacity while no task of their job was running. Long-running tasks are expected to
-// run each.
+// ample capacity while no task of their job was running. Each long-running task is expected
+// to run.
 func (c *delayCheck) trackAmpleCapacity(unit *unit) {
 	ample := unit.expectedToRun() && c.poolIdle(unit) && c.hasAmpleCapacity(unit)
 	for _, task := range unit.tasks {
--- a/placing/start_delay_log.go
+++ b/placing/start_delay_log.go
@@ -59,9 +59,9 @@
 	if c.overdue(unit) {
 		event = "start_overdue"
 	}
-	against := unit.violatedPreferences(placements, c.headroom[unit.step.class()], c.now)
+	violated := unit.violatedPreferences(placements, c.headroom[unit.step.class()], c.now)
 	c.engine.logEvent(event, unit.job, "", "step "+strconv.Itoa(unit.tasks[0].key.Step)+" tasks "+strconv.Itoa(len(unit.tasks))+
 		" tier "+strconv.Itoa(int(unit.tier))+" waited_ms "+strconv.FormatInt(c.now.Sub(unit.step.readyAt).Milliseconds(), 10)+
-		" for "+strings.Join(against, ",")+" room_for "+strconv.Itoa(c.fitCount(unit))+
+		" for "+strings.Join(violated, ",")+" room_for "+strconv.Itoa(c.fitCount(unit))+
 		" pool_used_percent "+strconv.Itoa(int(100*c.shareInUse(unit.job.queue.Pool))))
 }
--- a/placing/urgent_test.go
+++ b/placing/urgent_test.go
@@ -218,14 +218,14 @@
 		c.submit(testJob(hexID(i+1), 0, testStep(8, 1)))
 	}
 	c.steps(3)
-	owed := testJob(hexID(99), 0, gangStep(2, 8))
-	owed.Workspace = "nashua"
-	c.submit(owed)
+	guaranteed := testJob(hexID(99), 0, gangStep(2, 8))
+	guaranteed.Workspace = "nashua"
+	c.submit(guaranteed)
 	start, stopped := c.now, 0
-	for !c.allRunning(owed.ID) && c.now.Sub(start) < testLimits.ReclaimTimeout {
+	for !c.allRunning(guaranteed.ID) && c.now.Sub(start) < testLimits.ReclaimTimeout {
 		stopped += len(c.step().Stops)
 	}
-	is.True(c.allRunning(owed.ID))
+	is.True(c.allRunning(guaranteed.ID))
 	is.Equal(stopped, 16)
 	second := testJob(hexID(100), 0, gangStep(2, 8)) // beyond the guarantee, so it waits
 	c.submit(second)
--- a/placing/worker.go
+++ b/placing/worker.go
@@ -51,7 +51,7 @@
 // Ends of runs as workers report them.
 const (
 	EndDone           EndKind = "done"
-	EndFailed         EndKind = "failed"  // through the task or the worker
+	EndFailed         EndKind = "failed"  // by a fault of the task or of the worker
 	EndStopped        EndKind = "stopped" // by a stop order
 	EndLeaseExpired   EndKind = "lapsed"  // its lease ran out
 	EndGangBroken     EndKind = "broken"  // another member of its gang ended
--- a/scheduler/blame.go
+++ b/scheduler/blame.go
@@ -21,7 +21,7 @@
 	suspectTimeout = 60 * Minute
 )
 
-// avoidance is which suspect workers a placement attempt of a job avoids.
+// avoidance selects the suspect workers that a placement attempt of a job avoids.
 type avoidance int
 
 const (
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -113,7 +113,7 @@
 // Action is a decision that the caller carries out.
 type Action interface{ isAction() }
 
-// Place starts a job on all of the given workers or on none. Inside says that the run is
+// Place starts a job on all of the given workers or on none. InGuarantee says that the run is
 // within the guarantee of its workspace.
 type Place struct {
 	Job         string
@@ -123,7 +123,7 @@
 	Resume      bool // resume from the last checkpoint
 }
 
-// Preempt stops a run after a checkpoint. For is the job that it is preempted for.
+// Preempt stops a run after a checkpoint. ForJob is the job that it is preempted for.
 type Preempt struct {
 	Job    string
 	Run    string
--- a/scheduler/model_test.go
+++ b/scheduler/model_test.go
@@ -110,7 +110,7 @@
 	m.runs[run].stop = result
 }
 
-// recordPlace checks a placement against the model.
+// recordPlace checks a placement against the model and records its run.
 func (m *model) recordPlace(place scheduler.Place) {
 	job := m.jobs[place.Job]
 	for _, r := range m.runs {
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -76,14 +76,16 @@
 func (s *Scheduler) reservedForOthers(n *node, j *job, now Time) int {
 	total := 0
 	for _, res := range n.reservations {
-		if res.job != j && s.honors(j, res, now) {
+		if res.job != j && s.honorsReservation(j, res, now) {
 			total += res.job.spec.Shape.Accelerators
 		}
 	}
 	return total
 }
 
-func (s *Scheduler) honors(j *job, res *reservation, now Time) bool {
+// honorsReservation reports whether a job must leave the accelerators of another job's
+// reservation alone.
+func (s *Scheduler) honorsReservation(j *job, res *reservation, now Time) bool {
 	if res.firm {
 		return true
 	}
@@ -91,7 +93,7 @@
 	return !precedes && now+s.estimates.estimate(j, planQuantile) > res.start
 }
 
-// findPlacement looks for free workers: those reserved for the job, its workspace's guarantee,
+// findPlacement finds free workers: those reserved for the job, its workspace's guarantee,
 // or any others.
 func (s *Scheduler) findPlacement(j *job, now Time) (placement, bool) {
 	if found, ok := s.findReserved(j, now); ok {
@@ -127,8 +129,8 @@
 	return true
 }
 
-// findInGuarantee looks for capacity within the workspace's guarantee. A guarantee whose
-// workers others use is moved to free workers.
+// findInGuarantee finds capacity within the workspace's guarantee. An idle guarantee whose
+// workers are used by other runs is moved to free workers.
 func (s *Scheduler) findInGuarantee(j *job, now Time) (placement, bool) {
 	for _, sl := range s.witness.byWorkspace[j.spec.Workspace] {
 		nodes := s.chooseMembers(sl, j, now, func(n *node) bool { return n.freeForGuarantee(j) >= j.spec.Shape.Accelerators })
@@ -215,6 +217,7 @@
 	return false
 }
 
+// findUnguaranteed finds free workers in one rack whose spare accelerators hold a moving slot.
 func (s *Scheduler) findUnguaranteed(moving *slot, free func(*node) bool) []*node {
 	for _, r := range s.cluster.racks {
 		if r.nodesWithFree(moving.shape.Accelerators) < moving.shape.Members {
@@ -242,7 +245,7 @@
 	return true
 }
 
-// findOutsideGuarantee looks for free workers anywhere: in one rack if the shape is adjacent,
+// findOutsideGuarantee finds free workers anywhere: in one rack if the shape is adjacent,
 // otherwise in one rack, one availability zone or the whole fleet, in this order.
 func (s *Scheduler) findOutsideGuarantee(j *job, now Time) []*node {
 	shape := j.spec.Shape
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -35,7 +35,7 @@
 	logUnavailable   bool
 	capacityChanged  bool   // capacity may have been freed since the last full pass
 	nextPass         Time   // time of the next full pass
-	touchedGroup     *group // group of the job that the current event enqueued
+	enqueuedGroup    *group // group of the job that the current event enqueued
 }
 
 // New returns a scheduler with the given workers up.
@@ -71,8 +71,8 @@
 		s.capacityChanged = true
 	}
 	s.expireReservations(now)
-	g := s.touchedGroup
-	s.touchedGroup = nil
+	g := s.enqueuedGroup
+	s.enqueuedGroup = nil
 	if s.capacityChanged || now >= s.nextPass {
 		s.capacityChanged = false
 		s.nextPass = now + tryInterval
@@ -132,7 +132,7 @@
 	j.order = j.latestStart - s.orderBoost(j)
 	j.queuedSince = now
 	s.queue.add(j)
-	s.touchedGroup = j.group
+	s.enqueuedGroup = j.group
 }
 
 // orderBoostDivisor divides the allowed time of an adjacent gang that fills a rack; the
@@ -203,13 +203,14 @@
 	s.trackRun(r)
 }
 
+// trackRun adds a run and allocates its accelerators.
 func (s *Scheduler) trackRun(r *run) {
 	r.job.run = r
 	s.runs[r.id] = r
 	s.cluster.allocate(r)
 }
 
-// releaseRun releases everything a run holds.
+// releaseRun removes a run and frees its accelerators.
 func (s *Scheduler) releaseRun(r *run) {
 	s.cluster.release(r)
 	r.job.run = nil
@@ -279,6 +280,7 @@
 	}
 }
 
+// leaveSlot turns a run inside a slot on a node into a run outside it.
 func (r *run) leaveSlot(sl *slot, n *node) {
 	for i, member := range r.nodes {
 		if member != n || r.slots[i] != sl {
@@ -303,6 +305,8 @@
 	}
 }
 
+// repairWitness assigns workers to the slots that lack them, and reports the guarantees that
+// became unfit or fit again.
 func (s *Scheduler) repairWitness() []Action {
 	s.witnessDirty = false
 	s.witness.repair(s.cluster, s.detach, s.assignAroundRun)
