--- a/placing/fit.go
+++ b/placing/fit.go
@@ -324,6 +324,7 @@
 	return 2*ratio(free.Accelerators, capacity.Accelerators) + ratio(free.MilliCores, capacity.MilliCores) + ratio(free.MemoryMB, capacity.MemoryMB)
 }
 
+// ratio returns part / whole, or 0 if whole is not positive.
 func ratio(part, whole int64) float64 {
 	if whole <= 0 {
 		return 0
--- a/placing/headroom.go
+++ b/placing/headroom.go
@@ -197,14 +197,14 @@
 	}
 	unused := make([]float64, len(v.nodes))
 	rackUnused := make([]float64, len(v.racks))
-	for at, node := range v.nodes {
-		unused[at] = v.unusedShare(node)
-		rackUnused[v.rackOf[at]] += unused[at]
+	for index, node := range v.nodes {
+		unused[index] = v.unusedShare(node)
+		rackUnused[v.rackOf[index]] += unused[index]
 	}
 	order := make([]int, 0, len(v.nodes))
-	for at, node := range v.nodes {
+	for index, node := range v.nodes {
 		if node.entry.Pool == pool {
-			order = append(order, at)
+			order = append(order, index)
 		}
 	}
 	sort.SliceStable(order, func(a, b int) bool {
@@ -214,12 +214,12 @@
 		}
 		return unused[order[a]] > unused[order[b]]
 	})
-	for _, at := range order {
-		if 2*wanted < unused[at] {
+	for _, index := range order {
+		if 2*wanted < unused[index] {
 			return
 		}
-		v.headroom[to][at] = true
-		wanted -= unused[at]
+		v.headroom[to][index] = true
+		wanted -= unused[index]
 	}
 }
 
--- a/placing/job.go
+++ b/placing/job.go
@@ -118,6 +118,7 @@
 	return job
 }
 
+// newOccurrence returns an occurrence of a job with no task done.
 func newOccurrence(job *job, number int) *occurrence {
 	submission := job.submission
 	occurrence := &occurrence{remainingTasks: submission.TasksPerOccurrence()}
@@ -177,6 +178,7 @@
 	return record
 }
 
+// recordTasks adds the tasks that are done or have had a run to a progress record.
 func (j *job) recordTasks(progress *jobs.Progress) {
 	for flat, task := range j.allTasks() {
 		if task.done {
@@ -251,6 +253,7 @@
 	}
 }
 
+// restoreTask restores a task from the log, with the run that it may still have.
 func (e *Engine) restoreTask(task *task, recorded jobs.TaskProgress, leaseExpiry time.Time) {
 	task.lastRun = recorded.Run
 	task.failedRuns = recorded.Failed
--- a/placing/loss.go
+++ b/placing/loss.go
@@ -197,6 +197,7 @@
 	return []*task{t}
 }
 
+// endIsolation lets other work onto the worker of an isolated run.
 func (r *run) endIsolation() {
 	if r.isolated {
 		r.isolated = false
--- a/placing/preempt.go
+++ b/placing/preempt.go
@@ -21,8 +21,8 @@
 	// core-second about six times as much as a lost one, and the victims also finish later.
 	maxLossFactor = 2
 	// urgentLossWeight is the weight of losses of urgent victims, stopped beyond their guarantee
-	// for a guaranteed job; one second of their work is added for their late end. The users value an urgent
-	// core-second about six times as much.
+	// for a guaranteed job; one second of their work is added for their late end. The users value
+	// an urgent core-second about six times as much.
 	urgentLossWeight = 6
 	// preemptionBackoff is the pause before victims are searched again for a step that found none,
 	// as this search is the most expensive one.
@@ -82,6 +82,7 @@
 	return !run.stoppedAt.IsZero() && now.Sub(run.stoppedAt) < e.limits.MaxStopTime+reservationSlack
 }
 
+// reserve reserves placements for a unit until its victims have had the time to stop.
 func (e *Engine) reserve(unit *unit, placements []placement, view *view, now time.Time) {
 	unit.reserve(&reservation{step: unit.step, placements: placements, expiresAt: now.Add(e.limits.MaxStopTime + reservationSlack)}, view)
 }
@@ -111,6 +112,7 @@
 	loss       float64
 }
 
+// cheapestPlan returns the plan with the least loss over some groups of nodes, or nil.
 func (e *Engine) cheapestPlan(unit *unit, projected *view, groups [][]*node, now time.Time) *preemptionPlan {
 	var best *preemptionPlan
 	for _, group := range groups {
@@ -144,6 +146,7 @@
 	return s
 }
 
+// refresh plans anew how one more task could be placed on the node at a position.
 func (s *victimSearch) refresh(index int) {
 	s.next[index] = nil
 	if s.nodes[index].accepts(s.unit) {
@@ -298,6 +301,7 @@
 	return false
 }
 
+// preemptibleFor reports whether a run may be stopped for an urgent unit.
 func (r *run) preemptibleFor(unit *unit) bool {
 	job := r.task.step.job
 	lowerPriority := job.queue.Priority > unit.job.queue.Priority
@@ -305,6 +309,7 @@
 	return (lowerPriority || overGuarantee) && !r.task.step.spec.LongRunning && r.stopSentAt.IsZero() && r.task.run == r
 }
 
+// gangVictim returns all runs of a gang as one victim.
 func gangVictim(step *step, now time.Time) victim {
 	var v victim
 	for _, member := range step.tasks {
--- a/placing/preference.go
+++ b/placing/preference.go
@@ -51,9 +51,9 @@
 	var headroom [classes]map[*node]bool
 	for class, closed := range v.headroom {
 		headroom[class] = map[*node]bool{}
-		for at, isClosed := range closed {
+		for index, isClosed := range closed {
 			if isClosed {
-				headroom[class][v.nodes[at]] = true
+				headroom[class][v.nodes[index]] = true
 			}
 		}
 	}
--- a/placing/rank.go
+++ b/placing/rank.go
@@ -140,6 +140,7 @@
 	return a.deadline.Before(b.deadline)
 }
 
+// appendUnits appends the units of an occurrence that are ready to start.
 func (e *Engine) appendUnits(units []*unit, job *job, occurrence *occurrence, now time.Time) []*unit {
 	var ranked unit
 	for _, step := range occurrence.steps {
@@ -148,7 +149,7 @@
 		}
 		if step.readyAt.IsZero() {
 			step.readyAt = e.readyTime(job, occurrence, step, now)
-			step.takeOver(now)
+			step.observeReady(now)
 		}
 		tasks := step.placeableTasks(now)
 		if len(tasks) == 0 {
@@ -170,6 +171,7 @@
 	return units
 }
 
+// appendUnit appends a unit and sets the worker that it avoids, if other workers could hold it.
 func (e *Engine) appendUnit(units []*unit, u unit) []*unit {
 	if avoided := u.tasks[0].avoidWorker; avoided != "" && e.fitsWithout(&u, avoided) {
 		u.avoidWorker = avoided
--- a/placing/ready_time.go
+++ b/placing/ready_time.go
@@ -23,9 +23,9 @@
 	return ready
 }
 
-// takeOver initializes a step that this leader sees as ready for the first time. How long its
+// observeReady initializes a step that this leader sees as ready for the first time. How long its
 // tasks had ample capacity under former leaders is unknown, so the whole wait counts.
-func (s *step) takeOver(now time.Time) {
+func (s *step) observeReady(now time.Time) {
 	s.observedReadyAt = now
 	if now.Sub(s.readyAt) < firstReportTimeout {
 		return
--- a/placing/report.go
+++ b/placing/report.go
@@ -58,6 +58,7 @@
 	return reported
 }
 
+// observeRun updates a run from a report that shows it.
 func (e *Engine) observeRun(run *run, row RunningTask, now time.Time) {
 	if !run.seen {
 		run.seen = true
@@ -195,6 +196,8 @@
 	}
 }
 
+// applyTaskEnd updates a task and its job from the end of the current run. Ends of earlier runs
+// and repeated ends change nothing.
 func (e *Engine) applyTaskEnd(job *job, task *task, run *run, end EndedTask, now time.Time) {
 	if job.state.Final() || task.done || end.Run <= task.lastEndedRun {
 		return
@@ -218,6 +221,8 @@
 	}
 }
 
+// taskDone marks a task, or its whole gang, as done and finishes the job after the last one.
+// Long-running tasks are never done.
 func (e *Engine) taskDone(job *job, task *task, now time.Time) {
 	if task.step.spec.LongRunning {
 		return
--- a/placing/speed.go
+++ b/placing/speed.go
@@ -48,6 +48,7 @@
 // factor returns the estimate, which stays near one while there are few samples.
 func (s speedEstimate) factor() float64 { return math.Exp(s.logSum / (s.count + 1)) }
 
+// add adds a sample. Beyond maxSpeedSamples it replaces an average one.
 func (s *speedEstimate) add(speed float64) {
 	if s.count >= maxSpeedSamples {
 		s.logSum -= s.logSum / s.count
@@ -66,6 +67,7 @@
 	significant bool
 }
 
+// add adds the product of the deviations of two runs of one worker.
 func (v *speedVariance) add(product float64) {
 	v.pairs = min(maxSpeedPairs, v.pairs+1)
 	v.variance += (product - v.variance) / v.pairs
--- a/placing/start_delay.go
+++ b/placing/start_delay.go
@@ -23,8 +23,8 @@
 	// overdueAfter is the time within which users expect a ready step to start in an idle pool
 	// with ample capacity.
 	overdueAfter = 3 * time.Second
-	// maxStartDelay is how long preferences may delay a step in such a pool. Up to two check intervals,
-	// the record and the start come on top.
+	// maxStartDelay is how long preferences may delay a step in such a pool. Up to two check
+	// intervals, the record and the start come on top.
 	maxStartDelay = 2 * time.Second
 	// firstReportTimeout is the time within which the workers of a pool report to a new leader.
 	firstReportTimeout = time.Second
--- a/placing/view.go
+++ b/placing/view.go
@@ -32,9 +32,9 @@
 func newView(nodes []*node) *view {
 	v := &view{nodes: nodes, free: make([]jobs.Resources, len(nodes)), failed: map[fitKey]int{}, rackFitCounts: map[fitKey]map[string]int{}}
 	byName := map[string]int{}
-	for at, node := range nodes {
-		node.at = at
-		v.free[at] = node.entry.Capacity.Sub(node.used)
+	for index, node := range nodes {
+		node.at = index
+		v.free[index] = node.entry.Capacity.Sub(node.used)
 		rack, ok := byName[node.entry.Rack]
 		if !ok {
 			rack = len(v.racks)
@@ -54,18 +54,20 @@
 	return v
 }
 
+// sumRacks computes the totals by rack.
 func (v *view) sumRacks() {
 	v.rackFree = make([]int64, len(v.racks))
 	v.rackCapacity = make([]int64, len(v.racks))
 	v.rackMaxFree = make([]int64, len(v.racks))
-	for at, node := range v.nodes {
-		rack := v.rackOf[at]
-		v.rackMaxFree[rack] = max(v.rackMaxFree[rack], v.free[at].Accelerators)
-		v.rackFree[rack] += freeMilliCoreEquivalents(v.free[at])
+	for index, node := range v.nodes {
+		rack := v.rackOf[index]
+		v.rackMaxFree[rack] = max(v.rackMaxFree[rack], v.free[index].Accelerators)
+		v.rackFree[rack] += freeMilliCoreEquivalents(v.free[index])
 		v.rackCapacity[rack] += milliCoreEquivalents(node.entry.Capacity)
 	}
 }
 
+// copy returns a view whose free capacity can be changed independently.
 func (v *view) copy() *view {
 	c := *v
 	c.free = append([]jobs.Resources(nil), v.free...)
@@ -105,6 +107,7 @@
 	return len(node.runs) == 0 && v.free[node.at] == node.entry.Capacity && !now.Before(node.recentlyRestartedUntil)
 }
 
+// setFree sets the free capacity of a node and updates the totals of its rack.
 func (v *view) setFree(node *node, free jobs.Resources) {
 	rack := v.rackOf[node.at]
 	v.rackFree[rack] += freeMilliCoreEquivalents(free) - freeMilliCoreEquivalents(v.free[node.at])
--- a/scheduler/baseline.go
+++ b/scheduler/baseline.go
@@ -27,7 +27,7 @@
 func newBaseline(config Config) *baseline {
 	b := &baseline{cluster: newCluster(), jobs: map[string]*job{}, runs: map[string]*run{}}
 	for _, spec := range config.Workers {
-		n := b.cluster.add(spec)
+		n := b.cluster.ensureNode(spec)
 		b.cluster.update(n, func() { n.up = true })
 	}
 	return b
@@ -48,7 +48,7 @@
 	case RunEnded:
 		return b.handleRunEnded(e)
 	case WorkerUp:
-		n := b.cluster.add(e.Worker)
+		n := b.cluster.ensureNode(e.Worker)
 		b.cluster.update(n, func() { n.up = true })
 	case WorkerDown:
 		return b.handleWorkerDown(e.Worker)
@@ -133,6 +133,7 @@
 	return actions
 }
 
+// runPass places the waiting jobs that fit. A shape that did not fit is not tried again in the pass.
 func (b *baseline) runPass(now Time) []Action {
 	var actions []Action
 	blocked := map[structs.Shape]bool{}
@@ -151,6 +152,8 @@
 	return actions
 }
 
+// firstFit returns the first workers with enough free accelerators, in one rack if the shape is
+// adjacent, or nil.
 func (b *baseline) firstFit(shape structs.Shape) []*node {
 	var nodes []*node
 	for _, r := range b.cluster.racks {
--- a/scheduler/cluster.go
+++ b/scheduler/cluster.go
@@ -64,8 +64,8 @@
 	return &cluster{byID: map[string]*node{}, byRack: map[string]*rack{}}
 }
 
-// add returns the node of a worker. A new node is down.
-func (c *cluster) add(spec WorkerSpec) *node {
+// ensureNode returns the node of a worker. A new node is down.
+func (c *cluster) ensureNode(spec WorkerSpec) *node {
 	if existing := c.byID[spec.ID]; existing != nil {
 		return existing
 	}
--- a/scheduler/estimate.go
+++ b/scheduler/estimate.go
@@ -75,6 +75,7 @@
 	return buf
 }
 
+// quantile returns the q-quantile of sorted samples, rounded to the nearest sample.
 func quantile(sorted []float64, q float64) float64 {
 	return sorted[int(q*float64(len(sorted)-1)+0.5)]
 }
@@ -109,8 +110,8 @@
 	return min(job.spec.DeclaredRunTime, allowed)
 }
 
-// remaining estimates the remaining time of a run.
-func (e *estimator) remaining(r *run, now Time) Time {
+// remainingTime estimates the remaining time of a run.
+func (e *estimator) remainingTime(r *run, now Time) Time {
 	elapsed := r.job.progress + now - r.started
 	total := e.estimate(r.job, planQuantile)
 	if total > elapsed {
--- a/scheduler/export_test.go
+++ b/scheduler/export_test.go
@@ -18,10 +18,10 @@
 		fmt.Fprintf(&b, "\nnode %s up=%t quarantined=%t probation=%t free=%d guaranteed=%d pinned=%d reserved=%t runs:", n.spec.ID, n.up, n.quarantined,
 			n.probation, n.free, n.guaranteed, n.pinned, len(n.reservations) > 0)
 		for _, r := range n.runs {
-			fmt.Fprintf(&b, " %s(%d,inside=%t,pinned=%t,stopping=%t)", r.id, r.accelerators, r.inside(), r.pinned, r.stopping)
+			fmt.Fprintf(&b, " %s(%d,inside=%t,pinned=%t,stopping=%t)", r.id, r.accelerators, r.insideGuarantee(), r.pinned, r.stopping)
 		}
 	}
-	for _, g := range s.queue.order {
+	for _, g := range s.queue.groupList {
 		for _, j := range g.jobs {
 			fmt.Fprintf(&b, "\nqueued %s of %s %s reservation=%+v", j.spec.ID, j.spec.Workspace, j.spec.Shape, j.reservation)
 		}
--- a/scheduler/layout.go
+++ b/scheduler/layout.go
@@ -73,6 +73,8 @@
 	return forEachSubset(feasible, shape.Members, nil, visit)
 }
 
+// forEachSubset calls visit with chosen extended by each distinct subset of count nodes, until it
+// returns true. The nodes are sorted by spare accelerators.
 func forEachSubset(nodes []*node, count int, chosen []*node, visit func([]*node) bool) bool {
 	if count == 0 {
 		return visit(append([]*node(nil), chosen...))
--- a/scheduler/pass.go
+++ b/scheduler/pass.go
@@ -92,6 +92,8 @@
 	return Place{Job: j.spec.ID, Run: r.id, Members: members, InGuarantee: found.slot != nil, Resume: j.resume}
 }
 
+// slotsFor returns the slot whose accelerators the job uses on each node of its placement, or nil
+// where it uses none.
 func (s *Scheduler) slotsFor(j *job, found placement) []*slot {
 	slots := make([]*slot, len(found.nodes))
 	for i, n := range found.nodes {
--- a/scheduler/pinned.go
+++ b/scheduler/pinned.go
@@ -38,7 +38,7 @@
 		if !n.up {
 			continue
 		}
-		added := c.add(n.spec)
+		added := c.ensureNode(n.spec)
 		c.update(added, func() { added.up = true })
 	}
 	var slots []*slot
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -18,8 +18,8 @@
 	stopping     bool // a stop was requested
 }
 
-// inside reports whether the run is wholly within a guarantee.
-func (r *run) inside() bool {
+// insideGuarantee reports whether the run is wholly within a guarantee.
+func (r *run) insideGuarantee() bool {
 	for _, sl := range r.slots {
 		if sl == nil {
 			return false
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -43,9 +43,9 @@
 // workspace.
 func (s *Scheduler) reclaim(j *job, now Time) []Action {
 	for _, sl := range s.witness.byWorkspace[j.spec.Workspace] {
-		rule := func(r *run) bool { return !r.pinned && !r.inside() }
+		rule := func(r *run) bool { return !r.pinned && !r.insideGuarantee() }
 		nodes := s.chooseMembers(sl, j, now, func(n *node) bool {
-			return n.freeForGuarantee(j)+stoppable(n, rule) >= j.spec.Shape.Accelerators
+			return n.freeForGuarantee(j)+stoppableAccelerators(n, rule) >= j.spec.Shape.Accelerators
 		})
 		if nodes == nil {
 			continue
@@ -55,7 +55,9 @@
 	return nil
 }
 
-func stoppable(n *node, rule victimRule) int {
+// stoppableAccelerators returns the accelerators on a node of runs that are stopping or that the
+// rule allows to stop.
+func stoppableAccelerators(n *node, rule victimRule) int {
 	total := 0
 	for _, r := range n.runs {
 		if r.stopping || rule(r) {
@@ -78,7 +80,7 @@
 // repeated, it is not inside the guarantee of another workspace, and its own target is missed
 // already or can still be met afterwards.
 func (s *Scheduler) isPreemptible(r *run, j *job, now Time) bool {
-	if r.stopping || r.pinned || (r.inside() && r.job.spec.Workspace != j.spec.Workspace) {
+	if r.stopping || r.pinned || (r.insideGuarantee() && r.job.spec.Workspace != j.spec.Workspace) {
 		return false
 	}
 	if now > r.job.spec.Deadline {
@@ -87,7 +89,7 @@
 	if r.job.preemptions >= maxPreemptions {
 		return false
 	}
-	remaining := s.estimates.remaining(r, now)
+	remaining := s.estimates.remainingTime(r, now)
 	slack := r.job.spec.Deadline - now - remaining - RestartCost
 	return slack > s.estimates.estimate(j, planQuantile)+2*RestartCost && r.job.order > j.order
 }
@@ -100,7 +102,7 @@
 		for _, r := range s.cluster.racks {
 			costs = append(costs, s.preemptionCosts(r, j, now, rule)...)
 		}
-		nodes, _ := cheapest(costs, shape.Members)
+		nodes, _ := cheapestNodes(costs, shape.Members)
 		return s.stopVictims(j, nodes, nil, rule, now)
 	}
 	var best []*node
@@ -109,7 +111,7 @@
 		if len(r.nodes) < shape.Members {
 			continue
 		}
-		nodes, cost := cheapest(s.preemptionCosts(r, j, now, rule), shape.Members)
+		nodes, cost := cheapestNodes(s.preemptionCosts(r, j, now, rule), shape.Members)
 		if nodes != nil && (best == nil || cost < bestCost) {
 			best, bestCost = nodes, cost
 		}
@@ -123,7 +125,9 @@
 	cost int
 }
 
-func cheapest(costs []nodeCost, wanted int) ([]*node, int) {
+// cheapestNodes returns the wanted number of nodes with the lowest costs and the sum of these, or
+// nil if there are too few.
+func cheapestNodes(costs []nodeCost, wanted int) ([]*node, int) {
 	if len(costs) < wanted {
 		return nil, 0
 	}
@@ -137,7 +141,8 @@
 	return nodes, total
 }
 
-func (n *node) firmlyReserved(j *job) bool {
+// firmlyReservedForOther reports whether another job has a firm reservation on the node.
+func (n *node) firmlyReservedForOther(j *job) bool {
 	for _, res := range n.reservations {
 		if res.job != j && res.firm {
 			return true
@@ -146,10 +151,12 @@
 	return false
 }
 
+// preemptionCosts returns the nodes of a rack on which one member of the job fits after stops
+// that the rule allows, with the costs of the stops.
 func (s *Scheduler) preemptionCosts(r *rack, j *job, now Time, rule victimRule) []nodeCost {
 	var costs []nodeCost
 	for _, n := range r.nodes {
-		if n.firmlyReserved(j) || !s.eligible(n, j, now) {
+		if n.firmlyReservedForOther(j) || !s.eligible(n, j, now) {
 			continue
 		}
 		if j.pinned() && n.spare() < j.spec.Shape.Accelerators && s.ownSlot(n, j) == nil {
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -65,7 +65,7 @@
 // placement, the others need not be tried.
 type group struct {
 	key   groupKey
-	index int // in queue.order
+	index int // in queue.groupList
 	jobs  []*job
 	schedulability
 }
@@ -97,20 +97,21 @@
 
 // queue holds the queued jobs in non-empty groups.
 type queue struct {
-	groups map[groupKey]*group
-	order  []*group
-	size   int
+	groups    map[groupKey]*group
+	groupList []*group
+	size      int
 }
 
 func newQueue() *queue { return &queue{groups: map[groupKey]*group{}} }
 
+// add adds a job to the group of equivalent jobs.
 func (q *queue) add(j *job) {
 	key := groupKey{j.spec.Workspace, j.spec.Class, j.spec.Shape, j.pinned(), j.avoidedWorkers()}
 	g := q.groups[key]
 	if g == nil {
-		g = &group{key: key, index: len(q.order)}
+		g = &group{key: key, index: len(q.groupList)}
 		q.groups[key] = g
-		q.order = append(q.order, g)
+		q.groupList = append(q.groupList, g)
 	}
 	j.group = g
 	heap.Push(g, j)
@@ -128,12 +129,13 @@
 	}
 }
 
+// dropGroup removes an empty group.
 func (q *queue) dropGroup(g *group) {
-	last := q.order[len(q.order)-1]
-	q.order[g.index] = last
+	last := q.groupList[len(q.groupList)-1]
+	q.groupList[g.index] = last
 	last.index = g.index
-	q.order[len(q.order)-1] = nil
-	q.order = q.order[:len(q.order)-1]
+	q.groupList[len(q.groupList)-1] = nil
+	q.groupList = q.groupList[:len(q.groupList)-1]
 	delete(q.groups, g.key)
 }
 
--- a/scheduler/reserve.go
+++ b/scheduler/reserve.go
@@ -20,6 +20,7 @@
 	firm    bool
 }
 
+// reserve records a reservation and replaces an earlier one of the same job.
 func (s *Scheduler) reserve(res *reservation) {
 	s.unreserve(res.job)
 	res.job.reservation = res
@@ -95,7 +96,7 @@
 		return true
 	}
 	stopping := func(r *run) bool { return r.stopping }
-	return n.free+stoppable(n, stopping) >= res.job.spec.Shape.Accelerators
+	return n.free+stoppableAccelerators(n, stopping) >= res.job.spec.Shape.Accelerators
 }
 
 // hasFree reports whether the slot has a member on the node with that many accelerators not
@@ -131,7 +132,7 @@
 		for _, r := range s.cluster.racks {
 			times = append(times, s.freeTimes(r, j, now)...)
 		}
-		return earliestFree(times, j.spec.Shape.Members)
+		return earliestFreeNodes(times, j.spec.Shape.Members)
 	}
 	var best []*node
 	var bestAt Time
@@ -139,7 +140,7 @@
 		if len(r.nodes) < j.spec.Shape.Members {
 			continue
 		}
-		nodes, at := earliestFree(s.freeTimes(r, j, now), j.spec.Shape.Members)
+		nodes, at := earliestFreeNodes(s.freeTimes(r, j, now), j.spec.Shape.Members)
 		if nodes != nil && (best == nil || at < bestAt) {
 			best, bestAt = nodes, at
 		}
@@ -147,7 +148,9 @@
 	return best, bestAt
 }
 
-func earliestFree(times []nodeTime, wanted int) ([]*node, Time) {
+// earliestFreeNodes returns the wanted number of nodes that are free first and when the last of
+// them is, or nil if there are too few.
+func earliestFreeNodes(times []nodeTime, wanted int) ([]*node, Time) {
 	if len(times) < wanted {
 		return nil, 0
 	}
@@ -159,6 +162,8 @@
 	return nodes, times[wanted-1].at
 }
 
+// freeTimes estimates when the workers of a rack that the job may use have capacity for one
+// member.
 func (s *Scheduler) freeTimes(r *rack, j *job, now Time) []nodeTime {
 	var times []nodeTime
 	for _, n := range r.nodes {
@@ -190,7 +195,7 @@
 		if s.estimates.longOverdue(r, now) {
 			continue
 		}
-		endings = append(endings, ending{now + s.estimates.remaining(r, now), r.accelerators})
+		endings = append(endings, ending{now + s.estimates.remainingTime(r, now), r.accelerators})
 	}
 	sort.SliceStable(endings, func(a, b int) bool { return endings[a].at < endings[b].at })
 	free := n.free
--- a/scheduler/run_end.go
+++ b/scheduler/run_end.go
@@ -50,6 +50,8 @@
 // refusalBackoff is how long a worker gets no run after it refused one.
 const refusalBackoff = 2 * Second
 
+// requeueNotStarted enqueues a job whose run did not start, and backs off from the worker that
+// refused it.
 func (s *Scheduler) requeueNotStarted(j *job, n *node, now Time) {
 	j.runCount--
 	if n != nil {
@@ -70,6 +72,7 @@
 	return nil
 }
 
+// handleRunLost records a lost run, and ends its job after too many early losses.
 func (s *Scheduler) handleRunLost(r *run, now Time) []Action {
 	j := r.job
 	jobEnds := s.recordLoss(r, now)
@@ -81,6 +84,8 @@
 		Detail: "lost its workers in " + strconv.Itoa(j.earlyLosses) + " runs"}}
 }
 
+// handleRunFailed records a failed run, and ends its job if the job is at fault or may not be
+// repeated.
 func (s *Scheduler) handleRunFailed(r *run, failedNode *node, now Time) []Action {
 	j := r.job
 	actions, jobEnds := s.recordFailure(j, failedNode, now)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -51,7 +51,7 @@
 		inventoryVersion: 1,
 	}
 	for _, spec := range config.Workers {
-		n := s.cluster.add(spec)
+		n := s.cluster.ensureNode(spec)
 		s.cluster.update(n, func() { n.up = true })
 	}
 	if config.Targets != nil {
@@ -77,7 +77,7 @@
 		s.capacityChanged = false
 		s.nextPass = now + tryInterval
 		actions = append(actions, s.endUnschedulable(now)...)
-		return append(actions, s.runPass(s.queue.order, now)...)
+		return append(actions, s.runPass(s.queue.groupList, now)...)
 	}
 	if g != nil {
 		return append(actions, s.runPass([]*group{g}, now)...)
@@ -126,6 +126,7 @@
 	s.enqueue(s.newJob(spec), now)
 }
 
+// enqueue computes the queue order of a job from the present estimates and adds it to the queue.
 func (s *Scheduler) enqueue(j *job, now Time) {
 	remaining := max(s.estimates.estimate(j, planQuantile)-j.progress, Second)
 	j.latestStart = j.spec.Deadline - remaining
@@ -166,6 +167,7 @@
 	return now+max(remaining, 0) > j.spec.Deadline
 }
 
+// handleCancelled aborts the run of a job or, if it is queued, removes the job.
 func (s *Scheduler) handleCancelled(id string) []Action {
 	j := s.jobs[id]
 	if j == nil {
@@ -221,7 +223,7 @@
 }
 
 func (s *Scheduler) handleWorkerUp(spec WorkerSpec) {
-	n := s.cluster.add(spec)
+	n := s.cluster.ensureNode(spec)
 	if n.up {
 		return
 	}
@@ -231,6 +233,7 @@
 	s.inventoryVersion++
 }
 
+// handleWorkerDown marks a worker down and aborts its runs.
 func (s *Scheduler) handleWorkerDown(id string) []Action {
 	n := s.cluster.byID[id]
 	if n == nil || !n.up {
--- a/scheduler/unschedulable.go
+++ b/scheduler/unschedulable.go
@@ -20,7 +20,7 @@
 // endUnschedulable ends the jobs whose shape has fitted no inventory for unschedulableTimeout.
 func (s *Scheduler) endUnschedulable(now Time) []Action {
 	var expired []*job
-	for _, g := range s.queue.order {
+	for _, g := range s.queue.groupList {
 		if len(g.jobs) == 0 {
 			continue
 		}
@@ -41,6 +41,7 @@
 	return actions
 }
 
+// checkShape updates the schedulability of a group if the inventory changed since the last check.
 func (s *Scheduler) checkShape(g *group, now Time) {
 	if g.checkedVersion == s.inventoryVersion {
 		return
--- a/scheduler/witness.go
+++ b/scheduler/witness.go
@@ -16,6 +16,7 @@
 	unfit     bool    // reported by GuaranteeUnfit
 }
 
+// idle reports whether no run is inside the slot.
 func (s *slot) idle() bool {
 	for _, used := range s.used {
 		if used > 0 {
@@ -25,7 +26,8 @@
 	return true
 }
 
-func (s *slot) broken() bool {
+// needsRepair reports whether the slot has no workers, or one that is not trusted.
+func (s *slot) needsRepair() bool {
 	if s.nodes == nil {
 		return true
 	}
@@ -37,6 +39,7 @@
 	return false
 }
 
+// memberIndex returns the position of a node among the members of the slot, or -1.
 func (s *slot) memberIndex(n *node) int {
 	for i, member := range s.nodes {
 		if member == n {
@@ -97,6 +100,7 @@
 	}
 }
 
+// takeSlot removes a slot of a workspace and shape from a list and returns it, or nil.
 func takeSlot(slots *[]*slot, workspace string, shape structs.Shape) *slot {
 	for i, sl := range *slots {
 		if sl.workspace == workspace && sl.shape == shape {
@@ -131,6 +135,8 @@
 	return best
 }
 
+// findNodes returns workers of the rack for a guaranteed shape, or nil. left is the number of
+// spare accelerators on the feasible workers beyond the shape.
 func (r *rack) findNodes(shape structs.Shape) (nodes []*node, left int) {
 	var feasible []*node
 	for _, n := range r.nodes {
@@ -152,7 +158,7 @@
 func (w *witness) repair(c *cluster, detach func(*slot), assignAroundRun func(*slot) bool) {
 	var unplaced []*slot
 	for _, s := range w.slots {
-		if s.broken() && !w.repairSlot(c, s, detach, assignAroundRun) {
+		if s.needsRepair() && !w.repairSlot(c, s, detach, assignAroundRun) {
 			unplaced = append(unplaced, s)
 		}
 	}
@@ -236,6 +242,8 @@
 	return true
 }
 
+// replaceLostMembers replaces each member that is not trusted by another worker of the rack. It
+// reports false if a run is inside the slot there or no worker has enough spare accelerators.
 func (s *slot) replaceLostMembers() bool {
 	r := s.nodes[0].rack
 	for i, n := range s.nodes {
@@ -302,6 +310,7 @@
 	return before
 }
 
+// restorePlacements restores the placements that unassignAll returned.
 func restorePlacements(slots []*slot, before map[*slot]slotPlacement) {
 	for _, s := range slots {
 		s.unassign()
@@ -325,6 +334,8 @@
 	}
 }
 
+// placeSlots assigns workers to the given slots, by the exact search or else greedily, and returns
+// the number of placed slots.
 func (w *witness) placeSlots(c *cluster, slots []*slot) int {
 	if searchLayout(c, slots, &layoutBudget{steps: maxLayoutSteps}) {
 		return len(slots)
@@ -350,7 +361,7 @@
 func CheckGuarantees(workers []WorkerSpec, t *targets.Targets) []UnfitGuarantee {
 	c := newCluster()
 	for _, spec := range workers {
-		n := c.add(spec)
+		n := c.ensureNode(spec)
 		c.update(n, func() { n.up = true })
 	}
 	w := newWitness()
