--- a/placing/crash_test.go
+++ b/placing/crash_test.go
@@ -14,8 +14,8 @@
 // A task that crashes its workers must be given up. A lost worker reports no end, so a run that
 // ends with its worker counts as no attempt; unless losses are counted too, the task is started
 // on one worker after the other. The connection of its worker ends 10 ms after the start. After
-// 3.2 s another incarnation answers at the address, so the run is over ("worker reborn" in the
-// log), and the same pass places the task on the next worker. In one case an urgent job was
+// 3.2 s another incarnation answers at the address, so the run is over (after some 10 ms, with
+// "worker reborn" in the log), and the same pass places the task on the next worker. In one case an urgent job was
 // started every three to four seconds, 32 times; each start took its worker away for three
 // seconds, and the job never failed. Leader changes make no difference.
 func TestTaskThatEndsItsWorkersIsGivenUp(t *testing.T) {
--- a/placing/fit.go
+++ b/placing/fit.go
@@ -188,7 +188,7 @@
 		if placements == nil {
 			continue
 		}
-		leftover := v.freeCores(rack) - v.rackSpeedScore(placements, unit)
+		leftover := v.freeCores(rack) - v.rackSpeedValue(placements, unit)
 		if rack[0].entry.Rack == unit.step.spec.DataRack {
 			leftover = math.Inf(-1) // the rack of its data goes before all others
 		}
@@ -276,7 +276,7 @@
 		if count == 0 || !node.accepts(unit) || v.closedTo(unit, node) || unit.emptyOnly && !v.suitsIsolation(node, unit.now) {
 			continue
 		}
-		weight := node.freeShare(v.free[node.at]) + v.speedScore(node, unit)
+		weight := node.freeShare(v.free[node.at]) + v.nodeSpeedWeight(node, unit)
 		if unit.isolated {
 			weight = -weight // prefers nodes where the loss of the worker costs least
 		}
--- a/placing/runs.go
+++ b/placing/runs.go
@@ -51,7 +51,7 @@
 		return
 	}
 	if !e.stillFits(run.node, now) {
-		e.endRun(run, "no room any more", now)
+		e.endRun(run, "does not fit any more", now)
 		return
 	}
 	if !e.evacuationsFresh(now) {
--- a/placing/speed.go
+++ b/placing/speed.go
@@ -133,16 +133,18 @@
 	return normalized[len(normalized)/2]
 }
 
-// speedScore returns the share of a node's score for a unit that comes from its speed.
-func (v *view) speedScore(node *node, unit *unit) float64 {
+// nodeSpeedWeight returns the part of a node's weight that comes from its speed, 0 unless the
+// unit is urgent.
+func (v *view) nodeSpeedWeight(node *node, unit *unit) float64 {
 	if !v.speedsSignificant || unit.tier != tierUrgent {
 		return 0
 	}
 	return speedWeight * (1 - node.speed.factor())
 }
 
-// rackSpeedScore returns the value of the speed of a gang's placements in a rack, in cores.
-func (v *view) rackSpeedScore(placements []placement, unit *unit) float64 {
+// rackSpeedValue returns the value, in cores, of the speed of a gang's placements in a rack, 0
+// unless the unit is urgent.
+func (v *view) rackSpeedValue(placements []placement, unit *unit) float64 {
 	if !v.speedsSignificant || unit.tier != tierUrgent {
 		return 0
 	}
--- a/placing/speed_test.go
+++ b/placing/speed_test.go
@@ -85,7 +85,7 @@
 	e, now := mixedFleet(is, speedOfWorker)
 	is.True(e.speedVariance.significant)
 	for _, n := range e.nodeOrder {
-		is.Equal(e.schedulableView(now).speedScore(n, &unit{tier: tierOnTime}), 0.0)
+		is.Equal(e.schedulableView(now).nodeSpeedWeight(n, &unit{tier: tierOnTime}), 0.0)
 	}
 	is.True(e.nodeOrder[2].speed.factor() > 1.05)
 	is.True(e.nodeOrder[0].speed.factor() < 0.95)
@@ -137,7 +137,7 @@
 	is := is.New(t)
 	e, now := mixedFleet(is, func(int) float64 { return 1 })
 	is.True(!e.speedVariance.significant)
-	is.Equal(e.schedulableView(now).speedScore(e.nodeOrder[0], &unit{tier: tierUrgent}), 0.0)
+	is.Equal(e.schedulableView(now).nodeSpeedWeight(e.nodeOrder[0], &unit{tier: tierUrgent}), 0.0)
 	e, _ = mixedFleet(is, speedOfWorker)
 	is.True(e.speedVariance.significant)
 	for range 2 * maxSpeedPairs {
