--- a/placing/fit.go
+++ b/placing/fit.go
@@ -146,8 +146,8 @@
 	return v.pack(unit, v.nodes)
 }
 
-// searchDataRack prefers the rack that holds the step's data, and allows no other if
-// strict.
+// searchDataRack prefers the rack that holds the step's data. If strict is set and the rack has
+// nodes in the view, it allows no other.
 func (v *view) searchDataRack(unit *unit, strict bool) []placement {
 	var dataRackNodes []*node
 	for _, rack := range v.racks {
@@ -165,9 +165,9 @@
 	for _, p := range placements {
 		v.allocate(p.node, unit.step.need())
 	}
-	rest := *unit
-	rest.tasks = unit.tasks[len(placements):]
-	elsewhere := v.pack(&rest, v.nodes)
+	remaining := *unit
+	remaining.tasks = unit.tasks[len(placements):]
+	elsewhere := v.pack(&remaining, v.nodes)
 	for _, p := range placements {
 		v.release(p.node, unit.step.need())
 	}
@@ -188,7 +188,7 @@
 		if placements == nil {
 			continue
 		}
-		leftover := v.freeCores(rack) - v.rackSpeedScore(placements, unit)
+		leftover := v.freeCores(rack) - v.rackSpeedValue(placements, unit)
 		if rack[0].entry.Rack == unit.step.spec.DataRack {
 			leftover = math.Inf(-1) // the rack of its data goes before all others
 		}
@@ -276,7 +276,7 @@
 		if count == 0 || !node.accepts(unit) || v.closedTo(unit, node) || unit.emptyOnly && !v.suitsIsolation(node, unit.now) {
 			continue
 		}
-		weight := node.freeShare(v.free[node.at]) + v.speedScore(node, unit)
+		weight := node.freeShare(v.free[node.at]) + v.nodeSpeedWeight(node, unit)
 		if unit.isolated {
 			weight = -weight // prefers nodes where the loss of the worker costs least
 		}
@@ -312,7 +312,8 @@
 // recently restarted ones are used only where nothing else fits.
 const probationWeight = 20
 
-// lastResortWeight is above the sum of these: for workers that should get no work.
+// lastResortWeight is above the sum of the other weights. It is added for workers that should
+// get no new work.
 const lastResortWeight = 100
 
 // freeShare returns the free share of the node. Accelerators count twice, as large tasks
@@ -323,6 +324,7 @@
 	return 2*ratio(free.Accelerators, capacity.Accelerators) + ratio(free.MilliCores, capacity.MilliCores) + ratio(free.MemoryMB, capacity.MemoryMB)
 }
 
+// ratio returns part / whole, or 0 if whole is not positive.
 func ratio(part, whole int64) float64 {
 	if whole <= 0 {
 		return 0
--- a/placing/report.go
+++ b/placing/report.go
@@ -7,7 +7,7 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// Report handles a worker's answer to a hold that was sent at sentAt. leasesExpireAt is when all
+// Report handles a worker's answer to a poll that was sent at sentAt. leasesExpireAt is when all
 // leases on the worker expire unless they are renewed later.
 func (e *Engine) Report(worker string, sentAt time.Time, running []RunningTask, ended []EndedTask, leasesExpireAt, now time.Time) {
 	n := e.nodes[worker]
@@ -58,6 +58,7 @@
 	return reported
 }
 
+// observeRun updates a run from a report that shows it.
 func (e *Engine) observeRun(run *run, row RunningTask, now time.Time) {
 	if !run.seen {
 		run.seen = true
@@ -158,7 +159,7 @@
 }
 
 // applyEnd handles one reported end. Ends are listed again until they are acknowledged, so
-// their numbers tell which are new.
+// their numbers show which are new.
 func (e *Engine) applyEnd(n *node, end EndedTask, now time.Time) {
 	if end.Number <= n.lastEnd {
 		e.logSkippedEnd(n, end)
@@ -195,6 +196,8 @@
 	}
 }
 
+// applyTaskEnd updates a task and its job from the end of the current run. Ends of earlier runs
+// and repeated ends change nothing.
 func (e *Engine) applyTaskEnd(job *job, task *task, run *run, end EndedTask, now time.Time) {
 	if job.state.Final() || task.done || end.Run <= task.lastEndedRun {
 		return
@@ -218,6 +221,8 @@
 	}
 }
 
+// taskDone marks a task, or its whole gang, as done and finishes the job after the last one.
+// Long-running tasks are never done.
 func (e *Engine) taskDone(job *job, task *task, now time.Time) {
 	if task.step.spec.LongRunning {
 		return
--- a/placing/speed.go
+++ b/placing/speed.go
@@ -48,6 +48,7 @@
 // factor returns the estimate, which stays near one while there are few samples.
 func (s speedEstimate) factor() float64 { return math.Exp(s.logSum / (s.count + 1)) }
 
+// add adds a sample. Beyond maxSpeedSamples it replaces an average one.
 func (s *speedEstimate) add(speed float64) {
 	if s.count >= maxSpeedSamples {
 		s.logSum -= s.logSum / s.count
@@ -66,6 +67,7 @@
 	significant bool
 }
 
+// add adds the product of the deviations of two runs of one worker.
 func (v *speedVariance) add(product float64) {
 	v.pairs = min(maxSpeedPairs, v.pairs+1)
 	v.variance += (product - v.variance) / v.pairs
@@ -131,16 +133,18 @@
 	return normalized[len(normalized)/2]
 }
 
-// speedScore returns the share of a node's score for a unit that comes from its speed.
-func (v *view) speedScore(node *node, unit *unit) float64 {
+// nodeSpeedWeight returns the part of a node's weight that comes from its speed, 0 unless the
+// unit is urgent.
+func (v *view) nodeSpeedWeight(node *node, unit *unit) float64 {
 	if !v.speedsSignificant || unit.tier != tierUrgent {
 		return 0
 	}
 	return speedWeight * (1 - node.speed.factor())
 }
 
-// rackSpeedScore returns the value of the speed of a gang's placements in a rack, in cores.
-func (v *view) rackSpeedScore(placements []placement, unit *unit) float64 {
+// rackSpeedValue returns the value, in cores, of the speed of a gang's placements in a rack, 0
+// unless the unit is urgent.
+func (v *view) rackSpeedValue(placements []placement, unit *unit) float64 {
 	if !v.speedsSignificant || unit.tier != tierUrgent {
 		return 0
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -35,7 +35,7 @@
 	logUnavailable   bool
 	capacityChanged  bool   // capacity may have been freed since the last full pass
 	nextPass         Time   // time of the next full pass
-	touchedGroup     *group // group of the job that the current event enqueued
+	enqueuedGroup    *group // group of the job that the current event enqueued
 }
 
 // New returns a scheduler with the given workers up.
@@ -51,7 +51,7 @@
 		inventoryVersion: 1,
 	}
 	for _, spec := range config.Workers {
-		n := s.cluster.add(spec)
+		n := s.cluster.ensureNode(spec)
 		s.cluster.update(n, func() { n.up = true })
 	}
 	if config.Targets != nil {
@@ -71,13 +71,13 @@
 		s.capacityChanged = true
 	}
 	s.expireReservations(now)
-	g := s.touchedGroup
-	s.touchedGroup = nil
+	g := s.enqueuedGroup
+	s.enqueuedGroup = nil
 	if s.capacityChanged || now >= s.nextPass {
 		s.capacityChanged = false
 		s.nextPass = now + tryInterval
 		actions = append(actions, s.endUnschedulable(now)...)
-		return append(actions, s.runPass(s.queue.order, now)...)
+		return append(actions, s.runPass(s.queue.groupList, now)...)
 	}
 	if g != nil {
 		return append(actions, s.runPass([]*group{g}, now)...)
@@ -126,13 +126,14 @@
 	s.enqueue(s.newJob(spec), now)
 }
 
+// enqueue computes the queue order of a job from the present estimates and adds it to the queue.
 func (s *Scheduler) enqueue(j *job, now Time) {
 	remaining := max(s.estimates.estimate(j, planQuantile)-j.progress, Second)
 	j.latestStart = j.spec.Deadline - remaining
 	j.order = j.latestStart - s.orderBoost(j)
 	j.queuedSince = now
 	s.queue.add(j)
-	s.touchedGroup = j.group
+	s.enqueuedGroup = j.group
 }
 
 // orderBoostDivisor divides the allowed time of an adjacent gang that fills a rack; the
@@ -166,6 +167,7 @@
 	return now+max(remaining, 0) > j.spec.Deadline
 }
 
+// handleCancelled aborts the run of a job or, if it is queued, removes the job.
 func (s *Scheduler) handleCancelled(id string) []Action {
 	j := s.jobs[id]
 	if j == nil {
@@ -203,13 +205,14 @@
 	s.trackRun(r)
 }
 
+// trackRun adds a run and allocates its accelerators.
 func (s *Scheduler) trackRun(r *run) {
 	r.job.run = r
 	s.runs[r.id] = r
 	s.cluster.allocate(r)
 }
 
-// releaseRun releases everything a run holds.
+// releaseRun removes a run and frees its accelerators.
 func (s *Scheduler) releaseRun(r *run) {
 	s.cluster.release(r)
 	r.job.run = nil
@@ -220,7 +223,7 @@
 }
 
 func (s *Scheduler) handleWorkerUp(spec WorkerSpec) {
-	n := s.cluster.add(spec)
+	n := s.cluster.ensureNode(spec)
 	if n.up {
 		return
 	}
@@ -230,6 +233,7 @@
 	s.inventoryVersion++
 }
 
+// handleWorkerDown marks a worker down and aborts its runs.
 func (s *Scheduler) handleWorkerDown(id string) []Action {
 	n := s.cluster.byID[id]
 	if n == nil || !n.up {
@@ -279,6 +283,7 @@
 	}
 }
 
+// leaveSlot turns a run inside a slot on a node into a run outside it.
 func (r *run) leaveSlot(sl *slot, n *node) {
 	for i, member := range r.nodes {
 		if member != n || r.slots[i] != sl {
@@ -303,6 +308,8 @@
 	}
 }
 
+// repairWitness assigns workers to the slots that lack them, and reports the guarantees that
+// became unfit or fit again.
 func (s *Scheduler) repairWitness() []Action {
 	s.witnessDirty = false
 	s.witness.repair(s.cluster, s.detach, s.assignAroundRun)
