--- a/adapters/fronthttp/fronthttp.go
+++ b/adapters/fronthttp/fronthttp.go
@@ -48,11 +48,11 @@
 	Holder string          `json:"holder"`
 }
 
-// EventsBody is the JSON body of the timeline of one process. Forgotten counts older
-// events that the process dropped.
+// EventsBody is the JSON body of the timeline of one process. Overwritten counts older
+// events that the process no longer has.
 type EventsBody struct {
-	Events    []timeline.Event `json:"events"`
-	Forgotten int64            `json:"forgotten"`
+	Events      []timeline.Event `json:"events"`
+	Overwritten int64            `json:"forgotten"`
 }
 
 // front serves one instance.
@@ -292,8 +292,8 @@
 
 func (f *front) timeline(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	events, forgotten := f.service.Events(timeline.Filter{Subject: query.Get("job"), Workspace: query.Get("workspace")})
-	writeJSON(w, http.StatusOK, EventsBody{Events: events, Forgotten: forgotten})
+	events, overwritten := f.service.Events(timeline.Filter{Subject: query.Get("job"), Workspace: query.Get("workspace")})
+	writeJSON(w, http.StatusOK, EventsBody{Events: events, Overwritten: overwritten})
 }
 
 func (f *front) status(w http.ResponseWriter, _ *http.Request) {
--- a/adapters/platformhttp/platformhttp.go
+++ b/adapters/platformhttp/platformhttp.go
@@ -30,13 +30,13 @@
 	Records [][]byte `json:"records"`
 }
 
-// AppendReply is the answer to an append. First is the position of the first record.
+// AppendReply is the answer to an append. First is the offset of the first record.
 type AppendReply struct {
 	First int64 `json:"first"`
 }
 
 // ReadReply is the answer to GET /streams/NAME?from=N&wait_ms=N. With status 410 only
-// First is set: the oldest retained record.
+// First is set: the offset of the oldest retained record.
 type ReadReply struct {
 	First   int64    `json:"first"`
 	Records [][]byte `json:"records"`
@@ -52,7 +52,7 @@
 	})
 }
 
-// Client is a client of both the log and the instance list of a platform.
+// Client accesses the log and the instance list of a platform.
 type Client struct {
 	base string
 	http *http.Client
--- a/adapters/runnerhttp/runnerhttp.go
+++ b/adapters/runnerhttp/runnerhttp.go
@@ -106,8 +106,8 @@
 	return upstream.Result{Ended: requests.AttemptEnded{Kind: kind, Reason: reason}, Load: load, Busy: -1}
 }
 
-// readResult reads the complete answer; an attempt with an incomplete one counts as
-// broken.
+// readResult reads the answer. An attempt with an incomplete answer counts as
+// interrupted.
 func readResult(ctx context.Context, attempt upstream.Attempt, response *http.Response) upstream.Result {
 	if response.Header.Get(HeaderAttempt) != attempt.ID {
 		return failedResult(requests.AttemptInterrupted, structs.ReasonAnswerMismatched, balancer.ResultFailed)
@@ -154,7 +154,7 @@
 	return body, structs.ReasonNone
 }
 
-// busySlots returns the number of busy slots of the runner, or -1 if it is not stated.
+// busySlots returns the number of busy slots of the runner, or -1 if it reports none.
 func busySlots(response *http.Response) int {
 	busy, err := strconv.Atoi(response.Header.Get(HeaderBusy))
 	if err != nil || busy < 0 {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// UpdateRunners applies the platform's list of processes. A runner that was marked as leaving
-// stays so until it is listed with a later boot, even if the list is stale or
+// UpdateRunners applies the platform's instance list. A runner that was marked as
+// leaving stays so until it is listed with a later boot, even if the list is stale or
 // inconsistent.
 func (b *Balancer) UpdateRunners(list []membership.Member) {
 	listed := map[string]bool{}
@@ -177,8 +177,8 @@
 	return r.entry, true
 }
 
-// Acquire requests a slot. It returns a grant with a runner, a grant with a refusal,
-// or false if the request was queued under the given identifier.
+// Acquire requests a slot. It returns true with a runner or a refusal, or false if the
+// request was queued under the given identifier.
 func (b *Balancer) Acquire(id WaiterID, class string, deadline time.Time, exclude []string, now time.Time) (AcquireResult, bool) {
 	if len(b.queue) == 0 {
 		if r := b.pickRunner(exclude, now); r != nil {
@@ -208,7 +208,8 @@
 	return defaultLatency
 }
 
-// refusalFor returns a refusal if a request cannot get a slot before its deadline.
+// refusalFor returns a refusal if there is no runner, the queue is full, or the request
+// cannot be answered before its deadline.
 func (b *Balancer) refusalFor(class string, deadline, now time.Time) (Refusal, bool) {
 	capacity := b.capacity()
 	if capacity == 0 {
@@ -357,23 +358,23 @@
 // Dispatch assigns free slots to waiting requests in order of their latest start, and
 // refuses the requests that can no longer meet their deadline.
 func (b *Balancer) Dispatch(now time.Time) []AcquireResult {
-	var grants []AcquireResult
+	var results []AcquireResult
 	for len(b.queue) > 0 {
 		first := b.queue[0]
 		if now.After(b.latestStart(first)) {
-			grants = append(grants, AcquireResult{Waiter: first.id, Refusal: Refusal{Reason: structs.ReasonCannotMeetTarget, RetryAfter: minRetryAfter}})
+			results = append(results, AcquireResult{Waiter: first.id, Refusal: Refusal{Reason: structs.ReasonCannotMeetTarget, RetryAfter: minRetryAfter}})
 			b.queue = b.queue[1:]
 			continue
 		}
 		r := b.pickRunner(first.exclude, now)
 		if r == nil {
-			return grants
+			return results
 		}
 		r.inFlight++
-		grants = append(grants, AcquireResult{Waiter: first.id, Runner: r.entry.ID})
+		results = append(results, AcquireResult{Waiter: first.id, Runner: r.entry.ID})
 		b.queue = b.queue[1:]
 	}
-	return grants
+	return results
 }
 
 // QueueLength returns the number of waiting requests.
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -33,16 +33,16 @@
 		boots := map[string]int64{"r0": 1, "r1": 1, "r2": 1}
 		listedBoots := map[string]int64{} // by runner, the boot in the latest list
 		waiting := 0
-		checkGrant := func(granted balancer.AcquireResult) {
-			if granted.Runner == "" {
+		checkResult := func(acquired balancer.AcquireResult) {
+			if acquired.Runner == "" {
 				return
 			}
-			slotsInUse[granted.Runner]++
-			if leavingBoot, ok := leavingBoots[granted.Runner]; ok && listedBoots[granted.Runner] <= leavingBoot {
-				t.Fatalf("%s was assigned work although it is leaving", granted.Runner)
+			slotsInUse[acquired.Runner]++
+			if leavingBoot, ok := leavingBoots[acquired.Runner]; ok && listedBoots[acquired.Runner] <= leavingBoot {
+				t.Fatalf("%s was assigned work although it is leaving", acquired.Runner)
 			}
-			if slotsInUse[granted.Runner] > 2 {
-				t.Fatalf("%s uses %d of 2 slots", granted.Runner, slotsInUse[granted.Runner])
+			if slotsInUse[acquired.Runner] > 2 {
+				t.Fatalf("%s uses %d of 2 slots", acquired.Runner, slotsInUse[acquired.Runner])
 			}
 		}
 		next := balancer.WaiterID(0)
@@ -70,12 +70,12 @@
 			},
 			"acquire": func(t *rapid.T) {
 				next++
-				granted, decided := b.Acquire(next, "c", now.Add(time.Minute), nil, now)
+				acquired, decided := b.Acquire(next, "c", now.Add(time.Minute), nil, now)
 				if !decided {
 					waiting++
 					return
 				}
-				checkGrant(granted)
+				checkResult(acquired)
 			},
 			"done": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"r0", "r1", "r2"}).Draw(t, "runner")
@@ -88,9 +88,9 @@
 					leavingBoots[id] = max(leavingBoots[id], listedBoots[id])
 				}
 				b.Release(id, "c", result, 10*time.Millisecond, -1, now)
-				for _, granted := range b.Dispatch(now) {
+				for _, acquired := range b.Dispatch(now) {
 					waiting--
-					checkGrant(granted)
+					checkResult(acquired)
 				}
 			},
 			"pass": func(t *rapid.T) { now = now.Add(time.Second) },
@@ -108,17 +108,17 @@
 	b := balancer.New(1)
 	b.UpdateRunners([]membership.Member{listed("r0", 1, false)})
 	for n := range 2 {
-		granted, decided := b.Acquire(balancer.WaiterID(n), "slow", startTime.Add(time.Hour), nil, startTime)
+		result, decided := b.Acquire(balancer.WaiterID(n), "slow", startTime.Add(time.Hour), nil, startTime)
 		is.True(decided)
-		is.Equal(granted.Runner, "r0")
+		is.Equal(result.Runner, "r0")
 	}
 	b.Release("r0", "slow", balancer.ResultAnswered, 10*time.Second, 2, startTime)
 	_, decided := b.Acquire(10, "slow", startTime.Add(time.Hour), nil, startTime)
 	is.True(decided) // gets the slot that was just released
-	granted, decided := b.Acquire(11, "slow", startTime.Add(5*time.Second), nil, startTime)
+	result, decided := b.Acquire(11, "slow", startTime.Add(5*time.Second), nil, startTime)
 	is.True(decided)
-	is.Equal(granted.Refusal.Reason, structs.ReasonCannotMeetTarget)
-	is.True(granted.Refusal.RetryAfter >= time.Second)
+	is.Equal(result.Refusal.Reason, structs.ReasonCannotMeetTarget)
+	is.True(result.Refusal.RetryAfter >= time.Second)
 }
 
 func TestRequestWithTheEarliestDeadlineIsServedFirst(t *testing.T) {
--- a/command/client.go
+++ b/command/client.go
@@ -80,7 +80,7 @@
 	flags.StringVar(&s.shape, "gang", "", "MEMBERSxACCELERATORS; makes the submission a gang job")
 	flags.BoolVar(&s.scattered, "scattered", false, "the gang's workers need not be in one rack")
 	flags.Int64Var(&s.declared, "declared", 0, "declared run time of a gang job, in seconds")
-	flags.StringVar(&s.payload, "payload", "", "words handed to a gang job's tasks")
+	flags.StringVar(&s.payload, "payload", "", "payload passed to a gang job's tasks")
 }
 
 func runSubmit(args []string, to output) int {
@@ -145,7 +145,7 @@
 		}
 		return getTargets(*address, to)
 	}
-	base := flags.Int64("base", -1, "version the proposal was made from")
+	base := flags.Int64("base", -1, "version that the proposal is based on")
 	if code, ok := parse(flags, args[1:], 1, 1, to); !ok {
 		return code
 	}
@@ -213,13 +213,13 @@
 	var lists [][]timeline.Event
 	code := ExitOK
 	for _, address := range flags.Args() {
-		events, forgotten, err := fetchEvents(address, query)
+		events, overwritten, err := fetchEvents(address, query)
 		if err != nil {
 			code = fail(to, "timeline "+address, err)
 			continue
 		}
-		if forgotten > 0 {
-			fmt.Fprintf(to.err, "timeline: %s forgot %d older events\n", address, forgotten)
+		if overwritten > 0 {
+			fmt.Fprintf(to.err, "timeline: %s has overwritten %d older events\n", address, overwritten)
 		}
 		lists = append(lists, events)
 	}
@@ -237,7 +237,7 @@
 		return nil, 0, eris.Errorf("status %d", status)
 	}
 	err = json.Unmarshal(answer, &body)
-	return body.Events, body.Forgotten, eris.Wrap(err, "events")
+	return body.Events, body.Overwritten, eris.Wrap(err, "events")
 }
 
 func printEvents(to output, events []timeline.Event) {
--- a/command/command.go
+++ b/command/command.go
@@ -44,12 +44,12 @@
 		"status":   {"status -addr ADDR ID: print a job's state", runStatus},
 		"cancel":   {"cancel -addr ADDR ID: cancel a job", runCancel},
 		"targets":  {"targets get|propose: read or change the operators' targets", runTargets},
-		"zones":    {"zones list|evacuate|return -addr ADDR [ZONE]: show, evacuate or take back availability zones", runZones},
+		"zones":    {"zones list|evacuate|return -addr ADDR [ZONE]: list availability zones, evacuate them or return them to service", runZones},
 		"refusals": {"refusals -addr ADDR [-workspace W]: print recorded refusals", runRefusals},
 		"timeline": {"timeline [-job ID] [-workspace W] ADDR...: merge the events of processes", runTimeline},
 		"replay":   {"replay -settings FILE [-policy NAME] TRACE: replay a recorded trace", runReplay},
-		"explain":  {"explain ID LOG...: merge what the logs of several processes say of a job", runExplain},
-		"fleet":    {"fleet ADDR...: what instances on the platform believe", runFleet},
+		"explain":  {"explain ID LOG...: merge the log lines of several processes about a job", runExplain},
+		"fleet":    {"fleet ADDR...: print the status of instances on the platform", runFleet},
 		"version":  {"version: print the version", runVersion},
 	}
 }
--- a/command/dev.go
+++ b/command/dev.go
@@ -25,7 +25,7 @@
 	"github.com/teaselcleat/teaselcleat/timeline"
 )
 
-// Size of the embedded system.
+// Size and timeouts of the embedded system.
 const (
 	devInstances             = 3
 	devRunners               = 4
@@ -157,7 +157,7 @@
 	}
 }
 
-// waitReady waits until every instance is ready and knows the leader's term.
+// waitReady waits until every instance is ready and has read a term of a leader.
 func (s *devSystem) waitReady(ctx context.Context) error {
 	for {
 		ready := 0
@@ -196,7 +196,7 @@
 
 func runDev(args []string, to output) int {
 	flags := newFlags("dev", to)
-	demo := flags.Bool("demo", false, "serve one request of each class and one gang, print the time line and exit")
+	demo := flags.Bool("demo", false, "serve one request of each class and one gang, print the timeline and exit")
 	verbose := flags.Bool("verbose", false, "log events of the instances")
 	if code, ok := parse(flags, args, 0, 0, to); !ok {
 		return code
--- a/command/explain.go
+++ b/command/explain.go
@@ -34,7 +34,7 @@
 // runExplain merges the lines about one job from the logs of several processes.
 func runExplain(args []string, to output) int {
 	flags := newFlags("explain", to)
-	showContext := flags.Bool("context", true, "show terms, outages and restarts in the time of the job as well")
+	showContext := flags.Bool("context", true, "also show terms, outages and restarts during the job")
 	if code, ok := parse(flags, args, 2, 1000, to); !ok {
 		return code
 	}
@@ -139,9 +139,9 @@
 	return position
 }
 
-// lineBefore orders lines by the log positions of their instances: an instance that
-// reports a record has read it, and the instance that wrote it had not yet. Clocks decide
-// only between equal positions.
+// lineBefore orders lines by the log positions of their instances: an instance logs the
+// append of a record before it has read the record, and others log the record after they
+// have read it. Clocks decide only between equal positions.
 func lineBefore(a, b logLine) bool {
 	if a.logPosition != b.logPosition {
 		return a.logPosition < b.logPosition
--- a/command/front.go
+++ b/command/front.go
@@ -30,8 +30,8 @@
 	// balancerLeaveDelay is how long a stopping instance still accepts connections. The
 	// load balancer checks once a second and removes an instance after two failed checks.
 	balancerLeaveDelay = 2500 * time.Millisecond
-	// shutdownReserve is the part of the grace period that is kept for the end of the
-	// process.
+	// shutdownReserve is the part of the grace period that is reserved for the end of
+	// the process.
 	shutdownReserve = 700 * time.Millisecond
 	// readTimeout bounds the reading of a request with its body, idleTimeout an idle
 	// connection of a caller.
@@ -44,7 +44,7 @@
 func runFront(args []string, to output) int {
 	flags := newFlags("front", to)
 	path := flags.String("settings", os.Getenv(platform.SettingsVariable), "the platform's settings file")
-	metricsPort := flags.Int("metrics-port", 0, "port of the instance's address for the platform's reading of metrics; 0 for none")
+	metricsPort := flags.Int("metrics-port", 0, "port at which the platform reads the instance's metrics; 0 for none")
 	if code, ok := parse(flags, args, 0, 0, to); !ok {
 		return code
 	}
@@ -82,7 +82,7 @@
 	return ExitOK
 }
 
-// pollSettings adopts changes of the settings file until the process is told to stop. It
+// pollSettings adopts changes of the settings file until a signal requests a stop. It
 // reads the file on SIGHUP and periodically, as the file may change without a signal.
 func (p *frontProcess) pollSettings(path string, signals <-chan os.Signal) {
 	ticker := time.NewTicker(settingsPollInterval)
--- a/command/serve.go
+++ b/command/serve.go
@@ -33,7 +33,7 @@
 
 func runCheck(args []string, to output) int {
 	flags := newFlags("check", to)
-	path := flags.String("config", "", "settings file of our own, in INI")
+	path := flags.String("config", "", "settings file of an entry instance, in INI")
 	platformPath := flags.String("platform", "", "settings file of the users' platform")
 	if code, ok := parse(flags, args, 0, 0, to); !ok {
 		return code
--- a/e2e/evacuation_test.go
+++ b/e2e/evacuation_test.go
@@ -35,7 +35,7 @@
 // and the store dropped its old records. The status, which `fleet` shows, and the metrics report
 // the evacuation. Work starts in the zone again after the evacuation ends.
 func TestPlatformEvacuation(t *testing.T) {
-	f := startFleet(&fleet{t: t, store: standin.NewKeyedStore(), taskDuration: defaultTaskDuration, ledger: standin.NewTaskChecker()}, 3, 4)
+	f := startFleet(&fleet{t: t, store: standin.NewKeyedStore(), taskDuration: defaultTaskDuration, checker: standin.NewTaskChecker()}, 3, 4)
 	f.evacuate("z2")
 	f.waitEvacuated("z2")
 	const first, second, third = "00000000000000a1", "00000000000000a2", "00000000000000a3"
@@ -69,8 +69,8 @@
 	if f.startsInZone("z2", third) == 0 {
 		t.Error("no task was started in the zone after the evacuation ended")
 	}
-	for _, fault := range f.ledger.Violations() {
-		t.Error(fault)
+	for _, violation := range f.checker.Violations() {
+		t.Error(violation)
 	}
 }
 
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -210,8 +210,8 @@
 		eventually(t, "job "+id+" ends", func() bool { return s.jobState(s.liveInstances()[0], id).Phase == ledger.JobEnded })
 		is.Equal(s.jobState(s.liveInstances()[1], id).Outcome, structs.OutcomeRan)
 	}
-	again := s.request(s.liveInstances()[2], "flow", "before", "x")
-	is.Equal(again.outcome, structs.OutcomeRan)
+	replayed := s.request(s.liveInstances()[2], "flow", "before", "x")
+	is.Equal(replayed.outcome, structs.OutcomeRan)
 	is.Equal(s.executions()["before"], 1)
 }
 
@@ -236,8 +236,8 @@
 	results := wait()
 	s.checkOutcomes(results)
 	for key, result := range results {
-		cut := result.err == nil && result.outcome == structs.OutcomeUnknown
-		if cut {
+		interrupted := result.err == nil && result.outcome == structs.OutcomeUnknown
+		if interrupted {
 			t.Errorf("key %s ended with an unknown outcome: %s", key, result.reason)
 		}
 	}
@@ -354,8 +354,7 @@
 	is.Equal(s.request(late, "flow", "k", "x").reason, structs.ReasonLogUnavailable)
 }
 
-// Guaranteed capacity is reclaimed from borrowers that never end, even if one does not
-// checkpoint.
+// Guaranteed capacity is reclaimed from borrowers that never end, even if one does not checkpoint.
 func TestAGuaranteeIsTakenBackFromBorrowers(t *testing.T) {
 	is := is.New(t)
 	s := newSystemWithTargets(t, 2, 1, 4, strings.Replace(testTargets, "guarantee = 1x8", "guarantee = 4x8", 1))
@@ -391,9 +390,9 @@
 	eventually(t, "new keys are refused", func() bool {
 		return s.request(s.instances[1], "flow", "new", "x").reason == structs.ReasonLogUnavailable
 	})
-	again := s.request(s.instances[1], "flow", "ran", "x")
-	is.Equal(again.outcome, structs.OutcomeRan)
-	is.Equal(again.body, "done:x")
+	replayed := s.request(s.instances[1], "flow", "ran", "x")
+	is.Equal(replayed.outcome, structs.OutcomeRan)
+	is.Equal(replayed.body, "done:x")
 	is.Equal(s.executions()["ran"], 1)
 	resubmitted, _ := s.submit(s.instances[1], job)
 	is.Equal(resubmitted.Outcome, structs.OutcomeAccepted)
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -31,7 +31,7 @@
 	taskDuration   time.Duration // duration of a task on a worker
 	rackSize       int           // machines per rack; 0 puts all in one rack
 	useProxies     bool          // every connection to workers, the store and instances passes a proxy
-	ledger         *standin.TaskChecker
+	checker        *standin.TaskChecker
 	gangs          *standin.GangCoordinator
 	earlierBinary  string // binary of an earlier version that every second instance runs; empty for none
 	startCount     int    // instances started so far
@@ -106,15 +106,15 @@
 // evacuate requests the evacuation of a zone: no new work starts there.
 func (f *fleet) evacuate(zone string) {
 	f.store.Put("keyed.op", "evacuate/"+zone, []byte("{}"))
-	if f.ledger != nil {
-		f.ledger.Evacuate(zone, evacuationDeadline)
+	if f.checker != nil {
+		f.checker.Evacuate(zone, evacuationDeadline)
 	}
 }
 
 // endEvacuation returns an evacuated zone to service.
 func (f *fleet) endEvacuation(zone string) {
-	if f.ledger != nil {
-		f.ledger.EndEvacuation(zone)
+	if f.checker != nil {
+		f.checker.EndEvacuation(zone)
 	}
 	f.store.Put("keyed.op", "evacuate/"+zone, nil)
 }
@@ -128,7 +128,7 @@
 func (f *fleet) addMachine(index int) {
 	m := newMachine(f, fmt.Sprintf("w-%d", index))
 	f.machines = append(f.machines, m)
-	f.addIncarnation(m.start())
+	f.addIncarnation(m.startIncarnation())
 }
 
 const (
@@ -171,11 +171,11 @@
 	instance.settingsPath = settingsPath
 	storeAddr := f.storeAddr
 	if f.useProxies {
-		instance.storeProxy = f.proxy(storeAddr)
+		instance.storeProxy = f.startProxy(storeAddr)
 		storeAddr = instance.storeProxy.Address()
-		instance.callerProxy = f.proxy(frontAddr)
+		instance.callerProxy = f.startProxy(frontAddr)
 		instance.frontAddr = instance.callerProxy.Address()
-		instance.peerProxy = f.proxy(fmt.Sprintf("127.0.0.1:%d", peerPort))
+		instance.peerProxy = f.startProxy(fmt.Sprintf("127.0.0.1:%d", peerPort))
 		f.store.TranslateAddress(fmt.Sprintf("127.0.0.1:%d", peerPort), instance.peerProxy.Address())
 	}
 	content := fmt.Sprintf(fleetSettings, name, zoneOf(name), peerPort, peerPort, frontAddr, instance.readyAddr, storeAddr)
@@ -207,8 +207,8 @@
 	return instance
 }
 
-// proxy starts a fault-injecting proxy in front of an address.
-func (f *fleet) proxy(address string) *standin.Proxy {
+// startProxy starts a fault-injecting proxy in front of an address.
+func (f *fleet) startProxy(address string) *standin.Proxy {
 	proxy, err := standin.NewProxy(address)
 	if err != nil {
 		f.t.Fatal(err)
@@ -233,7 +233,7 @@
 
 // printLogs logs the end of each instance's log, to explain a failure.
 func (f *fleet) printLogs() {
-	const tailBytes = 2000 // bytes
+	const tailBytes = 2000
 	for _, instance := range f.instances {
 		content, err := os.ReadFile(instance.logFile.Name())
 		if err != nil {
--- a/e2e/machine_test.go
+++ b/e2e/machine_test.go
@@ -56,7 +56,7 @@
 	m.server.Start()
 	f.t.Cleanup(m.server.Close)
 	if f.useProxies {
-		m.proxy = f.proxy(m.server.Listener.Addr().String())
+		m.proxy = f.startProxy(m.server.Listener.Addr().String())
 	}
 	return m
 }
@@ -77,9 +77,9 @@
 	incarnation.ServeHTTP(w, r)
 }
 
-// start starts and registers the next incarnation: under the worker's ID, where the start time
+// startIncarnation starts and registers the next incarnation: under the worker's ID, where the start time
 // distinguishes incarnations, or under a new ID.
-func (m *machine) start() *standin.TaskWorker {
+func (m *machine) startIncarnation() *standin.TaskWorker {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.incarnationCount++
@@ -94,7 +94,7 @@
 	incarnation.Gangs = m.fleet.gangs
 	incarnation.MaxLease = maxLease
 	incarnation.ClockLag = m.clockSlowdown
-	incarnation.Checker = m.fleet.ledger
+	incarnation.Checker = m.fleet.checker
 	incarnation.Zone = m.zone
 	if m.proxy != nil {
 		incarnation.UndelayedFor = m.proxy.FaultFreeFor
@@ -134,8 +134,8 @@
 	return fmt.Sprintf("r%s-%d", strings.TrimPrefix(zone, "z"), index/2/f.rackSize)
 }
 
-// current returns the current incarnation, or nil while the machine is down.
-func (m *machine) current() *standin.TaskWorker {
+// currentIncarnation returns the current incarnation, or nil while the machine is down.
+func (m *machine) currentIncarnation() *standin.TaskWorker {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.incarnation
@@ -161,7 +161,7 @@
 	m.incarnation = nil
 	m.mu.Unlock()
 	m.server.CloseClientConnections()
-	time.AfterFunc(machineRestartDelay, func() { m.fleet.addIncarnation(m.start()) })
+	time.AfterFunc(machineRestartDelay, func() { m.fleet.addIncarnation(m.startIncarnation()) })
 }
 
 func (f *fleet) addIncarnation(incarnation *standin.TaskWorker) {
--- a/e2e/requests_test.go
+++ b/e2e/requests_test.go
@@ -33,9 +33,9 @@
 		eventually(t, "job ends", func() bool { return s.jobState(s.instances[1], id).Phase == ledger.JobEnded })
 		is.Equal(s.jobState(s.instances[0], id).Outcome, structs.OutcomeRan)
 	}
-	again := s.request(s.instances[1], "flow", "k-flow", "station 12")
-	is.Equal(again.outcome, structs.OutcomeRan) // the stored answer, read at another instance
-	is.Equal(again.body, "done:station 12")
+	replayed := s.request(s.instances[1], "flow", "k-flow", "station 12")
+	is.Equal(replayed.outcome, structs.OutcomeRan) // the stored answer, read at another instance
+	is.Equal(replayed.body, "done:station 12")
 	is.Equal(s.executions()["k-flow"], 1)
 }
 
--- a/e2e/restart_test.go
+++ b/e2e/restart_test.go
@@ -85,7 +85,7 @@
 func (f *fleet) checkAcks() {
 	for _, worker := range f.allIncarnations() {
 		if strayAcks := worker.StrayAcks(); strayAcks > 0 {
-			f.t.Errorf("worker %s, born at %d, got %d acknowledgements of ends that it never had", worker.ID, worker.BornMS, strayAcks)
+			f.t.Errorf("worker %s, started at %d, got %d acknowledgements of ends that it never had", worker.ID, worker.BornMS, strayAcks)
 		}
 	}
 }
--- a/e2e/settings_test.go
+++ b/e2e/settings_test.go
@@ -50,15 +50,15 @@
 	})
 	for _, id := range []string{before, after} {
 		f.waitUntil("done: "+id, func() bool { return f.jobState(f.instances[0], id) == "done" })
-		f.checkRanOnce(id)
+		f.checkEachTaskDoneOnce(id)
 	}
 	if !f.anyLogContains("adopted=\"platform.address,bounds\"") {
 		t.Error("no instance logs the settings that it adopted")
 	}
 }
 
-// checkRanOnce checks that each task of a gang job was done exactly once.
-func (f *fleet) checkRanOnce(id string) {
+// checkEachTaskDoneOnce checks that each task of a gang job was done exactly once.
+func (f *fleet) checkEachTaskDoneOnce(id string) {
 	f.t.Helper()
 	for _, task := range []string{".0.0.0", ".0.0.1", ".0.1.0", ".0.1.1", ".0.1.2"} {
 		done := 0
--- a/e2e/storm_faults_test.go
+++ b/e2e/storm_faults_test.go
@@ -82,7 +82,7 @@
 func (s *storm) moveStore(name string, duration time.Duration) {
 	instance := s.instanceByName(name)
 	formerProxy := instance.storeProxy
-	instance.storeProxy = s.proxy(s.storeAddr)
+	instance.storeProxy = s.startProxy(s.storeAddr)
 	s.rewriteSettings(instance, formerProxy.Address(), instance.storeProxy.Address())
 	time.Sleep(duration)
 	formerProxy.Close()
--- a/e2e/storm_idle_test.go
+++ b/e2e/storm_idle_test.go
@@ -44,7 +44,7 @@
 			case <-time.After(idleSampleInterval):
 			}
 			if time.Since(begin) >= idleGracePeriod {
-				m.sample()
+				m.sampleWaits()
 			}
 		}
 	}()
@@ -68,8 +68,8 @@
 	s.jobs = append(s.jobs, job)
 }
 
-// sample updates the wait of every pending job.
-func (m *idleMonitor) sample() {
+// sampleWaits updates the wait of every pending job.
+func (m *idleMonitor) sampleWaits() {
 	jobs := m.pendingJobs()
 	now := time.Now()
 	free, busy := m.freeCapacity()
@@ -124,7 +124,7 @@
 	busy = map[string]bool{}
 	inUse, total := 0, 0
 	for _, machine := range m.machines {
-		incarnation := machine.current()
+		incarnation := machine.currentIncarnation()
 		if incarnation == nil {
 			continue
 		}
--- a/e2e/storm_test.go
+++ b/e2e/storm_test.go
@@ -106,8 +106,8 @@
 // request one rack and are wider than every rack. Memory and open files must stay within the
 // machine's limits.
 func TestPlatformStorm(t *testing.T) {
-	ledger := standin.NewTaskChecker()
-	fleet := startFleet(&fleet{t: t, store: standin.NewKeyedStore(), taskDuration: stormTaskDuration, rackSize: stormRackSize, reuseIDs: true, useProxies: true, ledger: ledger, earlierBinary: *stormEarlierBinary}, *stormInstances, *stormWorkers)
+	checker := standin.NewTaskChecker()
+	fleet := startFleet(&fleet{t: t, store: standin.NewKeyedStore(), taskDuration: stormTaskDuration, rackSize: stormRackSize, reuseIDs: true, useProxies: true, checker: checker, earlierBinary: *stormEarlierBinary}, *stormInstances, *stormWorkers)
 	s := &storm{fleet: fleet, random: rand.New(rand.NewPCG(*stormSeed, 5)), configVersion: 1, stop: make(chan struct{}), faultTargets: map[string]bool{}}
 	t.Cleanup(s.copyLogs)
 	for number := range stormCallers {
@@ -123,8 +123,8 @@
 	s.checkJobEnds()
 	s.checkLimits()
 	s.checkAcks()
-	for _, fault := range ledger.Violations() {
-		t.Error(fault)
+	for _, violation := range checker.Violations() {
+		t.Error(violation)
 	}
 }
 
--- a/e2e/system_test.go
+++ b/e2e/system_test.go
@@ -60,9 +60,9 @@
 	exited chan struct{}
 }
 
-// start runs a program and returns once it has printed its address. The program is killed at
+// startProcess runs a program and returns once it has printed its address. The program is killed at
 // the end of the test; its log is printed if the test failed.
-func start(t testing.TB, name, binary string, args ...string) *process {
+func startProcess(t testing.TB, name, binary string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, cmd: exec.Command(filepath.Join(binDir, binary), args...), exited: make(chan struct{})}
 	out, err := p.cmd.StdoutPipe()
@@ -134,12 +134,12 @@
 
 func newSystemWithTargets(t testing.TB, instances, runners, workers int, targets string) *system {
 	t.Helper()
-	s := &system{t: t, platform: start(t, "platform", "standin", "-kind", "platform")}
+	s := &system{t: t, platform: startProcess(t, "platform", "standin", "-kind", "platform")}
 	for n := range runners {
 		s.addRunner(fmt.Sprintf("runner-%d", n))
 	}
 	for n := range workers {
-		p := start(t, fmt.Sprintf("worker-%d", n), "standin", "-kind", "worker")
+		p := startProcess(t, fmt.Sprintf("worker-%d", n), "standin", "-kind", "worker")
 		s.workers = append(s.workers, p)
 		s.postJSON(s.platform, "/fixed", membership.Member{ID: p.name, Role: membership.RoleWorker, Boot: 1, Address: p.addr,
 			Rack: fmt.Sprintf("rack-%d", n/workersPerRack), AvailabilityZone: "z1", Accelerators: 8})
@@ -153,7 +153,7 @@
 }
 
 func (s *system) addRunner(name string) *process {
-	p := start(s.t, name, "standin", "-kind", "runner")
+	p := startProcess(s.t, name, "standin", "-kind", "runner")
 	s.runners = append(s.runners, p)
 	s.registerRunner(p, false)
 	return p
@@ -188,7 +188,7 @@
 	if err := os.WriteFile(path, []byte(fmt.Sprintf(instanceINI, name, s.platform.addr)), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
-	return start(s.t, name, "teaselcleat", "serve", "-config", path)
+	return startProcess(s.t, name, "teaselcleat", "serve", "-config", path)
 }
 
 // postJSON sends a message to a control path of a stand-in.
@@ -253,7 +253,7 @@
 	}
 }
 
-// waitInstanceReady waits until an instance is ready, knows the term and reaches the log.
+// waitInstanceReady waits until an instance is ready, has read a term and reaches the log.
 func (s *system) waitInstanceReady(p *process) {
 	s.t.Helper()
 	eventually(s.t, p.name+" is ready", func() bool {
--- a/gangs/coordinator.go
+++ b/gangs/coordinator.go
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func (g *gang) allAcked() bool {
+func (g *gang) allMembersAcked() bool {
 	for _, m := range g.members {
 		if !m.acked {
 			return false
@@ -125,10 +125,10 @@
 // withdraw ends a run before any start call was sent. If a start record was
 // appended, a stop record revokes it.
 func (c *Coordinator) withdraw(g *gang, failedWorker string, now time.Time) []Action {
-	return c.withdrawAs(g, scheduler.RunNotStarted, failedWorker, now)
+	return c.withdrawWithResult(g, scheduler.RunNotStarted, failedWorker, now)
 }
 
-func (c *Coordinator) withdrawAs(g *gang, result scheduler.Result, failedWorker string, now time.Time) []Action {
+func (c *Coordinator) withdrawWithResult(g *gang, result scheduler.Result, failedWorker string, now time.Time) []Action {
 	actions := g.releaseLeases(result, failedWorker, now)
 	if g.startAppended {
 		actions = append(actions, AppendStop{structs.Stop{Job: g.job, Run: g.run, Term: c.config.Term,
@@ -148,7 +148,7 @@
 
 func (c *Coordinator) onReleaseEnded(g *gang, m *member) []Action {
 	m.callEnded = true
-	if !g.allEnded() {
+	if !g.allCallsEnded() {
 		return nil
 	}
 	return c.removeRun(g)
@@ -164,7 +164,7 @@
 // the previous leader have lapsed: if one member were released while a start
 // call of that leader was in flight to another, the gang would run in part.
 func (c *Coordinator) halt(g *gang, cause haltCause, now time.Time) []Action {
-	if !c.fenced(g, now) {
+	if !c.previousLeaderFenced(g, now) {
 		g.pendingHalt = &cause
 		return nil
 	}
@@ -175,9 +175,9 @@
 	return append(g.releaseLeases(cause.result, cause.failedWorker, now), AppendStop{stop})
 }
 
-// fenced reports whether no start call of a previous leader can still take effect.
-func (c *Coordinator) fenced(g *gang, now time.Time) bool {
-	return g.adoptedAt.IsZero() || g.allReported() || now.Sub(g.adoptedAt) > c.config.LeaseTTL
+// previousLeaderFenced reports whether no start call of a previous leader can still take effect.
+func (c *Coordinator) previousLeaderFenced(g *gang, now time.Time) bool {
+	return g.adoptedAt.IsZero() || g.allMembersReported() || now.Sub(g.adoptedAt) > c.config.LeaseTTL
 }
 
 func (c *Coordinator) onStopRun(e StopRun, now time.Time) []Action {
@@ -225,7 +225,7 @@
 // stopBeforeStart ends a run that receives a stop request before it has started.
 func (c *Coordinator) stopBeforeStart(g *gang, e StopRun, now time.Time) []Action {
 	if e.Reason == structs.ReasonCancelled {
-		return c.withdrawAs(g, scheduler.RunAborted, "", now)
+		return c.withdrawWithResult(g, scheduler.RunAborted, "", now)
 	}
 	return c.withdraw(g, "", now)
 }
@@ -261,7 +261,7 @@
 		if name := c.silentMember(g, now); name != "" {
 			return c.halt(g, haltCause{structs.ReasonMemberLost, name, scheduler.RunLost}, now)
 		}
-		return c.evaluate(g, now)
+		return c.evaluateMembers(g, now)
 	}
 	return nil
 }
@@ -272,7 +272,7 @@
 	if g.idempotent && !e.LogAvailable {
 		g.startUnrecorded = true
 	}
-	reserved := g.allAcked()
+	reserved := g.allMembersAcked()
 	switch {
 	case !reserved && now.Sub(g.roundStarted) > c.roundLimit():
 		return c.withdraw(g, g.firstUnacked(), now)
--- a/gangs/regression_test.go
+++ b/gangs/regression_test.go
@@ -75,8 +75,8 @@
 		is.True(start.MinLease > 0) // a worker whose lease has less time left must refuse
 	}
 	for _, action := range c.Step(gangs.Tick{LogAvailable: true}, startTime.Add(leaseTTL/2)) {
-		_, poll := action.(gangs.Poll)
-		is.True(!poll)
+		_, isPoll := action.(gangs.Poll)
+		is.True(!isPoll)
 	}
 }
 
--- a/gangs/running.go
+++ b/gangs/running.go
@@ -27,7 +27,7 @@
 		}
 		m.phase = reported
 		m.reported = true
-		actions = append(actions, c.evaluate(g, now)...)
+		actions = append(actions, c.evaluateMembers(g, now)...)
 	}
 	if e.Err != nil {
 		return actions
@@ -56,8 +56,8 @@
 	return actions
 }
 
-// evaluate derives the outcome of a run from the last reports of its members.
-func (c *Coordinator) evaluate(g *gang, now time.Time) []Action {
+// evaluateMembers derives the outcome of a run from the last reports of its members.
+func (c *Coordinator) evaluateMembers(g *gang, now time.Time) []Action {
 	if g.phase != phaseRunning && g.phase != phaseStopping {
 		return nil
 	}
@@ -87,7 +87,7 @@
 	switch {
 	case reserved == len(g.members):
 		return c.withdraw(g, "", now)
-	case reserved > 0 && g.allReported():
+	case reserved > 0 && g.allMembersReported():
 		return c.halt(g, haltCause{structs.ReasonMemberLost, "", scheduler.RunLost}, now)
 	case finished == len(g.members):
 		return c.finishRun(g, now)
@@ -99,10 +99,10 @@
 	return nil
 }
 
-// allReported reports whether every member has answered under this term. After
+// allMembersReported reports whether every member has answered under this term. After
 // that no start call of a previous leader can take effect, so a member of an
 // adopted run that is only reserved will never start.
-func (g *gang) allReported() bool {
+func (g *gang) allMembersReported() bool {
 	for _, m := range g.members {
 		if !m.reported {
 			return false
--- a/gangs/simulation_calls_test.go
+++ b/gangs/simulation_calls_test.go
@@ -57,7 +57,7 @@
 		}
 		inst.step(s, gangs.CallEnded{Call: a, Err: err})
 	case gangs.Poll:
-		asked := s.now
+		polledAt := s.now
 		state, err := worker.State{}, fmt.Errorf("cut off")
 		if !s.unreachable[a.Worker] {
 			state, err = s.workers[a.Worker].Renew(worker.RenewRequest{Term: sent.term, Runs: a.Runs, TTL: leaseTTL})
@@ -65,7 +65,7 @@
 		if s.mutation == ignoreLostMembers {
 			state, err = reportAsRunning(state, a.Runs), nil
 		}
-		inst.step(s, gangs.WorkerState{Worker: a.Worker, PolledAt: asked, State: state, Err: err})
+		inst.step(s, gangs.WorkerState{Worker: a.Worker, PolledAt: polledAt, State: state, Err: err})
 	}
 }
 
@@ -80,38 +80,38 @@
 	if s.unreachable[a.Worker] {
 		return fmt.Errorf("cut off")
 	}
-	to := s.workers[a.Worker]
+	w := s.workers[a.Worker]
 	order := worker.Order{Term: term, Run: a.Run, Checkpoint: a.Checkpoint, CheckpointTimeout: time.Second, MinLease: a.MinLease, Payload: s.jobs[a.Job].Payload}
 	switch a.Kind {
 	case gangs.CallReserve:
-		err := to.Reserve(worker.ReserveRequest{Term: term, Run: a.Run, Job: a.Job, Accelerators: a.Accelerators, TTL: leaseTTL})
+		err := w.Reserve(worker.ReserveRequest{Term: term, Run: a.Run, Job: a.Job, Accelerators: a.Accelerators, TTL: leaseTTL})
 		if s.mutation == startWithoutAll {
 			return nil
 		}
 		return err
 	case gangs.CallStart:
-		return s.startTask(to, a, order)
+		return s.startTask(w, a, order)
 	case gangs.CallStop:
-		return to.Stop(order)
+		return w.Stop(order)
 	}
-	return to.Release(order)
+	return w.Release(order)
 }
 
 // startTask checks that every member holds its lease when the first task starts.
-func (s *simulation) startTask(to *standin.Worker, a gangs.Call, order worker.Order) error {
-	first := len(s.executing(a.Run)) == 0 && !s.startedRuns[a.Job][a.Run]
-	held := 0
+func (s *simulation) startTask(w *standin.Worker, a gangs.Call, order worker.Order) error {
+	isFirst := len(s.workersExecuting(a.Run)) == 0 && !s.startedRuns[a.Job][a.Run]
+	leaseCount := 0
 	for _, name := range s.workerNames {
 		if s.workers[name].HasLease(a.Run) {
-			held++
+			leaseCount++
 		}
 	}
-	err := to.Start(order)
+	err := w.Start(order)
 	if err != nil {
 		return err
 	}
-	if first && held < memberCount {
-		s.t.Fatalf("run %s started with %d of %d members reserved", a.Run, held, memberCount)
+	if isFirst && leaseCount < memberCount {
+		s.t.Fatalf("run %s started with %d of %d members reserved", a.Run, leaseCount, memberCount)
 	}
 	if s.startedRuns[a.Job] == nil {
 		s.startedRuns[a.Job] = map[string]bool{}
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// executing returns the workers on which a task of the run executes.
-func (s *simulation) executing(run string) []string {
+// workersExecuting returns the workers on which a task of the run executes.
+func (s *simulation) workersExecuting(run string) []string {
 	var names []string
 	for _, name := range s.workerNames {
 		for _, interval := range s.workers[name].History() {
--- a/gangs/simulation_test.go
+++ b/gangs/simulation_test.go
@@ -41,7 +41,8 @@
 	term   int64
 }
 
-// simulation models a log, workers with leases, and instances that start, pause and die.
+// simulation models a log, workers with leases, and instances that start, pause and are
+// killed.
 type simulation struct {
 	t           *rapid.T
 	now         time.Time
@@ -54,7 +55,7 @@
 	seq         int
 	jobs        map[string]structs.Job
 	startedRuns map[string]map[string]bool // by job, runs of which at least one task started
-	leaseLostAt map[string]time.Time       // by run, when a member was first seen without its lease while others executed
+	leaseLostAt map[string]time.Time       // by run, when a member was first seen without its lease while other members executed
 	mutation    mutation
 }
 
@@ -109,12 +110,12 @@
 	s.log = append(s.log, structs.Record{Submit: &job})
 }
 
-func (s *simulation) takeTerm() {
+func (s *simulation) claimTerm() {
 	inst := s.drawInstance()
 	inst.unflushed = append(inst.unflushed, structs.Record{Term: &structs.Term{Number: inst.fold.Term.Number + 1, Holder: inst.name}})
 }
 
-func (s *simulation) flush() {
+func (s *simulation) flushRecord() {
 	inst := s.drawInstance()
 	if s.logDown || len(inst.unflushed) == 0 {
 		return
@@ -125,8 +126,8 @@
 	}
 }
 
-// read folds the log at one instance and processes the changes.
-func (s *simulation) read() {
+// readLog folds the log at one instance and processes the changes.
+func (s *simulation) readLog() {
 	inst := s.drawInstance()
 	if s.logDown {
 		return
@@ -139,14 +140,14 @@
 			inst.step(s, gangs.StartRead{Run: record.Start.Run, Valid: entry.Run == record.Start.Run})
 		}
 	}
-	s.followTerm(inst)
-	s.followJobs(inst)
+	s.syncTerm(inst)
+	s.syncJobs(inst)
 }
 
-func (s *simulation) followTerm(inst *instance) {
-	mine := inst.fold.Term.Holder == inst.name
+func (s *simulation) syncTerm(inst *instance) {
+	leading := inst.fold.Term.Holder == inst.name
 	switch {
-	case mine && inst.term != inst.fold.Term.Number:
+	case leading && inst.term != inst.fold.Term.Number:
 		inst.term = inst.fold.Term.Number
 		inst.busy = map[string]bool{}
 		inst.coordinator = gangs.New(gangs.Config{Term: inst.term, LeaseTTL: leaseTTL, ReclaimTimeout: time.Second, RecordTimeout: 3 * time.Second})
@@ -154,12 +155,12 @@
 			inst.busy[entry.Job.ID] = true
 			inst.step(s, gangs.Adopt{Job: entry.Job.ID, Run: entry.Run, Members: entry.Members})
 		}
-	case !mine:
+	case !leading:
 		inst.term = 0
 	}
 }
 
-func (s *simulation) followJobs(inst *instance) {
+func (s *simulation) syncJobs(inst *instance) {
 	if inst.term == 0 {
 		return
 	}
@@ -264,7 +265,7 @@
 				s.executeCall(inst, sent, false)
 			}
 		}
-		s.check()
+		s.checkInvariants()
 	}
 }
 
@@ -289,32 +290,32 @@
 // that it no longer renews lapse within another.
 const maxPartialDuration = 2*leaseTTL + time.Second
 
-func (s *simulation) check() {
+func (s *simulation) checkInvariants() {
 	for job, runs := range s.startedRuns {
 		if len(runs) > 1 && !s.jobs[job].Idempotent {
 			s.t.Fatalf("job %s may not be repeated and had %d runs started", job, len(runs))
 		}
 		for run := range runs {
-			s.checkPartial(run)
+			s.checkPartialRun(run)
 		}
 	}
 }
 
-func (s *simulation) checkPartial(run string) {
-	if len(s.executing(run)) == 0 {
+func (s *simulation) checkPartialRun(run string) {
+	if len(s.workersExecuting(run)) == 0 {
 		return
 	}
 	for _, name := range s.workerNames {
 		if s.workers[name].HasLease(run) {
 			continue
 		}
-		since, known := s.leaseLostAt[run]
-		if !known {
+		since, found := s.leaseLostAt[run]
+		if !found {
 			s.leaseLostAt[run] = s.now
 			return
 		}
 		if s.now.Sub(since) > maxPartialDuration {
-			s.t.Fatalf("run %s goes on %s after a member lost its lease", run, s.now.Sub(since))
+			s.t.Fatalf("run %s still executes %s after a member lost its lease", run, s.now.Sub(since))
 		}
 		return
 	}
@@ -328,15 +329,15 @@
 			}
 		}
 	}
-	progress := inSequence(s.flush, s.read, s.launch, s.tick, s.deliverCall, s.deliverCall, s.deliverCall)
+	progress := inSequence(s.flushRecord, s.readLog, s.launch, s.tick, s.deliverCall, s.deliverCall, s.deliverCall)
 	s.t.Repeat(map[string]func(*rapid.T){
-		"take term":  inSequence(s.takeTerm, s.flush, s.read),
+		"take term":  inSequence(s.claimTerm, s.flushRecord, s.readLog),
 		"progress":   progress,
 		"progress2":  progress,
 		"progress3":  progress,
 		"arrive":     inSequence(s.deliverCall, s.deliverCall),
-		"flush":      inSequence(s.flush),
-		"read":       inSequence(s.read),
+		"flush":      inSequence(s.flushRecord),
+		"read":       inSequence(s.readLog),
 		"tick":       inSequence(s.tick),
 		"pass":       inSequence(s.advanceTime),
 		"fault":      inSequence(s.injectFault),
@@ -348,8 +349,8 @@
 		"resume":     inSequence(s.resume),
 		"steady":     inSequence(s.runSecondWithoutFaults),
 		"steady2":    inSequence(s.runSecondWithoutFaults),
-		"more steps": inSequence(s.flush, s.read, s.deliverCall, s.deliverCall, s.tick),
-		"":           inSequence(s.check),
+		"more steps": inSequence(s.flushRecord, s.readLog, s.deliverCall, s.deliverCall, s.tick),
+		"":           inSequence(s.checkInvariants),
 	})
 }
 
--- a/gangs/start.go
+++ b/gangs/start.go
@@ -37,7 +37,7 @@
 		return c.withdraw(g, m.Worker, now)
 	}
 	m.acked = true
-	if !g.allAcked() {
+	if !g.allMembersAcked() {
 		return nil
 	}
 	if g.phase == phaseReserving {
@@ -71,7 +71,7 @@
 		return nil
 	}
 	if !e.Valid {
-		return c.onStartVoid(g, now)
+		return c.onVoidStart(g, now)
 	}
 	g.startRecorded = true
 	if g.phase != phaseRecording {
@@ -80,9 +80,9 @@
 	return c.startOrRenew(g, now)
 }
 
-// onStartVoid ends a run whose start record is void, because the job was cancelled
+// onVoidStart ends a run whose start record is void, because the job was cancelled
 // or another instance is the leader.
-func (c *Coordinator) onStartVoid(g *gang, now time.Time) []Action {
+func (c *Coordinator) onVoidStart(g *gang, now time.Time) []Action {
 	result := scheduler.RunAborted
 	if g.phase == phaseRecording {
 		result = scheduler.RunNotStarted
@@ -93,7 +93,7 @@
 // startOrRenew starts a run, or renews its reservations first if half of their
 // lease TTL has passed.
 func (c *Coordinator) startOrRenew(g *gang, now time.Time) []Action {
-	if !g.allAcked() {
+	if !g.allMembersAcked() {
 		return nil // the last answer of the round triggers the start
 	}
 	if now.Sub(g.roundStarted) > c.config.LeaseTTL/2 {
@@ -121,7 +121,7 @@
 	} else if g.failedMember == "" {
 		g.failedMember = m.Worker
 	}
-	if !g.allEnded() {
+	if !g.allCallsEnded() {
 		return nil
 	}
 	if g.failedMember != "" {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (g *gang) allEnded() bool {
+func (g *gang) allCallsEnded() bool {
 	for _, m := range g.members {
 		if !m.callEnded {
 			return false
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -28,8 +28,8 @@
 	"github.com/teaselcleat/teaselcleat/worker"
 )
 
-// lostAfter is the time without a message after which an instance counts as lost, so
-// that its open claims may be closed.
+// lostAfter is the time without a message after which an instance counts as lost. Other
+// instances may then close its open claims.
 const lostAfter = 15 * time.Second
 
 // Instance is an entry instance. It implements service.Service.
@@ -219,7 +219,7 @@
 // ready reports whether the folded state is usable: the streams are read to the end,
 // or the state was restored from a peer during an outage of the log.
 func (i *Instance) ready() bool {
-	if i.replica.Gap() {
+	if i.replica.HasGap() {
 		return false
 	}
 	return i.snapshotAgeMS.Load() > 0 || (i.ledgerTailer.CaughtUp() && i.targetsTailer.CaughtUp())
@@ -232,5 +232,6 @@
 	return i.ledgerWriter.Available() && tailer.CaughtUp() && !tailer.Failing() && tailer.Staleness() < staleAfter
 }
 
-// staleAfter bounds the time without a successful read while long polls are healthy.
+// staleAfter is the time since the last successful read after which the fold counts as
+// stale. A long poll of an idle stream returns sooner, so an idle stream is not stale.
 const staleAfter = 4 * time.Second
--- a/instance/jobs.go
+++ b/instance/jobs.go
@@ -196,8 +196,8 @@
 	return service.TargetsDocument{Version: version, Text: text}
 }
 
-// ProposeTargets implements service.Service. It validates the proposal before publishing; the
-// order of the log decides between concurrent proposals.
+// ProposeTargets implements service.Service. It validates the proposal before publishing
+// it; the order of the log decides between concurrent proposals.
 func (i *Instance) ProposeTargets(ctx context.Context, proposal service.TargetsDocument) (structs.Reply, int64) {
 	_, version := i.replica.Document()
 	refuse := func(reason structs.Reason, detail string) (structs.Reply, int64) {
@@ -283,5 +283,5 @@
 	}
 }
 
-// MaxBody implements service.Service.
+// MaxBodyBytes implements service.Service.
 func (i *Instance) MaxBodyBytes() int64 { return i.settings.MaxBodyBytes }
--- a/instance/listpoller.go
+++ b/instance/listpoller.go
@@ -66,7 +66,8 @@
 	p.setWorkers(list)
 }
 
-// setWorkers stores the workers of this instance's region that are not leaving.
+// setWorkers stores the workers that are not leaving and are listed in this instance's
+// region or without a region.
 func (p *listPoller) setWorkers(list []membership.Member) {
 	workers := map[string]membership.Member{}
 	for _, entry := range list {
--- a/instance/peersync.go
+++ b/instance/peersync.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// handle handles a message from another instance.
+// handle processes a message from another instance. It returns the reply, or nil.
 func (s *peerSync) handle(envelope *peerpb.Envelope) *peerpb.Envelope {
 	i := s.instance
 	switch body := envelope.GetBody().(type) {
--- a/instance/placer.go
+++ b/instance/placer.go
@@ -36,9 +36,9 @@
 	term           int64           // in which the scheduler below runs; 0 while not the leader
 	scheduler      *scheduler.Scheduler
 	coordinator    *gangs.Coordinator
-	trackedJobs    map[string]bool // jobs submitted to the scheduler
-	workers        map[string]membership.Member
-	targetsVersion int64 // of the targets that the scheduler uses
+	trackedJobs    map[string]bool              // jobs submitted to the scheduler
+	workers        map[string]membership.Member // workers that the scheduler has
+	targetsVersion int64                        // of the targets that the scheduler uses
 	logUnavailable bool
 	termClaimer    termClaimer
 	lastTime       scheduler.Time
@@ -118,7 +118,7 @@
 	}
 }
 
-// startPlacing builds the scheduler and the coordinator from the folded state.
+// startPlacing builds the scheduler and the coordinator of a term from the folded state.
 func (p *placer) startPlacing(ctx context.Context, term int64) {
 	i := p.instance
 	p.takeChangedJobs()
@@ -130,18 +130,18 @@
 	p.trackedJobs = map[string]bool{}
 	p.scheduler = scheduler.New(scheduler.Config{Workers: workerSpecs(p.workers), Epoch: term})
 	p.coordinator = gangs.New(gangs.Config{Term: term, LeaseTTL: i.settings.LeaseTTL, ReclaimTimeout: i.settings.ReclaimTimeout, RecordTimeout: recordTimeout})
-	live := i.replica.LiveJobs()
-	sort.Slice(live, func(a, b int) bool { return submittedBefore(live[a], live[b]) })
-	for _, entry := range live {
+	jobs := i.replica.LiveJobs()
+	sort.Slice(jobs, func(a, b int) bool { return submittedBefore(jobs[a], jobs[b]) })
+	for _, entry := range jobs {
 		if entry.Phase == ledger.JobRunning {
 			p.adoptRun(entry, current)
 		}
 	}
 	p.stepScheduler(ctx, scheduler.TargetsChanged{Targets: current}) // applied after the adopted runs
-	for _, entry := range live {
+	for _, entry := range jobs {
 		p.applyEntry(ctx, entry)
 	}
-	i.log.WithField("term", term).WithField("jobs", len(live)).Info("placing_began")
+	i.log.WithField("term", term).WithField("jobs", len(jobs)).Info("placing_began")
 	i.events.Add("placing_began", i.settings.Name, "", strconv.FormatInt(term, 10))
 }
 
@@ -159,7 +159,7 @@
 	p.coordinator.Step(gangs.Adopt{Job: entry.Job.ID, Run: entry.Run, Members: entry.Members}, p.instance.now())
 }
 
-// schedulerTime returns the current time; it never goes back, as the scheduler requires.
+// schedulerTime returns the current time. It never goes back, as the scheduler requires.
 func (p *placer) schedulerTime() scheduler.Time {
 	p.lastTime = max(p.lastTime, scheduler.Time(p.instance.now().UnixMilli()))
 	return p.lastTime
@@ -228,7 +228,8 @@
 	}
 }
 
-// applyEntry updates the scheduler and the coordinator to a job's ledger entry.
+// applyEntry passes the state in a job's ledger entry to the scheduler and the
+// coordinator.
 func (p *placer) applyEntry(ctx context.Context, entry *ledger.JobEntry) {
 	current, _ := p.instance.replica.Targets()
 	id := entry.Job.ID
@@ -250,11 +251,11 @@
 
 func (p *placer) stepScheduler(ctx context.Context, event scheduler.Event) {
 	for _, action := range p.scheduler.Step(event, p.schedulerTime()) {
-		p.executeAction(ctx, action)
+		p.executeSchedulerAction(ctx, action)
 	}
 }
 
-func (p *placer) executeAction(ctx context.Context, action scheduler.Action) {
+func (p *placer) executeSchedulerAction(ctx context.Context, action scheduler.Action) {
 	i := p.instance
 	switch a := action.(type) {
 	case scheduler.Place:
@@ -341,7 +342,7 @@
 func (p *placer) sendCall(ctx context.Context, term int64, call gangs.Call) error {
 	i := p.instance
 	workers, _ := i.listPoller.Workers()
-	listed, found := workers[call.Worker]
+	member, found := workers[call.Worker]
 	if !found {
 		return worker.ErrNoCapacity
 	}
@@ -349,14 +350,14 @@
 		CheckpointTimeout: i.settings.ReclaimTimeout, Resume: call.Resume, Payload: call.Payload, MinLease: call.MinLease}
 	switch call.Kind {
 	case gangs.CallReserve:
-		return i.workerClient.Reserve(ctx, listed.Address, worker.ReserveRequest{Term: term, Run: call.Run, Job: call.Job,
+		return i.workerClient.Reserve(ctx, member.Address, worker.ReserveRequest{Term: term, Run: call.Run, Job: call.Job,
 			Accelerators: call.Accelerators, TTL: i.settings.LeaseTTL})
 	case gangs.CallStart:
-		return i.workerClient.Start(ctx, listed.Address, order)
+		return i.workerClient.Start(ctx, member.Address, order)
 	case gangs.CallStop:
-		return i.workerClient.Stop(ctx, listed.Address, order)
+		return i.workerClient.Stop(ctx, member.Address, order)
 	}
-	return i.workerClient.Release(ctx, listed.Address, order)
+	return i.workerClient.Release(ctx, member.Address, order)
 }
 
 func (p *placer) pollWorker(ctx context.Context, term int64, poll gangs.Poll) {
--- a/instance/requests.go
+++ b/instance/requests.go
@@ -46,9 +46,9 @@
 }
 
 // resolveRefusal replaces the refusal of a request by the state of its key if the key
-// is in the ledger: work that ran is never reported as not run because this instance
-// cannot accept it now. Before the folds are read the state of no key is known, so
-// that a request with a key is refused as unknown.
+// is in the ledger: work that ran must not be reported as not run only because this
+// instance cannot accept it now. Before the streams are read the state of no key is
+// known, so a request with a key is refused with the outcome unknown.
 func (i *Instance) resolveRefusal(request service.Request, refusal requests.Finish) requests.Finish {
 	if request.Key == "" {
 		return refusal
@@ -152,13 +152,13 @@
 	ended  bool
 }
 
-// post passes an event to the machine. If the request has ended, a granted slot is
-// returned.
+// post passes an event to the machine. If the request has ended, a slot in the event is
+// released.
 func (e *execution) post(event requests.Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ended {
-		e.releaseGrant(event)
+		e.releaseSlot(event)
 		return
 	}
 	e.events <- event
@@ -171,12 +171,12 @@
 	close(e.finished)
 	select {
 	case event := <-e.events:
-		e.releaseGrant(event)
+		e.releaseSlot(event)
 	default:
 	}
 }
 
-func (e *execution) releaseGrant(event requests.Event) {
+func (e *execution) releaseSlot(event requests.Event) {
 	if pick, ok := event.(requests.RunnerPicked); ok {
 		e.instance.slots.releaseUnused(pick.Runner)
 	}
@@ -298,8 +298,9 @@
 	return e.claimReadEvent(entry)
 }
 
-// claimReadEvent returns the event for a key's entry. An open claim whose holder is lost is
-// closed as unknown, for the caller and in the log.
+// claimReadEvent returns the event for a key's entry. If another request has an open
+// claim whose holder is lost, the claim is closed as unknown, for the caller and in the
+// log.
 func (e *execution) claimReadEvent(entry *ledger.KeyEntry) requests.ClaimRead {
 	read := requests.ClaimRead{Entry: entry}
 	if entry.Phase != ledger.KeyOpen || entry.Claim.ID == e.id {
@@ -326,24 +327,24 @@
 // pickRunner acquires a runner slot; only a request that has to wait needs a goroutine.
 func (e *execution) pickRunner(exclude []string) {
 	slots := e.instance.slots
-	grant, t := slots.acquire(e.spec.Class, e.spec.Deadline, exclude)
-	if t == nil {
-		e.postGrant(grant)
+	result, waiter := slots.acquire(e.spec.Class, e.spec.Deadline, exclude)
+	if waiter == nil {
+		e.postSlot(result)
 		return
 	}
 	e.startAction(func(ctx context.Context) {
-		if grant, ok := slots.await(ctx, t); ok {
-			e.postGrant(grant)
+		if result, ok := slots.await(ctx, waiter); ok {
+			e.postSlot(result)
 		}
 	})
 }
 
-func (e *execution) postGrant(grant balancer.AcquireResult) {
-	if grant.Runner == "" {
-		e.post(requests.SlotRefused{Reason: grant.Refusal.Reason, RetryAfter: grant.Refusal.RetryAfter})
+func (e *execution) postSlot(result balancer.AcquireResult) {
+	if result.Runner == "" {
+		e.post(requests.SlotRefused{Reason: result.Refusal.Reason, RetryAfter: result.Refusal.RetryAfter})
 		return
 	}
-	e.post(requests.RunnerPicked{Runner: grant.Runner})
+	e.post(requests.RunnerPicked{Runner: result.Runner})
 }
 
 func (e *execution) sendAttempt(ctx context.Context, action requests.SendAttempt) {
@@ -373,7 +374,7 @@
 func (e *execution) appendComplete(action requests.AppendComplete) {
 	e.instance.appendRecord(&structs.Record{Kind: structs.RecordComplete, Complete: &structs.Completion{
 		ClaimID: e.id, Key: e.spec.Key, Outcome: action.Outcome, Reason: action.Reason, Holder: true,
-		Status: action.Status, Answer: action.Answer, Kept: action.AnswerStored}}, nil)
+		Status: action.Status, Answer: action.Answer, AnswerStored: action.AnswerStored}}, nil)
 	e.instance.events.Add("request_"+string(action.Outcome), e.spec.Key.Key, e.spec.Key.Workspace, string(action.Reason))
 }
 
--- a/instance/slots.go
+++ b/instance/slots.go
@@ -11,9 +11,9 @@
 	"github.com/teaselcleat/teaselcleat/upstream"
 )
 
-const grantInterval = 10 * time.Millisecond
+const dispatchInterval = 10 * time.Millisecond
 
-// slotAllocator guards the balancer by a lock and hands runner slots to waiting
+// slotAllocator guards the balancer by a lock and assigns runner slots to waiting
 // requests.
 type slotAllocator struct {
 	mu             sync.Mutex
@@ -21,29 +21,30 @@
 	budget         *balancer.RetryBudget
 	waiters        map[balancer.WaiterID]chan balancer.AcquireResult
 	lastWaiter     balancer.WaiterID
-	leavingRunners []membership.Member // runners found to be leaving, of which peers are not yet notified
+	leavingRunners []membership.Member // runners found to be leaving that peers were not notified of yet
 }
 
 func newSlotAllocator(seed uint64) *slotAllocator {
 	return &slotAllocator{balancer: balancer.New(seed), budget: balancer.NewRetryBudget(), waiters: map[balancer.WaiterID]chan balancer.AcquireResult{}}
 }
 
-// run grants slots periodically, as a runner may become usable by passage of time alone.
+// run assigns slots periodically, because no event reports that a runner's failure
+// backoff is over.
 func (a *slotAllocator) run(ctx context.Context) {
-	for logstream.Sleep(ctx, grantInterval) {
+	for logstream.Sleep(ctx, dispatchInterval) {
 		a.mu.Lock()
 		if a.balancer.QueueLength() > 0 {
-			a.grantSlots(time.Now())
+			a.dispatchWaiting(time.Now())
 		}
 		a.mu.Unlock()
 	}
 }
 
-func (a *slotAllocator) grantSlots(now time.Time) {
-	for _, grant := range a.balancer.Dispatch(now) {
-		if waiter, ok := a.waiters[grant.Waiter]; ok {
-			delete(a.waiters, grant.Waiter)
-			waiter <- grant
+func (a *slotAllocator) dispatchWaiting(now time.Time) {
+	for _, result := range a.balancer.Dispatch(now) {
+		if waiter, ok := a.waiters[result.Waiter]; ok {
+			delete(a.waiters, result.Waiter)
+			waiter <- result
 		}
 	}
 }
@@ -52,7 +53,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.balancer.UpdateRunners(list)
-	a.grantSlots(now)
+	a.dispatchWaiting(now)
 }
 
 func (a *slotAllocator) markLeaving(runner string, boot int64) {
@@ -70,40 +71,40 @@
 	return runners
 }
 
-// ticket identifies a request that waits for a slot.
-type ticket struct {
-	id     balancer.WaiterID
-	grants chan balancer.AcquireResult
+// slotWaiter is a request that waits for a slot.
+type slotWaiter struct {
+	id      balancer.WaiterID
+	results chan balancer.AcquireResult
 }
 
-// acquire requests a slot. It returns a grant or a refusal, or a ticket to wait with.
-func (a *slotAllocator) acquire(class string, deadline time.Time, exclude []string) (grant balancer.AcquireResult, t *ticket) {
+// acquire requests a slot. It returns a slot or a refusal, or a waiter to pass to await.
+func (a *slotAllocator) acquire(class string, deadline time.Time, exclude []string) (result balancer.AcquireResult, w *slotWaiter) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.lastWaiter++
-	grant, decided := a.balancer.Acquire(a.lastWaiter, class, deadline, exclude, time.Now())
+	result, decided := a.balancer.Acquire(a.lastWaiter, class, deadline, exclude, time.Now())
 	if decided {
-		return grant, nil
+		return result, nil
 	}
-	t = &ticket{id: a.lastWaiter, grants: make(chan balancer.AcquireResult, 1)}
-	a.waiters[t.id] = t.grants
-	return grant, t
+	w = &slotWaiter{id: a.lastWaiter, results: make(chan balancer.AcquireResult, 1)}
+	a.waiters[w.id] = w.results
+	return result, w
 }
 
 // await waits for a slot or a refusal. If ctx ends first, ok is false and no slot is
 // held.
-func (a *slotAllocator) await(ctx context.Context, t *ticket) (grant balancer.AcquireResult, ok bool) {
+func (a *slotAllocator) await(ctx context.Context, w *slotWaiter) (result balancer.AcquireResult, ok bool) {
 	select {
-	case grant = <-t.grants:
-		return grant, true
+	case result = <-w.results:
+		return result, true
 	case <-ctx.Done():
-		a.cancelWait(t.id, t.grants)
+		a.cancelWait(w.id, w.results)
 		return balancer.AcquireResult{}, false
 	}
 }
 
-// cancelWait withdraws a waiting request and returns a slot granted in the meantime.
-func (a *slotAllocator) cancelWait(id balancer.WaiterID, waiter chan balancer.AcquireResult) {
+// cancelWait removes a waiting request, and releases a slot assigned in the meantime.
+func (a *slotAllocator) cancelWait(id balancer.WaiterID, results chan balancer.AcquireResult) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.waiters, id)
@@ -111,21 +112,21 @@
 		return
 	}
 	select {
-	case grant := <-waiter:
-		if grant.Runner != "" {
-			a.balancer.Release(grant.Runner, "", balancer.ResultAbandoned, 0, -1, time.Now())
+	case result := <-results:
+		if result.Runner != "" {
+			a.balancer.Release(result.Runner, "", balancer.ResultAbandoned, 0, -1, time.Now())
 		}
 	default:
 	}
 }
 
-// releaseUnused returns a slot that was granted too late to be used.
+// releaseUnused releases a slot that was assigned after its request had ended.
 func (a *slotAllocator) releaseUnused(runner string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
 	a.balancer.Release(runner, "", balancer.ResultAbandoned, 0, -1, now)
-	a.grantSlots(now)
+	a.dispatchWaiting(now)
 }
 
 func (a *slotAllocator) runnerAddress(runner string) string {
@@ -135,8 +136,8 @@
 	return entry.Address
 }
 
-// release returns a slot after an attempt and reports whether the budget allows a
-// retry. Only failed attempts are charged to the budget.
+// release returns a slot to the runner after an attempt and reports whether the retry budget allows
+// a retry. Only failed attempts are charged to the budget.
 func (a *slotAllocator) release(runner, class string, result upstream.Result, took time.Duration, failed bool) (retryAllowed bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -147,7 +148,7 @@
 	}
 	now := time.Now()
 	a.balancer.Release(runner, class, result.Load, took, result.Busy, now)
-	a.grantSlots(now)
+	a.dispatchWaiting(now)
 	return failed && a.budget.TrySpend()
 }
 
--- a/instance/streams.go
+++ b/instance/streams.go
@@ -105,14 +105,14 @@
 // instance read them.
 func (i *Instance) recoverGaps(ctx context.Context) {
 	for logstream.Sleep(ctx, restoreInterval) {
-		if !i.replica.Gap() {
+		if !i.replica.HasGap() {
 			continue
 		}
 		snapshot, err := i.newestSnapshot(ctx)
 		if err == nil {
 			i.restore(snapshot, "log")
 		}
-		if i.replica.Gap() {
+		if i.replica.HasGap() {
 			i.restore(i.peerSnapshot(), "peer")
 		}
 	}
--- a/instance/term.go
+++ b/instance/term.go
@@ -30,7 +30,7 @@
 	claimedAt       time.Time
 }
 
-// shouldClaim reports whether to claim the term now, and notes the time of the claim.
+// shouldClaim reports whether to claim the term now, and records the time of the claim.
 func (c *termClaimer) shouldClaim(state termState, now time.Time, timeout time.Duration) bool {
 	if !state.leaderGone {
 		c.leaderGoneSince = time.Time{}
--- a/internal/prooftest/prooftest.go
+++ b/internal/prooftest/prooftest.go
@@ -58,13 +58,13 @@
 func (r *failureRecorder) Fail()                 { r.failed = true }
 func (r *failureRecorder) Failed() bool          { return r.failed }
 
-// violationChecks is the number of cases that Violates tries.
-const violationChecks = "5000"
+// caseCount is the number of cases that Fails tries.
+const caseCount = "5000"
 
 // Fails reports whether a property fails in any of the cases tried.
 func Fails(property func(*rapid.T)) (failed bool) {
 	defer overrideFlag("rapid.shrinktime", "0s")()
-	defer overrideFlag("rapid.checks", violationChecks)()
+	defer overrideFlag("rapid.checks", caseCount)()
 	r := &failureRecorder{}
 	defer func() {
 		if p := recover(); p != nil && p != any(r) {
--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -32,7 +32,7 @@
 		key := structs.KeyID{Workspace: fmt.Sprintf("workspace-%d", n%190), Key: fmt.Sprintf("flow-%d", n)}
 		id := fmt.Sprintf("entry-0/1/%d", n)
 		list = append(list, &structs.Record{Claim: &structs.Claim{ID: id, Key: key, Class: "flow-reconciliation", Holder: "entry-0/1", IssuedMS: int64(n)}})
-		list = append(list, &structs.Record{Complete: &structs.Completion{ClaimID: id, Key: key, Outcome: structs.OutcomeRan, Holder: true, Status: 200, Answer: make([]byte, 64), Kept: true}})
+		list = append(list, &structs.Record{Complete: &structs.Completion{ClaimID: id, Key: key, Outcome: structs.OutcomeRan, Holder: true, Status: 200, Answer: make([]byte, 64), AnswerStored: true}})
 	}
 	return list
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -74,10 +74,10 @@
 	Reason VoidReason
 }
 
-// VoidReason is the reason for which a record is void.
+// VoidReason is the reason why a record is void.
 type VoidReason string
 
-// Reasons for which a record is void.
+// Reasons why a record is void.
 const (
 	VoidNone         VoidReason = ""
 	VoidMalformed    VoidReason = "malformed"
@@ -94,7 +94,7 @@
 
 var valid = Verdict{Valid: true}
 
-func void(why VoidReason) Verdict { return Verdict{Reason: why} }
+func void(reason VoidReason) Verdict { return Verdict{Reason: reason} }
 
 // State is the folded ledger. It is not safe for concurrent use.
 type State struct {
@@ -110,7 +110,7 @@
 	return &State{Keys: map[structs.KeyID]*KeyEntry{}, Jobs: map[string]*JobEntry{}}
 }
 
-// Apply folds the record at offset Next.
+// Apply folds the record at offset NextOffset.
 func (s *State) Apply(record *structs.Record) Verdict {
 	s.NextOffset++
 	switch {
@@ -161,7 +161,7 @@
 // applyRelease accepts a release by the claim holder if the holder has not recorded an
 // outcome yet.
 func (s *State) applyRelease(release *structs.Release) Verdict {
-	entry, verdict := s.entryOfClaim(release.Key, release.ClaimID)
+	entry, verdict := s.claimEntry(release.Key, release.ClaimID)
 	if !verdict.Valid {
 		return verdict
 	}
@@ -177,7 +177,7 @@
 // applyComplete accepts one outcome from the claim holder. Other instances can only
 // set an open claim to unknown, which a later record of the holder replaces.
 func (s *State) applyComplete(complete *structs.Completion) Verdict {
-	entry, verdict := s.entryOfClaim(complete.Key, complete.ClaimID)
+	entry, verdict := s.claimEntry(complete.Key, complete.ClaimID)
 	if !verdict.Valid {
 		return verdict
 	}
@@ -195,11 +195,11 @@
 	entry.DecidedByHolder = complete.Holder
 	entry.Status = complete.Status
 	entry.Answer = complete.Answer
-	entry.AnswerStored = complete.Kept
+	entry.AnswerStored = complete.AnswerStored
 	return valid
 }
 
-func (s *State) entryOfClaim(key structs.KeyID, claimID string) (*KeyEntry, Verdict) {
+func (s *State) claimEntry(key structs.KeyID, claimID string) (*KeyEntry, Verdict) {
 	entry, exists := s.Keys[key]
 	if !exists {
 		return nil, void(VoidMissing)
@@ -228,8 +228,8 @@
 	return valid
 }
 
-// applyCancel ends a queued job at once. A running job is only marked as cancelled; the
-// leader stops its run.
+// applyCancel ends a queued job at once. A running job is only marked as cancelled, and
+// the leader stops its run.
 func (s *State) applyCancel(cancel *structs.Cancel, atMS int64) Verdict {
 	entry, exists := s.Jobs[cancel.Job]
 	if !exists {
@@ -324,8 +324,8 @@
 	e.FailedWorkers = append(e.FailedWorkers, worker)
 }
 
-// applyEnd ends a job under the current term. The record must name the current run of
-// a running job.
+// applyEnd ends a job under the current term. The record must name the run of a running
+// job, and no run for a queued one.
 func (s *State) applyEnd(end *structs.End, atMS int64) Verdict {
 	entry, verdict := s.jobUnderTerm(end.Job, end.Term)
 	if !verdict.Valid {
--- a/logstream/log.go
+++ b/logstream/log.go
@@ -13,7 +13,8 @@
 	StreamTargets = "targets"
 	// StreamLedger carries claims, jobs, runs and terms.
 	StreamLedger = "ledger"
-	// StreamRefusals carries refusals and delays, for the records of the applicants.
+	// StreamRefusals carries refusals and delays, which users file in the records of
+	// their applicants.
 	StreamRefusals = "refusals"
 	// StreamSnapshots carries snapshots of the folds.
 	StreamSnapshots = "snapshots"
--- a/logstream/writer.go
+++ b/logstream/writer.go
@@ -31,7 +31,7 @@
 )
 
 // probeRecord is appended to detect the recovery of the log if the last append
-// failed and nothing is queued. No fold knows its kind, so that it is void.
+// failed and nothing is queued. No fold defines its kind, so it is void.
 const probeRecord = `{"kind":"probe"}`
 
 // Entry is one record to append.
--- a/peers/link.go
+++ b/peers/link.go
@@ -1,6 +1,6 @@
 // Package peers implements the links between instances: one yamux session to each
-// other instance, carrying length-prefixed protobuf envelopes. The messages speed
-// things up and bridge outages of the log; no decision between instances is made here.
+// other instance, carrying length-prefixed protobuf envelopes. The messages save time
+// and bridge outages of the log; instances never agree on anything by them.
 package peers
 
 import (
--- a/replay/generate_test.go
+++ b/replay/generate_test.go
@@ -78,7 +78,7 @@
 
 func (g *generator) workspace() string { return g.workspaces[g.rng.IntN(len(g.workspaces))] }
 
-func (g *generator) pick(kinds []jobKind) jobKind {
+func (g *generator) pickKind(kinds []jobKind) jobKind {
 	total := 0
 	for _, k := range kinds {
 		total += k.weight
@@ -96,7 +96,7 @@
 func (g *generator) submitRandomly(from, to float64, count int, kinds []jobKind) []string {
 	var names []string
 	for range count {
-		names = append(names, g.submit(from+g.rng.Float64()*(to-from), g.pick(kinds), g.workspace()))
+		names = append(names, g.submit(from+g.rng.Float64()*(to-from), g.pickKind(kinds), g.workspace()))
 	}
 	return names
 }
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -23,8 +23,8 @@
 	maxReclaimDelay = scheduler.Minute
 	// maxDrainTime bounds how long the replay continues after the last event.
 	maxDrainTime        = 24 * 60 * scheduler.Minute
-	busyTick            = scheduler.Second
-	idleTick            = 10 * scheduler.Second
+	busyTickInterval    = scheduler.Second      // while jobs are queued
+	idleTickInterval    = 10 * scheduler.Second // while no job is queued
 	sampleInterval      = scheduler.Minute
 	neverEnds           = scheduler.Time(1) << 60
 	defaultFinishWithin = 24 * time.Hour // for a class that the settings do not name
@@ -84,9 +84,9 @@
 
 // nextTime returns the time of the next tick or end of a run, at most until+1.
 func (r *replayer) nextTime(until scheduler.Time) scheduler.Time {
-	tick := idleTick
+	tick := idleTickInterval
 	if r.policy.QueueLength() > 0 {
-		tick = busyTick
+		tick = busyTickInterval
 	}
 	next := (r.now/tick + 1) * tick
 	if len(r.ends) > 0 && r.ends[0].at < next {
--- a/replay/report.go
+++ b/replay/report.go
@@ -198,13 +198,13 @@
 	return values[int(math.Ceil(q*float64(len(values))))-1]
 }
 
-func meanAndMax(values []float64) (mean, highest float64) {
+func meanAndMax(values []float64) (mean, maximum float64) {
 	if len(values) == 0 {
 		return 0, 0
 	}
 	for _, value := range values {
 		mean += value
-		highest = max(highest, value)
+		maximum = max(maximum, value)
 	}
-	return mean / float64(len(values)), highest
+	return mean / float64(len(values)), maximum
 }
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -65,8 +65,8 @@
 	EventAppendUp:   {},
 }
 
-// ReadTrace reads a whole trace of JSON lines, which must be in order of time. Errors name the
-// line.
+// ReadTrace reads a whole trace of JSON lines, which must be in order of time. Errors
+// name the line.
 func ReadTrace(source io.Reader) ([]Event, error) {
 	scanner := bufio.NewScanner(source)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -126,9 +126,9 @@
 	}
 }
 
-// Gap reports whether records were removed by retention before they were read, and
+// HasGap reports whether records were removed by retention before they were read, and
 // no newer snapshot was restored since.
-func (r *Replica) Gap() bool {
+func (r *Replica) HasGap() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ledgerGap || r.targetsGap
--- a/requests/machine.go
+++ b/requests/machine.go
@@ -79,7 +79,7 @@
 	case RunnerPicked:
 		return m.onRunnerPicked(e, now)
 	case SlotRefused:
-		return m.onRunnerRefused(e)
+		return m.onSlotRefused(e)
 	case AttemptEnded:
 		return m.onAttemptEnded(e, now)
 	case DeadlinePassed:
@@ -111,7 +111,7 @@
 		return m.finishFromEntry(e)
 	}
 	if e.Entry.Phase != ledger.KeyOpen {
-		return m.rejectClaim(structs.ReasonClaimHolderLost)
+		return m.finishLostClaim(structs.ReasonClaimHolderLost)
 	}
 	m.mayHoldClaim = true
 	if m.claimExpired(now) {
@@ -129,7 +129,7 @@
 	return m.finishNotRun(e.Reason, retryAfterFor(e.Reason))
 }
 
-func (m *Machine) rejectClaim(reason structs.Reason) []Action {
+func (m *Machine) finishLostClaim(reason structs.Reason) []Action {
 	m.mayHoldClaim = true
 	return m.finishNotRun(reason, defaultRetryAfter)
 }
@@ -185,7 +185,7 @@
 	return []Action{SendAttempt{Runner: e.Runner, Attempt: m.attempts}}
 }
 
-func (m *Machine) onRunnerRefused(e SlotRefused) []Action {
+func (m *Machine) onSlotRefused(e SlotRefused) []Action {
 	if m.phase != phasePicking {
 		return nil
 	}
--- a/requests/simulation_faults_test.go
+++ b/requests/simulation_faults_test.go
@@ -26,7 +26,7 @@
 	inst := s.drawInstance()
 	for _, key := range s.keys {
 		entry := inst.fold.Keys[structs.KeyID{Key: key}]
-		if entry == nil || entry.Phase != ledger.KeyOpen || !s.looksDead(entry.Claim.Holder) {
+		if entry == nil || entry.Phase != ledger.KeyOpen || !s.appearsLost(entry.Claim.Holder) {
 			continue
 		}
 		if s.mutation == releaseByAnother {
--- a/requests/simulation_test.go
+++ b/requests/simulation_test.go
@@ -79,7 +79,7 @@
 	return inst
 }
 
-func (s *simulation) live() []*instance {
+func (s *simulation) liveInstances() []*instance {
 	var live []*instance
 	for _, inst := range s.instances {
 		if !inst.dead && !inst.paused {
@@ -90,7 +90,7 @@
 }
 
 func (s *simulation) drawInstance() *instance {
-	live := s.live()
+	live := s.liveInstances()
 	if len(live) == 0 {
 		return s.addInstance()
 	}
@@ -146,7 +146,7 @@
 	case requests.AppendRelease:
 		s.enqueue(c.instance, structs.Record{Release: &structs.Release{ClaimID: c.id, Key: key, Reason: a.Reason}}, nil)
 	case requests.AppendComplete:
-		s.enqueue(c.instance, structs.Record{Complete: &structs.Completion{ClaimID: c.id, Key: key, Outcome: a.Outcome, Reason: a.Reason, Holder: true, Status: a.Status, Answer: a.Answer, Kept: a.AnswerStored}}, nil)
+		s.enqueue(c.instance, structs.Record{Complete: &structs.Completion{ClaimID: c.id, Key: key, Outcome: a.Outcome, Reason: a.Reason, Holder: true, Status: a.Status, Answer: a.Answer, AnswerStored: a.AnswerStored}}, nil)
 		if s.mutation == releaseAfterSend && a.Outcome == structs.OutcomeUnknown {
 			s.enqueue(c.instance, structs.Record{Release: &structs.Release{ClaimID: c.id, Key: key}}, nil)
 			c.instance.unflushed[len(c.instance.unflushed)-2].Complete = nil
@@ -158,7 +158,7 @@
 
 // deliverEvent passes one pending event to its machine.
 func (s *simulation) deliverEvent() {
-	for _, inst := range s.live() {
+	for _, inst := range s.liveInstances() {
 		for _, c := range inst.callers {
 			if len(c.pendingEvents) > 0 {
 				event := c.pendingEvents[0]
@@ -170,9 +170,9 @@
 	}
 }
 
-// flush appends the oldest record of an instance. The answer may be lost, in which
+// flushRecord appends the oldest record of an instance. The answer may be lost, in which
 // case the record is appended again later.
-func (s *simulation) flush() {
+func (s *simulation) flushRecord() {
 	inst := s.drawInstance()
 	if len(inst.unflushed) == 0 {
 		return
@@ -188,8 +188,8 @@
 	}
 }
 
-// read folds some records at one instance and reports verdicts on claims to callers.
-func (s *simulation) read() {
+// readLog folds some records at one instance and reports verdicts on claims to callers.
+func (s *simulation) readLog() {
 	inst := s.drawInstance()
 	for range rapid.IntRange(1, 4).Draw(s.t, "records") {
 		if int(inst.fold.NextOffset) >= len(s.log) {
@@ -214,7 +214,7 @@
 			return
 		}
 		entry := *inst.fold.Keys[claim.Key]
-		lost := entry.Phase == ledger.KeyOpen && entry.Claim.ID != c.id && s.looksDead(entry.Claim.Holder)
+		lost := entry.Phase == ledger.KeyOpen && entry.Claim.ID != c.id && s.appearsLost(entry.Claim.Holder)
 		c.pendingEvents = append(c.pendingEvents, requests.ClaimRead{Entry: &entry, HolderLost: lost})
 		return
 	}
@@ -223,10 +223,10 @@
 	}
 }
 
-func (s *simulation) looksDead(name string) bool {
+func (s *simulation) appearsLost(name string) bool {
 	for _, inst := range s.instances {
 		if inst.name == name {
-			return inst.dead || inst.paused // a paused instance cannot be told apart from a dead one
+			return inst.dead || inst.paused // a paused instance cannot be distinguished from a dead one
 		}
 	}
 	return true
@@ -234,16 +234,16 @@
 
 // endAttempt lets the runner end an attempt, even if no caller waits for it any more.
 func (s *simulation) endAttempt() {
-	var waiting []*caller
+	var pending []*caller
 	for _, c := range s.callers {
 		if c.attemptPending {
-			waiting = append(waiting, c)
+			pending = append(pending, c)
 		}
 	}
-	if len(waiting) == 0 {
+	if len(pending) == 0 {
 		return
 	}
-	c := rapid.SampledFrom(waiting).Draw(s.t, "attempt")
+	c := rapid.SampledFrom(pending).Draw(s.t, "attempt")
 	c.attemptPending = false
 	end := requests.AttemptEnded{RetryAllowed: rapid.Bool().Draw(s.t, "retry")}
 	switch rapid.IntRange(0, 4).Draw(s.t, "attempt ends") {
@@ -255,17 +255,17 @@
 		end.Kind = requests.AttemptInterrupted
 	case 3:
 		end.Kind = requests.AttemptInterrupted
-		s.runAtRunner(c)
+		s.executeAtRunner(c)
 	case 4:
 		end.Kind = requests.AttemptAnswered
 		end.Status = 200
 		end.Answer = []byte("for " + c.key)
-		s.runAtRunner(c)
+		s.executeAtRunner(c)
 	}
 	c.pendingEvents = append(c.pendingEvents, end)
 }
 
-func (s *simulation) runAtRunner(c *caller) {
+func (s *simulation) executeAtRunner(c *caller) {
 	c.executions++
 	s.executions[c.key]++
 }
@@ -274,8 +274,8 @@
 	s.now = s.now.Add(time.Duration(rapid.IntRange(1, 12000).Draw(s.t, "ms")) * time.Millisecond)
 }
 
-func (s *simulation) passDeadlines() {
-	for _, inst := range s.live() {
+func (s *simulation) expireDeadlines() {
+	for _, inst := range s.liveInstances() {
 		for _, c := range inst.callers {
 			if c.finish == nil && rapid.Bool().Draw(s.t, "deadline") {
 				s.stepMachine(c, requests.DeadlinePassed{})
@@ -284,8 +284,8 @@
 	}
 }
 
-// check verifies the invariants after every step.
-func (s *simulation) check() {
+// checkInvariants verifies the invariants after every step.
+func (s *simulation) checkInvariants() {
 	for key, times := range s.executions {
 		if times > 1 {
 			s.t.Fatalf("key %s ran %d times", key, times)
@@ -308,21 +308,21 @@
 	s.t.Repeat(map[string]func(*rapid.T){
 		"submit":     func(*rapid.T) { s.submit() },
 		"deliver":    func(*rapid.T) { s.deliverEvent() },
-		"advance":    func(*rapid.T) { s.flush(); s.read(); s.deliverEvent(); s.deliverEvent() },
-		"advance2":   func(*rapid.T) { s.flush(); s.read(); s.deliverEvent(); s.endAttempt(); s.deliverEvent() },
-		"flush":      func(*rapid.T) { s.flush() },
-		"flush2":     func(*rapid.T) { s.flush() },
-		"read":       func(*rapid.T) { s.read() },
-		"read2":      func(*rapid.T) { s.read() },
+		"advance":    func(*rapid.T) { s.flushRecord(); s.readLog(); s.deliverEvent(); s.deliverEvent() },
+		"advance2":   func(*rapid.T) { s.flushRecord(); s.readLog(); s.deliverEvent(); s.endAttempt(); s.deliverEvent() },
+		"flush":      func(*rapid.T) { s.flushRecord() },
+		"flush2":     func(*rapid.T) { s.flushRecord() },
+		"read":       func(*rapid.T) { s.readLog() },
+		"read2":      func(*rapid.T) { s.readLog() },
 		"attempt":    func(*rapid.T) { s.endAttempt() },
 		"kill":       func(*rapid.T) { s.killInstance() },
 		"pause":      func(*rapid.T) { s.pauseOrResume() },
 		"close lost": func(*rapid.T) { s.closeLostClaims() },
 		"restart":    func(*rapid.T) { s.restoreFromSnapshot() },
 		"pass":       func(*rapid.T) { s.advanceTime() },
-		"expire":     func(*rapid.T) { s.passDeadlines() },
+		"expire":     func(*rapid.T) { s.expireDeadlines() },
 		"prune":      func(*rapid.T) { s.prune() },
-		"":           func(*rapid.T) { s.check() },
+		"":           func(*rapid.T) { s.checkInvariants() },
 	})
 }
 
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -20,7 +20,7 @@
 // Settings is the validated content of a settings file.
 type Settings struct {
 	Name              string        // instance name, unique among instances
-	Region            string        // region of the instance
+	Region            string        // region of the instance and of the workers that it uses
 	AvailabilityZone  string        // zone of the instance
 	HTTPAddress       string        // serves callers and operators
 	PeerAddress       string        // serves the other instances
@@ -134,7 +134,7 @@
 	{"timing", "key_window", "24h", "1m to 744h", durationSetter(func(s *Settings) *time.Duration { return &s.KeyRetention }, time.Minute, 744*time.Hour)},
 }
 
-// Load reads and validates a settings file. Invalid keys are returned as a *FaultsError.
+// Load reads and validates a settings file. A *FaultsError lists all invalid keys.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/standin/gangs.go
+++ b/standin/gangs.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// GangCoordinator coordinates gang tasks across the workers of a fleet. The tasks of a gang start
-// their work when all have joined, and end together. The first step of a job whose spec
-// is "gangN" is a gang of N tasks.
+// GangCoordinator coordinates gang tasks across the workers of a fleet. The tasks of a
+// gang start their work when all have joined, and end together. The first step of a job
+// whose spec is "gangN" is a gang of N tasks.
 type GangCoordinator struct {
 	JoinTimeout time.Duration // how long a gang waits for all its tasks
 
@@ -18,18 +18,18 @@
 }
 
 // NewGangCoordinator returns a coordinator without gangs.
-func NewGangCoordinator(wait time.Duration) *GangCoordinator {
-	return &GangCoordinator{JoinTimeout: wait, runs: map[string]*gangRun{}}
+func NewGangCoordinator(joinTimeout time.Duration) *GangCoordinator {
+	return &GangCoordinator{JoinTimeout: joinTimeout, runs: map[string]*gangRun{}}
 }
 
 // gangRun is the state of one run of a gang.
 type gangRun struct {
-	gangs     *GangCoordinator
-	size      int
-	members   []gangMember
-	startedAt time.Time // zero until all tasks have joined
-	ended     bool
-	timer     *time.Timer
+	coordinator *GangCoordinator
+	size        int
+	members     []gangMember
+	startedAt   time.Time // zero until all tasks have joined
+	ended       bool
+	timer       *time.Timer
 }
 
 type gangMember struct {
@@ -61,7 +61,7 @@
 	key := stepName(member.task) + "/" + strconv.Itoa(member.run.number)
 	gang := g.runs[key]
 	if gang == nil || gang.ended {
-		gang = &gangRun{gangs: g, size: size}
+		gang = &gangRun{coordinator: g, size: size}
 		gang.timer = time.AfterFunc(g.JoinTimeout, func() { gang.endAll("alone") })
 		g.runs[key] = gang
 	}
@@ -82,15 +82,15 @@
 
 // endAll ends all members that still run. The caller must not hold a worker's lock.
 func (g *gangRun) endAll(outcome string) {
-	g.gangs.mu.Lock()
+	g.coordinator.mu.Lock()
 	if g.ended {
-		g.gangs.mu.Unlock()
+		g.coordinator.mu.Unlock()
 		return
 	}
 	g.ended = true
 	g.timer.Stop()
 	members := g.members
-	g.gangs.mu.Unlock()
+	g.coordinator.mu.Unlock()
 	for _, member := range members {
 		member.worker.endMember(member.task, member.run, outcome)
 	}
@@ -98,8 +98,8 @@
 
 // startTime returns the time at which the last member joined; zero before that.
 func (g *gangRun) startTime() time.Time {
-	g.gangs.mu.Lock()
-	defer g.gangs.mu.Unlock()
+	g.coordinator.mu.Lock()
+	defer g.coordinator.mu.Unlock()
 	return g.startedAt
 }
 
--- a/standin/keyedstore.go
+++ b/standin/keyedstore.go
@@ -36,7 +36,7 @@
 	mu        sync.Mutex
 	parts     map[string]*storePart // by "topic/part"
 	faults    StoreFaults
-	addresses map[string]string // quoted replacements of quoted addresses; see Translate
+	addresses map[string]string // quoted replacements of quoted addresses; see TranslateAddress
 	router    *mux.Router
 }
 
@@ -87,19 +87,20 @@
 	}
 }
 
-// TranslateAddress replaces an address in all records that are appended from now on. It models
-// a network in which a process is reached at another address than the one it listens on.
-func (s *KeyedStore) TranslateAddress(address, reachedAt string) {
+// TranslateAddress replaces an address in all records that are appended from now on. It
+// models a network in which a process is reached at another address than the one it
+// listens on.
+func (s *KeyedStore) TranslateAddress(address, replacement string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.addresses[strconv.Quote(address)] = strconv.Quote(reachedAt)
+	s.addresses[strconv.Quote(address)] = strconv.Quote(replacement)
 }
 
-// translateAddresses applies the replacements of Translate. The caller holds s.mu.
+// translateAddresses applies the replacements of TranslateAddress. The caller holds s.mu.
 func (s *KeyedStore) translateAddresses(records []storeRecord) []storeRecord {
 	for i := range records {
-		for address, reachedAt := range s.addresses {
-			records[i].value = bytes.ReplaceAll(records[i].value, []byte(address), []byte(reachedAt))
+		for address, replacement := range s.addresses {
+			records[i].value = bytes.ReplaceAll(records[i].value, []byte(address), []byte(replacement))
 		}
 	}
 	return records
@@ -142,8 +143,8 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *storePart) dropOldest(keep int) {
-	if excess := len(p.records) - keep; keep > 0 && excess > 0 {
+func (p *storePart) dropOldest(retain int) {
+	if excess := len(p.records) - retain; retain > 0 && excess > 0 {
 		p.records = append([]storeRecord(nil), p.records[excess:]...)
 		p.firstOffset += int64(excess)
 	}
--- a/standin/proxy.go
+++ b/standin/proxy.go
@@ -25,7 +25,7 @@
 
 	mu            sync.Mutex
 	faults        ProxyFaults
-	faultyUntil   time.Time     // time of the last change away from injected faults; zero if there was none
+	faultyUntil   time.Time     // when faults were last removed or replaced; zero if there were none
 	faultsChanged chan struct{} // closed and replaced when the faults change
 	conns         map[net.Conn]bool
 	closed        bool
@@ -57,8 +57,8 @@
 	p.faultsChanged = make(chan struct{})
 }
 
-// FaultFreeFor reports whether there have been no faults for a time span, so that no bytes that
-// were sent before that span can still arrive.
+// FaultFreeFor reports whether there have been no faults for a time span, so that no
+// bytes that were sent before that span can still arrive.
 func (p *Proxy) FaultFreeFor(span time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/taskchecker.go
+++ b/standin/taskchecker.go
@@ -20,92 +20,92 @@
 	evacuateWithin time.Duration        // time after which no task may start there; see Evacuate
 }
 
-// NewTaskChecker returns a ledger without tasks.
+// NewTaskChecker returns a checker without tasks.
 func NewTaskChecker() *TaskChecker {
 	return &TaskChecker{running: map[string]*TaskWorker{}, started: map[string]int64{}, acknowledged: map[string]bool{}, evacuated: map[string]time.Time{}}
 }
 
-// Evacuate records that an availability zone is evacuated: from within after now until
-// Return, no task may start there.
-func (l *TaskChecker) Evacuate(zone string, within time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.evacuateWithin = within
-	l.evacuated[zone] = time.Now()
+// Evacuate records that an availability zone is evacuated: when within has passed, and
+// until EndEvacuation, no task may start there.
+func (c *TaskChecker) Evacuate(zone string, within time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.evacuateWithin = within
+	c.evacuated[zone] = time.Now()
 }
 
 // EndEvacuation records that an availability zone may be used again.
-func (l *TaskChecker) EndEvacuation(zone string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.evacuated, zone)
+func (c *TaskChecker) EndEvacuation(zone string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.evacuated, zone)
 }
 
 // checkZone records a violation if a task starts in an evacuated zone too late. Starts on
 // a worker whose orders may have been delayed are exempt. The caller holds l.mu.
-func (l *TaskChecker) checkZone(w *TaskWorker, task string, run int) {
-	since, evacuated := l.evacuated[w.Zone]
-	if !evacuated || time.Since(since) <= l.evacuateWithin {
+func (c *TaskChecker) checkZone(w *TaskWorker, task string, run int) {
+	since, evacuated := c.evacuated[w.Zone]
+	if !evacuated || time.Since(since) <= c.evacuateWithin {
 		return
 	}
-	if w.UndelayedFor == nil || w.UndelayedFor(l.evacuateWithin) {
-		l.addViolation("%s run %d starts on %s %v after its zone %s was evacuated", task, run, w.ID, time.Since(since), w.Zone)
+	if w.UndelayedFor == nil || w.UndelayedFor(c.evacuateWithin) {
+		c.addViolation("%s run %d starts on %s %v after its zone %s was evacuated", task, run, w.ID, time.Since(since), w.Zone)
 	}
 }
 
 // Violations returns the violations that were recorded.
-func (l *TaskChecker) Violations() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return append([]string(nil), l.violations...)
+func (c *TaskChecker) Violations() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]string(nil), c.violations...)
 }
 
-func (l *TaskChecker) addViolation(format string, args ...any) {
-	l.violations = append(l.violations, fmt.Sprintf(format, args...))
+func (c *TaskChecker) addViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 // recordStart records that a task starts on a worker, and checks that it may.
-func (l *TaskChecker) recordStart(w *TaskWorker, task string, run int) {
-	if l == nil {
+func (c *TaskChecker) recordStart(w *TaskWorker, task string, run int) {
+	if c == nil {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.seq++
-	if other := l.running[task]; other != nil {
-		l.addViolation("%s run %d starts on %s while it runs on %s", task, run, w.ID, other.ID)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.seq++
+	if other := c.running[task]; other != nil {
+		c.addViolation("%s run %d starts on %s while it runs on %s", task, run, w.ID, other.ID)
 	}
-	if l.acknowledged[task] {
-		l.addViolation("%s run %d starts on %s after its end as done was acknowledged", task, run, w.ID)
+	if c.acknowledged[task] {
+		c.addViolation("%s run %d starts on %s after its end as done was acknowledged", task, run, w.ID)
 	}
-	l.checkZone(w, task, run)
-	l.running[task] = w
-	l.started[task] = l.seq
+	c.checkZone(w, task, run)
+	c.running[task] = w
+	c.started[task] = c.seq
 }
 
 // recordEnd records that a task no longer runs on a worker, and returns the seq of its end.
-func (l *TaskChecker) recordEnd(w *TaskWorker, task string) int64 {
-	if l == nil {
+func (c *TaskChecker) recordEnd(w *TaskWorker, task string) int64 {
+	if c == nil {
 		return 0
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.seq++
-	if l.running[task] == w {
-		delete(l.running, task)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.seq++
+	if c.running[task] == w {
+		delete(c.running, task)
 	}
-	return l.seq
+	return c.seq
 }
 
 // recordAck records that an end as done was acknowledged. seq is that of the end.
-func (l *TaskChecker) recordAck(task string, seq int64) {
-	if l == nil {
+func (c *TaskChecker) recordAck(task string, seq int64) {
+	if c == nil {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.acknowledged[task] = true
-	if l.started[task] > seq {
-		l.addViolation("%s had been started again when its end as done was acknowledged", task)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.acknowledged[task] = true
+	if c.started[task] > seq {
+		c.addViolation("%s had been started again when its end as done was acknowledged", task)
 	}
 }
--- a/standin/taskrun.go
+++ b/standin/taskrun.go
@@ -15,7 +15,7 @@
 	gang      *gangRun    // nil for a task that is in no gang
 }
 
-// percentDone returns the share of its work that a run has done.
+// percentDone returns the percentage of its work that a run has done.
 func (r *taskRun) percentDone() int {
 	startedAt := r.startedAt
 	if r.gang != nil {
@@ -41,8 +41,8 @@
 	cursor int64
 	run    *taskRun
 	row    []any
-	seq    int64 // of the ledger, when the run ended
-	lapsed bool  // the lease expired before an acknowledgement, so the end may be ignored
+	seq    int64 // of the checker, when the run ended
+	lapsed bool  // the lease expired before an acknowledgement, so instances may have ignored the end
 }
 
 // outcome returns the task's name and whether it ended as done.
--- a/standin/taskworker.go
+++ b/standin/taskworker.go
@@ -22,7 +22,7 @@
 	BornMS       int64 // start of this incarnation in Unix milliseconds; 0 to omit it from replies
 	RunTime      time.Duration
 	MaxLease     time.Duration // longest lease; 0 for no limit
-	ClockLag     float64       // share of elapsed time that the worker's clock loses
+	ClockLag     float64       // fraction of time that the worker's clock loses
 	Crash        func()
 	Zone         string                        // availability zone
 	UndelayedFor func(span time.Duration) bool // reports that orders were not delayed for the span; nil for always
--- a/standin/taskworker_test.go
+++ b/standin/taskworker_test.go
@@ -92,14 +92,14 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				ledger := NewTaskChecker()
+				checker := NewTaskChecker()
 				first, other := NewTaskWorker("a", time.Second), NewTaskWorker("b", time.Second)
-				first.Checker, other.Checker = ledger, ledger
+				first.Checker, other.Checker = checker, checker
 				sendOrder(t, first, "/api/run-start", taskOrder{Task: "t", Run: 1, UntilMS: 6000})
 				time.Sleep(c.acknowledgedAfter)
 				sendOrder(t, first, "/api/hold", taskOrder{AckCursor: 1})
 				sendOrder(t, other, "/api/run-start", taskOrder{Task: "t", Run: 2, UntilMS: 60000})
-				is.Equal(len(ledger.Violations()), c.violations)
+				is.Equal(len(checker.Violations()), c.violations)
 				first.Halt()
 				other.Halt()
 			})
--- a/structs/outcome.go
+++ b/structs/outcome.go
@@ -74,9 +74,9 @@
 	Outcome    Outcome `json:"outcome"`
 	Reason     Reason  `json:"reason"`
 	Instance   string  `json:"instance"`
-	AtMS       int64   `json:"at_ms"`       // wall clock of the refusing instance
-	RetryAfter int64   `json:"retry_after"` // seconds; 0 if a retry cannot succeed
-	Dropped    int64   `json:"dropped,omitempty"`
+	AtMS       int64   `json:"at_ms"`             // wall clock of the refusing instance
+	RetryAfter int64   `json:"retry_after"`       // seconds; 0 if a retry cannot succeed
+	Dropped    int64   `json:"dropped,omitempty"` // refusals that the instance dropped before this one
 }
 
 // Reply is the typed answer to a submission whose answer is not a relayed body.
--- a/structs/record.go
+++ b/structs/record.go
@@ -49,7 +49,8 @@
 	IssuedMS int64  `json:"issued_ms"`
 }
 
-// Release gives up a claim. Only the holder of the claim appends it, and only if nothing was sent.
+// Release gives up a claim. Only the holder of the claim appends it, and only if nothing
+// was sent.
 type Release struct {
 	ClaimID string `json:"claim_id"`
 	Key     KeyID  `json:"key"`
@@ -57,16 +58,16 @@
 }
 
 // Completion ends a claim with the outcome ran or unknown. Holder is false if another
-// instance closes the claim of a lost one; the outcome can then only be unknown.
+// instance closes the claim of a lost holder; the outcome can then only be unknown.
 type Completion struct {
-	ClaimID string  `json:"claim_id"`
-	Key     KeyID   `json:"key"`
-	Outcome Outcome `json:"outcome"`
-	Reason  Reason  `json:"reason,omitempty"`
-	Holder  bool    `json:"holder"`
-	Status  int     `json:"status,omitempty"`
-	Answer  []byte  `json:"answer,omitempty"` // stored only up to a size limit
-	Kept    bool    `json:"kept,omitempty"`   // Answer is complete
+	ClaimID      string  `json:"claim_id"`
+	Key          KeyID   `json:"key"`
+	Outcome      Outcome `json:"outcome"`
+	Reason       Reason  `json:"reason,omitempty"`
+	Holder       bool    `json:"holder"`
+	Status       int     `json:"status,omitempty"`
+	Answer       []byte  `json:"answer,omitempty"` // stored only up to a size limit
+	AnswerStored bool    `json:"kept,omitempty"`   // Answer is complete
 }
 
 // Job is a gang job as submitted.
@@ -141,8 +142,8 @@
 	BeforeMS int64 `json:"before_ms"`
 }
 
-// Proposal is one entry of the configuration stream: a whole targets document
-// that replaces version Base.
+// Proposal is one entry of the targets stream: a whole targets document that replaces
+// version Base.
 type Proposal struct {
 	ID       string `json:"id"`
 	Base     int64  `json:"base"`
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -33,7 +33,7 @@
 	return f.Workspace == "" || event.Workspace == f.Workspace
 }
 
-// Recorder keeps the newest events of one process, up to a capacity, and counts the
+// Recorder retains the newest events of one process, up to a capacity, and counts the
 // older ones that it overwrote. It is safe for concurrent use.
 type Recorder struct {
 	mu          sync.Mutex
@@ -44,7 +44,7 @@
 	overwritten int64
 }
 
-// NewRecorder returns a recorder that keeps at most capacity events.
+// NewRecorder returns a recorder that retains at most capacity events.
 func NewRecorder(process string, clock *hlc.Clock, capacity int) *Recorder {
 	return &Recorder{clock: clock, process: process, events: make([]Event, 0, capacity)}
 }
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -33,7 +33,7 @@
 type Order struct {
 	Term int64  `json:"term"`
 	Run  string `json:"run"`
-	// Checkpoint requests a checkpoint before the stop; Within bounds its time.
+	// Checkpoint requests a checkpoint before the stop; CheckpointTimeout bounds its time.
 	Checkpoint        bool          `json:"checkpoint,omitempty"`
 	CheckpointTimeout time.Duration `json:"within,omitempty"`
 	// MinLease is the minimum remaining time of the lease for a start. The worker
