--- a/adapters/runnerhttp/runnerhttp.go
+++ b/adapters/runnerhttp/runnerhttp.go
@@ -112,7 +112,7 @@
 	if response.Header.Get(HeaderAttempt) != attempt.ID {
 		return failedResult(requests.AttemptInterrupted, structs.ReasonAnswerMismatched, balancer.ResultFailed)
 	}
-	body, reason := readBody(response, attempt.MaxAnswer)
+	body, reason := readBody(response, attempt.MaxAnswerBytes)
 	if reason != structs.ReasonNone {
 		load := balancer.ResultFailed
 		if ctx.Err() != nil {
--- a/adapters/runnerhttp/runnerhttp_test.go
+++ b/adapters/runnerhttp/runnerhttp_test.go
@@ -20,7 +20,7 @@
 
 func newAttempt(address string) upstream.Attempt {
 	return upstream.Attempt{ID: "a1", Address: strings.TrimPrefix(address, "http://"), Class: "surge", Workspace: "w", Key: "k",
-		Body: []byte("station 12"), MaxAnswer: 1024}
+		Body: []byte("station 12"), MaxAnswerBytes: 1024}
 }
 
 // Checks the result of an attempt for each fault of a runner.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -83,9 +83,9 @@
 // Balancer is the load balancer of one instance. It is not safe for concurrent use.
 type Balancer struct {
 	runners      map[string]*runner
-	order        []string
-	queue        []queuedRequest // sorted by latest start
-	latency      map[string]time.Duration
+	order        []string                 // runner IDs, sorted
+	queue        []queuedRequest          // sorted by latest start
+	latency      map[string]time.Duration // moving average by class
 	random       *rand.Rand
 	leavingBoots map[string]int64 // by runner ID, the newest boot that is leaving
 }
--- a/e2e/machine_test.go
+++ b/e2e/machine_test.go
@@ -84,13 +84,13 @@
 	defer m.mu.Unlock()
 	m.incarnationCount++
 	id, formerID := fmt.Sprintf("%s-%d", m.name, m.incarnationCount), fmt.Sprintf("%s-%d", m.name, m.incarnationCount-1)
-	born, delay := int64(0), time.Duration(0)
+	bornMS, delay := int64(0), time.Duration(0)
 	if m.fleet.reuseIDs {
-		id, born = m.name, time.Now().UnixMilli()
+		id, bornMS = m.name, time.Now().UnixMilli()
 		delay = time.Duration((m.incarnationCount+1)%2) * registerDelay
 	}
 	incarnation := standin.NewTaskWorker(id, m.fleet.taskDuration)
-	incarnation.BornMS = born
+	incarnation.BornMS = bornMS
 	incarnation.Gangs = m.fleet.gangs
 	incarnation.MaxLease = maxLease
 	incarnation.ClockLag = m.clockSlowdown
@@ -116,13 +116,13 @@
 	if m.incarnation != incarnation {
 		return
 	}
-	born := ""
+	bornField := ""
 	if incarnation.BornMS != 0 {
-		born = fmt.Sprintf(`"born":%d,`, incarnation.BornMS)
+		bornField = fmt.Sprintf(`"born":%d,`, incarnation.BornMS)
 	}
 	m.fleet.store.Put("keyed.servers", incarnation.ID, fmt.Appendf(nil,
 		`{%s"service":"pool","address":%q,"zone":%q,"state":"ready","capacity":{"cpu":64000,"mem_mb":131072,"gpu":%d},"labels":["a",%q]}`,
-		born, m.address(), m.zone, machineGPU, m.rack))
+		bornField, m.address(), m.zone, machineGPU, m.rack))
 }
 
 // rackOf returns the rack of a machine. The machines of a zone, which have every second index,
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -174,7 +174,7 @@
 	if status, _ := f.call(f.instances[1], http.MethodDelete, id, "key-a", ""); status != http.StatusOK {
 		t.Fatalf("cancel: %d", status)
 	}
-	f.waitUntil("gone", func() bool { return f.incarnations[0].Running()+f.incarnations[1].Running() == 0 })
+	f.waitUntil("no task running", func() bool { return f.incarnations[0].Running()+f.incarnations[1].Running() == 0 })
 	f.waitUntil("cancelled", func() bool { return f.jobState(f.instances[0], id) == "cancelled" })
 }
 
--- a/gangs/coordinator.go
+++ b/gangs/coordinator.go
@@ -25,8 +25,8 @@
 // Coordinator manages the gang runs of one term. It is not safe for concurrent use.
 type Coordinator struct {
 	config   Config
-	gangs    map[string]*gang
-	nextPoll map[string]time.Time
+	gangs    map[string]*gang     // by run
+	nextPoll map[string]time.Time // by worker
 }
 
 // New returns a coordinator without runs.
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// withdraw ends a run before any start call was sent. If a start record was
-// appended, a stop record revokes it.
+// withdraw ends a run of which no task has started. If a start record was appended, a
+// stop record revokes it.
 func (c *Coordinator) withdraw(g *gang, failedWorker string, now time.Time) []Action {
 	return c.withdrawWithResult(g, scheduler.RunNotStarted, failedWorker, now)
 }
--- a/gangs/simulation_test.go
+++ b/gangs/simulation_test.go
@@ -112,7 +112,7 @@
 
 func (s *simulation) claimTerm() {
 	inst := s.drawInstance()
-	inst.unflushed = append(inst.unflushed, structs.Record{Term: &structs.Term{Number: inst.fold.Term.Number + 1, Holder: inst.name}})
+	inst.unflushed = append(inst.unflushed, structs.Record{Term: &structs.Term{Number: inst.fold.Term.Number + 1, Leader: inst.name}})
 }
 
 func (s *simulation) flushRecord() {
@@ -145,7 +145,7 @@
 }
 
 func (s *simulation) syncTerm(inst *instance) {
-	leading := inst.fold.Term.Holder == inst.name
+	leading := inst.fold.Term.Leader == inst.name
 	switch {
 	case leading && inst.term != inst.fold.Term.Number:
 		inst.term = inst.fold.Term.Number
--- a/instance/jobs.go
+++ b/instance/jobs.go
@@ -279,7 +279,7 @@
 	term := i.replica.Term()
 	return service.Status{
 		Name: i.settings.Name, Boot: i.boot, Ready: i.ready(), Draining: i.draining.Load(), TargetsVersion: version,
-		Term: term.Number, TermHolder: term.Holder, LogAvailable: i.logAvailable(), SnapshotAgeMS: i.snapshotAgeMS.Load(),
+		Term: term.Number, TermLeader: term.Leader, LogAvailable: i.logAvailable(), SnapshotAgeMS: i.snapshotAgeMS.Load(),
 	}
 }
 
--- a/instance/maintainer.go
+++ b/instance/maintainer.go
@@ -31,7 +31,7 @@
 func (m *maintainer) run(ctx context.Context) {
 	i := m.instance
 	for logstream.Sleep(ctx, maintenanceInterval) {
-		if i.replica.Term().Holder != i.identity || !i.logAvailable() {
+		if i.replica.Term().Leader != i.identity || !i.logAvailable() {
 			continue
 		}
 		m.snapshot(ctx)
--- a/instance/placer.go
+++ b/instance/placer.go
@@ -106,7 +106,7 @@
 func (p *placer) syncTerm(ctx context.Context) {
 	i := p.instance
 	term := i.replica.Term()
-	leading := term.Holder == i.identity
+	leading := term.Leader == i.identity
 	switch {
 	case leading && p.term != term.Number && !i.draining.Load():
 		p.startPlacing(ctx, term.Number)
@@ -114,7 +114,7 @@
 		p.term = 0 // the new leader has taken over the runs
 		i.events.Add("placing_ended", i.settings.Name, "", "")
 	case !leading && p.termClaimer.shouldClaim(p.observeTerm(term), i.now(), i.settings.TermTimeout):
-		i.appendRecord(&structs.Record{Kind: structs.RecordTerm, Term: &structs.Term{Number: term.Number + 1, Holder: i.identity}}, nil)
+		i.appendRecord(&structs.Record{Kind: structs.RecordTerm, Term: &structs.Term{Number: term.Number + 1, Leader: i.identity}}, nil)
 	}
 }
 
@@ -377,7 +377,7 @@
 	i := p.instance
 	waitCtx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	for i.replica.Term().Holder == i.identity && len(i.link.Connected()) > 0 {
+	for i.replica.Term().Leader == i.identity && len(i.link.Connected()) > 0 {
 		if !logstream.Sleep(waitCtx, foldPollInterval) {
 			return nil
 		}
--- a/instance/requests.go
+++ b/instance/requests.go
@@ -353,13 +353,13 @@
 	ctx, cancel := context.WithDeadline(ctx, e.spec.Deadline)
 	defer cancel()
 	result := i.runner.Send(ctx, upstream.Attempt{
-		ID:        e.id + "." + strconv.Itoa(action.Attempt),
-		Address:   i.slots.runnerAddress(action.Runner),
-		Class:     e.spec.Class,
-		Workspace: e.spec.Key.Workspace,
-		Key:       e.spec.Key.Key,
-		Body:      e.request.Body,
-		MaxAnswer: i.settings.MaxAnswerBytes,
+		ID:             e.id + "." + strconv.Itoa(action.Attempt),
+		Address:        i.slots.runnerAddress(action.Runner),
+		Class:          e.spec.Class,
+		Workspace:      e.spec.Key.Workspace,
+		Key:            e.spec.Key.Key,
+		Body:           e.request.Body,
+		MaxAnswerBytes: i.settings.MaxAnswerBytes,
 	})
 	failed := result.Ended.Kind != requests.AttemptAnswered || result.Ended.Status >= 500
 	result.Ended.RetryAllowed = i.slots.release(action.Runner, e.spec.Class, result, time.Since(started), failed)
--- a/instance/streams.go
+++ b/instance/streams.go
@@ -130,8 +130,8 @@
 
 // TermChanged implements replica.Observer.
 func (i *Instance) TermChanged(term structs.Term) {
-	i.log.WithField("term", term.Number).WithField("holder", term.Holder).Info("term_changed")
-	i.events.Add("term_changed", term.Holder, "", "")
+	i.log.WithField("term", term.Number).WithField("holder", term.Leader).Info("term_changed")
+	i.events.Add("term_changed", term.Leader, "", "")
 }
 
 // appendRecord stamps a record and passes it to the ledger's writer. It reports false
--- a/instance/term.go
+++ b/instance/term.go
@@ -57,13 +57,15 @@
 	}
 }
 
-// leaderGone reports whether the term has no leader that is alive and not draining.
+// leaderGone reports whether there is no term yet, or its leader is draining, was silent
+// for the term timeout, or has restarted. If the leader has this instance's name, it is an
+// earlier boot of this instance.
 func (p *placer) leaderGone(term structs.Term) bool {
 	i := p.instance
 	if term.Number == 0 {
 		return true
 	}
-	name, bootText, _ := strings.Cut(term.Holder, "/")
+	name, bootText, _ := strings.Cut(term.Leader, "/")
 	boot, err := strconv.ParseInt(bootText, 10, 64)
 	if err != nil || name == i.settings.Name {
 		return true
--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -15,7 +15,7 @@
 
 // buildRecords returns a stream whose fold has the given size.
 func buildRecords(tasks, jobs, keys int) []*structs.Record {
-	list := []*structs.Record{{Term: &structs.Term{Number: 1, Holder: "entry-0/1"}}}
+	list := []*structs.Record{{Term: &structs.Term{Number: 1, Leader: "entry-0/1"}}}
 	perJob := max(tasks/jobs, 1)
 	for n := range jobs {
 		id := fmt.Sprintf("j%013d", n)
--- a/ledger/snapshot.go
+++ b/ledger/snapshot.go
@@ -127,7 +127,7 @@
 
 // Assembler collects parts in stream order and retains the newest complete snapshot.
 type Assembler struct {
-	incomplete map[string]map[int][]byte
+	incomplete map[string]map[int][]byte // parts by snapshot ID and checksum, then by index
 	newest     *Snapshot
 }
 
--- a/requests/simulation_test.go
+++ b/requests/simulation_test.go
@@ -333,10 +333,10 @@
 // The property test must detect each mechanism that a mutation disables.
 func TestProofNoticesBrokenMechanisms(t *testing.T) {
 	for name, broken := range map[string]mutation{
-		"send before the claim is read back":  sendBeforeClaimRead,
-		"release after something was sent":    releaseAfterSend,
-		"forget keys without refusing them":   pruneWithoutRefusal,
-		"release of a lost holder by another": releaseByAnother,
+		"send before the claim is read back":          sendBeforeClaimRead,
+		"release after something was sent":            releaseAfterSend,
+		"prune keys without rejecting them":           pruneWithoutRefusal,
+		"release of a lost claim by another instance": releaseByAnother,
 	} {
 		t.Run(name, func(t *testing.T) {
 			if !prooftest.Fails(func(t *rapid.T) { newSimulation(t, broken).run() }) {
--- a/service/service.go
+++ b/service/service.go
@@ -69,7 +69,7 @@
 	Draining       bool   `json:"draining"`
 	TargetsVersion int64  `json:"targets_version"`
 	Term           int64  `json:"term"`
-	TermHolder     string `json:"term_holder"`
+	TermLeader     string `json:"term_holder"`
 	LogAvailable   bool   `json:"log_available"`
 	// SnapshotAgeMS is the age of the peer's snapshot that this instance started from
 	// while the log was unavailable; 0 otherwise.
--- a/structs/record.go
+++ b/structs/record.go
@@ -134,7 +134,7 @@
 // plus one.
 type Term struct {
 	Number int64  `json:"number"`
-	Holder string `json:"holder"`
+	Leader string `json:"holder"`
 }
 
 // Prune removes ended keys and jobs that were issued before BeforeMS.
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -11,13 +11,13 @@
 
 // Attempt is one attempt to execute a request at one runner.
 type Attempt struct {
-	ID        string // unique; the runner echoes it with its answer
-	Address   string // IP:PORT
-	Class     string
-	Workspace string
-	Key       string
-	Body      []byte
-	MaxAnswer int64 // bytes
+	ID             string // unique; the runner echoes it with its answer
+	Address        string // IP:PORT
+	Class          string
+	Workspace      string
+	Key            string
+	Body           []byte
+	MaxAnswerBytes int64
 }
 
 // Result is the result of an attempt: Ended for the state machine of the request,
