--- a/adapters/fronthttp/fronthttp.go
+++ b/adapters/fronthttp/fronthttp.go
@@ -65,19 +65,19 @@
 func Handler(s service.Service, registry metrics.Registry) http.Handler {
 	f := &front{service: s, registry: registry}
 	router := mux.NewRouter()
-	router.HandleFunc("/v1/requests/{class}", f.request).Methods(http.MethodPost)
-	router.HandleFunc("/v1/keys/{workspace}/{key}", f.key).Methods(http.MethodGet)
-	router.HandleFunc("/v1/jobs", f.submitJob).Methods(http.MethodPost)
-	router.HandleFunc("/v1/jobs/{id}", f.job).Methods(http.MethodGet)
-	router.HandleFunc("/v1/jobs/{id}", f.cancelJob).Methods(http.MethodDelete)
-	router.HandleFunc("/v1/targets", f.targets).Methods(http.MethodGet)
-	router.HandleFunc("/v1/targets", f.propose).Methods(http.MethodPost)
-	router.HandleFunc("/v1/refusals", f.refusals).Methods(http.MethodGet)
-	router.HandleFunc("/v1/timeline", f.timeline).Methods(http.MethodGet)
-	router.HandleFunc("/v1/status", f.status).Methods(http.MethodGet)
-	router.HandleFunc("/healthz", f.health).Methods(http.MethodGet)
-	router.HandleFunc("/readyz", f.ready).Methods(http.MethodGet)
-	router.HandleFunc("/metrics", f.metrics).Methods(http.MethodGet)
+	router.HandleFunc("/v1/requests/{class}", f.serveRequest).Methods(http.MethodPost)
+	router.HandleFunc("/v1/keys/{workspace}/{key}", f.serveKey).Methods(http.MethodGet)
+	router.HandleFunc("/v1/jobs", f.serveSubmitJob).Methods(http.MethodPost)
+	router.HandleFunc("/v1/jobs/{id}", f.serveJob).Methods(http.MethodGet)
+	router.HandleFunc("/v1/jobs/{id}", f.serveCancelJob).Methods(http.MethodDelete)
+	router.HandleFunc("/v1/targets", f.serveTargets).Methods(http.MethodGet)
+	router.HandleFunc("/v1/targets", f.servePropose).Methods(http.MethodPost)
+	router.HandleFunc("/v1/refusals", f.serveRefusals).Methods(http.MethodGet)
+	router.HandleFunc("/v1/timeline", f.serveTimeline).Methods(http.MethodGet)
+	router.HandleFunc("/v1/status", f.serveStatus).Methods(http.MethodGet)
+	router.HandleFunc("/healthz", f.serveHealth).Methods(http.MethodGet)
+	router.HandleFunc("/readyz", f.serveReady).Methods(http.MethodGet)
+	router.HandleFunc("/metrics", f.serveMetrics).Methods(http.MethodGet)
 	router.NotFoundHandler = http.HandlerFunc(notFound)
 	return router
 }
@@ -177,7 +177,7 @@
 	return true
 }
 
-func (f *front) request(w http.ResponseWriter, r *http.Request) {
+func (f *front) serveRequest(w http.ResponseWriter, r *http.Request) {
 	body, ok := f.readBody(w, r)
 	if !ok {
 		return
@@ -225,7 +225,7 @@
 	_, _ = w.Write(result.Answer) // an error means that the caller has gone
 }
 
-func (f *front) key(w http.ResponseWriter, r *http.Request) {
+func (f *front) serveKey(w http.ResponseWriter, r *http.Request) {
 	entry := f.service.KeyState(structs.KeyID{Workspace: mux.Vars(r)["workspace"], Key: mux.Vars(r)["key"]})
 	if entry == nil {
 		refuse(w, structs.ReasonNotFound, "no such key is remembered")
@@ -234,7 +234,7 @@
 	writeJSON(w, http.StatusOK, KeyBody{Phase: entry.Phase, Reason: entry.Reason, Class: entry.Claim.Class, Holder: entry.Claim.Holder})
 }
 
-func (f *front) submitJob(w http.ResponseWriter, r *http.Request) {
+func (f *front) serveSubmitJob(w http.ResponseWriter, r *http.Request) {
 	var job service.JobRequest
 	if !f.readJSON(w, r, &job) {
 		return
@@ -252,7 +252,7 @@
 	return ReplyBody{Outcome: reply.Outcome, Reason: reply.Reason, Detail: reply.Detail, ID: reply.ID, RetryAfterSec: ceilSeconds(reply.RetryAfter)}
 }
 
-func (f *front) job(w http.ResponseWriter, r *http.Request) {
+func (f *front) serveJob(w http.ResponseWriter, r *http.Request) {
 	state := f.service.Job(mux.Vars(r)["id"])
 	if state == nil {
 		refuse(w, structs.ReasonNotFound, "no such job is remembered")
@@ -261,16 +261,16 @@
 	writeJSON(w, http.StatusOK, state)
 }
 
-func (f *front) cancelJob(w http.ResponseWriter, r *http.Request) {
+func (f *front) serveCancelJob(w http.ResponseWriter, r *http.Request) {
 	reply := f.service.CancelJob(r.Context(), mux.Vars(r)["id"])
 	writeReply(w, httpStatus(reply.Outcome, reply.Reason), replyBody(reply))
 }
 
-func (f *front) targets(w http.ResponseWriter, _ *http.Request) {
+func (f *front) serveTargets(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, f.service.Targets())
 }
 
-func (f *front) propose(w http.ResponseWriter, r *http.Request) {
+func (f *front) servePropose(w http.ResponseWriter, r *http.Request) {
 	var proposal service.TargetsDocument
 	if !f.readJSON(w, r, &proposal) {
 		return
@@ -281,7 +281,7 @@
 	writeReply(w, httpStatus(reply.Outcome, reply.Reason), body)
 }
 
-func (f *front) refusals(w http.ResponseWriter, r *http.Request) {
+func (f *front) serveRefusals(w http.ResponseWriter, r *http.Request) {
 	list, err := f.service.Refusals(r.Context(), r.URL.Query().Get("workspace"))
 	if err != nil {
 		refuse(w, structs.ReasonLogUnavailable, "recorded refusals cannot be read now")
@@ -290,21 +290,21 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-func (f *front) timeline(w http.ResponseWriter, r *http.Request) {
+func (f *front) serveTimeline(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	events, overwritten := f.service.Events(timeline.Filter{Subject: query.Get("job"), Workspace: query.Get("workspace")})
 	writeJSON(w, http.StatusOK, EventsBody{Events: events, Overwritten: overwritten})
 }
 
-func (f *front) status(w http.ResponseWriter, _ *http.Request) {
+func (f *front) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, f.service.Status())
 }
 
-func (f *front) health(w http.ResponseWriter, _ *http.Request) {
+func (f *front) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, f.service.Status())
 }
 
-func (f *front) ready(w http.ResponseWriter, _ *http.Request) {
+func (f *front) serveReady(w http.ResponseWriter, _ *http.Request) {
 	status := f.service.Status()
 	code := http.StatusOK
 	if !status.Ready || status.Draining {
@@ -313,7 +313,7 @@
 	writeJSON(w, code, status)
 }
 
-func (f *front) metrics(w http.ResponseWriter, _ *http.Request) {
+func (f *front) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	metrics.WriteJSONOnce(f.registry, w)
 }
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -79,7 +79,7 @@
 	f.storeServer = server
 	f.gangs = standin.NewGangCoordinator(gangWaitTimeout)
 	f.storeAddr = strings.TrimPrefix(server.URL, "http://")
-	f.configure(1)
+	f.publishConfig(1)
 	for index := range workers {
 		f.addMachine(index)
 	}
@@ -119,8 +119,8 @@
 	f.store.Put("keyed.op", "evacuate/"+zone, nil)
 }
 
-// configure publishes a version of the platform's configuration.
-func (f *fleet) configure(version int) {
+// publishConfig publishes a version of the platform's configuration.
+func (f *fleet) publishConfig(version int) {
 	f.store.Put("keyed.op", "config", fmt.Appendf(nil, fleetConfig, version))
 }
 
--- a/e2e/storm_faults_test.go
+++ b/e2e/storm_faults_test.go
@@ -46,7 +46,7 @@
 	}
 	s.configVersion++
 	version := s.configVersion
-	return stormFault{"configuration", func(time.Duration) { s.configure(version) }}
+	return stormFault{"configuration", func(time.Duration) { s.publishConfig(version) }}
 }
 
 // drawInstanceFault draws a fault of an instance or of a connection to or from it.
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -135,7 +135,7 @@
 	i.refusals = newRefusalLog(i.refusalWriter, i.identity)
 	i.slots = newSlotAllocator(rand.Uint64())
 	i.peerSync = newPeerSync(i)
-	i.link = peers.New(i.settings.Name, i.boot, i.events.Clock(), i.peerSync.handle, i.log, i.now)
+	i.link = peers.New(i.settings.Name, i.boot, i.events.Clock(), i.peerSync.handleMessage, i.log, i.now)
 	i.listPoller = newListPoller(i)
 	i.placer = newPlacer(i)
 	i.replica.Observe(i)
--- a/instance/maintainer.go
+++ b/instance/maintainer.go
@@ -34,13 +34,13 @@
 		if i.replica.Term().Leader != i.identity || !i.logAvailable() {
 			continue
 		}
-		m.snapshot(ctx)
-		m.prune()
+		m.writeSnapshotIfDue(ctx)
+		m.pruneIfDue()
 		m.closeLostClaims()
 	}
 }
 
-func (m *maintainer) snapshot(ctx context.Context) {
+func (m *maintainer) writeSnapshotIfDue(ctx context.Context) {
 	i := m.instance
 	now := i.now()
 	ledgerNext, targetsNext := i.replica.Offsets()
@@ -76,7 +76,7 @@
 	return nil
 }
 
-func (m *maintainer) prune() {
+func (m *maintainer) pruneIfDue() {
 	i := m.instance
 	now := i.now()
 	if now.Sub(m.prunedAt) < i.settings.KeyRetention/prunesPerKeyWindow {
--- a/instance/peersync.go
+++ b/instance/peersync.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// handle processes a message from another instance. It returns the reply, or nil.
-func (s *peerSync) handle(envelope *peerpb.Envelope) *peerpb.Envelope {
+// handleMessage processes a message from another instance. It returns the reply, or nil.
+func (s *peerSync) handleMessage(envelope *peerpb.Envelope) *peerpb.Envelope {
 	i := s.instance
 	switch body := envelope.GetBody().(type) {
 	case *peerpb.Envelope_RunnerLeaving:
--- a/instance/requests.go
+++ b/instance/requests.go
@@ -152,9 +152,9 @@
 	ended  bool
 }
 
-// post passes an event to the machine. If the request has ended, a slot in the event is
+// postEvent passes an event to the machine. If the request has ended, a slot in the event is
 // released.
-func (e *execution) post(event requests.Event) {
+func (e *execution) postEvent(event requests.Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ended {
@@ -249,23 +249,23 @@
 func (e *execution) claimKey(ctx context.Context) {
 	i := e.instance
 	if entry := i.replica.Key(e.spec.Key); entry != nil && entry.Phase != ledger.KeyReleased {
-		e.post(e.claimReadEvent(entry))
+		e.postEvent(e.claimReadEvent(entry))
 		return
 	}
 	results, unregister := i.replica.AwaitClaim(e.id)
 	defer unregister()
 	claim := &structs.Claim{ID: e.id, Key: e.spec.Key, Class: e.spec.Class, Digest: e.spec.Digest, Holder: i.identity, IssuedMS: e.issuedMS()}
 	if !i.appendRecord(&structs.Record{Kind: structs.RecordClaim, Claim: claim}, e.abandoned) {
-		e.post(requests.ClaimRead{Reason: structs.ReasonLogUnavailable})
+		e.postEvent(requests.ClaimRead{Reason: structs.ReasonLogUnavailable})
 		return
 	}
 	timer := time.NewTimer(i.settings.ClaimTimeout)
 	defer timer.Stop()
 	select {
 	case result := <-results:
-		e.post(e.claimResultEvent(result.Entry, result.VoidReason))
+		e.postEvent(e.claimResultEvent(result.Entry, result.VoidReason))
 	case <-timer.C:
-		e.post(requests.ClaimRead{Reason: structs.ReasonLogUnavailable, Appended: true})
+		e.postEvent(requests.ClaimRead{Reason: structs.ReasonLogUnavailable, Appended: true})
 	case <-ctx.Done():
 	}
 }
@@ -341,10 +341,10 @@
 
 func (e *execution) postSlot(result balancer.AcquireResult) {
 	if result.Runner == "" {
-		e.post(requests.SlotRefused{Reason: result.Refusal.Reason, RetryAfter: result.Refusal.RetryAfter})
+		e.postEvent(requests.SlotRefused{Reason: result.Refusal.Reason, RetryAfter: result.Refusal.RetryAfter})
 		return
 	}
-	e.post(requests.RunnerPicked{Runner: result.Runner})
+	e.postEvent(requests.RunnerPicked{Runner: result.Runner})
 }
 
 func (e *execution) sendAttempt(ctx context.Context, action requests.SendAttempt) {
@@ -363,7 +363,7 @@
 	})
 	failed := result.Ended.Kind != requests.AttemptAnswered || result.Ended.Status >= 500
 	result.Ended.RetryAllowed = i.slots.release(action.Runner, e.spec.Class, result, time.Since(started), failed)
-	e.post(result.Ended)
+	e.postEvent(result.Ended)
 }
 
 func (e *execution) appendRelease(action requests.AppendRelease) {
--- a/logsink/logsink.go
+++ b/logsink/logsink.go
@@ -71,7 +71,7 @@
 type Budget struct {
 	limit int
 
-	lock        sync.Mutex
+	mu          sync.Mutex
 	windowStart time.Time
 	used        map[string]int
 	skipped     map[string]int
@@ -91,8 +91,8 @@
 // Allow reports whether a line of a kind may be written at now. The first call of a
 // new second also returns the counts of lines left out in the previous one.
 func (b *Budget) Allow(kind string, now time.Time) (ok bool, skipped []SkippedLines) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if now.Sub(b.windowStart) >= time.Second {
 		for skippedKind, count := range b.skipped {
 			skipped = append(skipped, SkippedLines{Kind: skippedKind, Count: count})
--- a/logstream/tailer.go
+++ b/logstream/tailer.go
@@ -15,7 +15,7 @@
 type Sink interface {
 	// Next returns the offset of the next record to fold.
 	Next() int64
-	// Fold applies consecutive records, the first of which has the offset first.
+	// Fold applies consecutive records; first is the offset of the first record.
 	Fold(first int64, records [][]byte)
 	// Gap reports that records from Next up to first are no longer retained. The
 	// sink must recover from a newer snapshot; the tailer then calls Next again.
--- a/peers/link.go
+++ b/peers/link.go
@@ -132,18 +132,18 @@
 		if err != nil {
 			return
 		}
-		l.observe(envelope)
+		l.recordPeerState(envelope)
 		reply := l.handler(envelope)
 		if reply == nil {
 			continue
 		}
-		if err := l.write(stream, reply); err != nil {
+		if err := l.writeEnvelope(stream, reply); err != nil {
 			return
 		}
 	}
 }
 
-func (l *Link) observe(envelope *peerpb.Envelope) {
+func (l *Link) recordPeerState(envelope *peerpb.Envelope) {
 	if stamp := envelope.GetStamp(); stamp != nil {
 		l.clock.Observe(hlc.Stamp{WallMS: stamp.GetWallMs(), Counter: stamp.GetCounter()})
 	}
@@ -180,12 +180,12 @@
 	}
 	for name, address := range addresses {
 		if l.peers[name] == nil {
-			l.connect(ctx, name, address)
+			l.connectPeer(ctx, name, address)
 		}
 	}
 }
 
-func (l *Link) connect(ctx context.Context, name, address string) {
+func (l *Link) connectPeer(ctx context.Context, name, address string) {
 	ctx, cancel := context.WithCancel(ctx)
 	p := &peer{address: address, outgoing: ring.New[*peerpb.Envelope](outgoingCapacity), cancel: cancel}
 	l.peers[name] = p
@@ -231,7 +231,7 @@
 		if !ok {
 			return
 		}
-		if err := l.write(stream, envelope); err != nil {
+		if err := l.writeEnvelope(stream, envelope); err != nil {
 			return
 		}
 	}
@@ -292,14 +292,14 @@
 	if err := stream.SetDeadline(time.Now().Add(requestTimeout)); err != nil {
 		return nil, eris.Wrap(err, "peer stream deadline")
 	}
-	if err := l.write(stream, envelope); err != nil {
+	if err := l.writeEnvelope(stream, envelope); err != nil {
 		return nil, err
 	}
 	reply, err := readEnvelope(bufio.NewReader(stream))
 	if err != nil {
 		return nil, err
 	}
-	l.observe(reply)
+	l.recordPeerState(reply)
 	return reply, nil
 }
 
@@ -336,9 +336,9 @@
 	return all
 }
 
-// write sends a stamped copy of an envelope; the envelope itself is not changed, as
+// writeEnvelope sends a stamped copy of an envelope; the envelope itself is not changed, as
 // several sessions may send it concurrently.
-func (l *Link) write(writer io.Writer, envelope *peerpb.Envelope) error {
+func (l *Link) writeEnvelope(writer io.Writer, envelope *peerpb.Envelope) error {
 	now := l.clock.Now()
 	stamped := &peerpb.Envelope{
 		Stamp:  &peerpb.Stamp{WallMs: now.WallMS, Counter: now.Counter},
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -138,9 +138,9 @@
 func (r *replayer) applyEvent(event Event) {
 	switch event.Event {
 	case EventSubmit:
-		r.submit(event)
+		r.submitJob(event)
 	case EventCancel:
-		r.cancel(event.Job)
+		r.cancelJob(event.Job)
 	case EventWorkerDown:
 		r.stepPolicy(scheduler.WorkerDown{Worker: event.Worker})
 	case EventWorkerUp:
@@ -164,7 +164,7 @@
 	return scheduler.WorkerSpec{ID: name}
 }
 
-func (r *replayer) submit(event Event) {
+func (r *replayer) submitJob(event Event) {
 	if r.jobs[event.Job] != nil {
 		return // a retry of an earlier submission
 	}
@@ -219,7 +219,7 @@
 	}
 }
 
-func (r *replayer) cancel(id string) {
+func (r *replayer) cancelJob(id string) {
 	job := r.jobs[id]
 	if job == nil || job.phase > jobRunning {
 		return
@@ -240,12 +240,12 @@
 func (r *replayer) applyAction(action scheduler.Action) {
 	switch a := action.(type) {
 	case scheduler.Place:
-		r.place(a)
+		r.placeRun(a)
 	case scheduler.Preempt:
 		r.metrics.preemptions++
-		r.preempt(a)
+		r.preemptRun(a)
 	case scheduler.Abort:
-		r.abort(a)
+		r.abortRun(a)
 	case scheduler.End:
 		if job := r.jobs[a.Job]; job != nil && job.phase <= jobRunning {
 			r.endJob(job, jobRefused)
@@ -253,7 +253,7 @@
 	}
 }
 
-func (r *replayer) place(action scheduler.Place) {
+func (r *replayer) placeRun(action scheduler.Place) {
 	job := r.jobs[action.Job]
 	r.checkPlacement(job, action)
 	run := &activeRun{id: action.Run, job: job, members: action.Members, startedAt: r.now, result: scheduler.RunFinished}
@@ -318,7 +318,7 @@
 	heap.Push(&r.ends, plannedEnd{at: at, seq: r.lastSeq, run: run, version: run.endVersion})
 }
 
-func (r *replayer) preempt(action scheduler.Preempt) {
+func (r *replayer) preemptRun(action scheduler.Preempt) {
 	run := r.runs[action.Run]
 	if run == nil || run.endsAt <= r.now+checkpointDuration {
 		return
@@ -327,7 +327,7 @@
 	r.pushEnd(run, r.now+checkpointDuration)
 }
 
-func (r *replayer) abort(action scheduler.Abort) {
+func (r *replayer) abortRun(action scheduler.Abort) {
 	run := r.runs[action.Run]
 	if run == nil {
 		return
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -28,7 +28,7 @@
 
 // ClaimResult is the result of folding a claim.
 type ClaimResult struct {
-	Entry      *ledger.KeyEntry // the key's entry after the claim was folded; nil if the claim is void and there is none
+	Entry      *ledger.KeyEntry // the key's entry after the claim was folded; nil if the key has none
 	VoidReason ledger.VoidReason
 }
 
--- a/standin/taskchecker.go
+++ b/standin/taskchecker.go
@@ -17,7 +17,7 @@
 	violations   []string
 
 	evacuated      map[string]time.Time // start of the evacuation, by availability zone
-	evacuateWithin time.Duration        // time after which no task may start there; see Evacuate
+	evacuateWithin time.Duration        // time from the start of an evacuation until no task may start in the zone
 }
 
 // NewTaskChecker returns a checker without tasks.
--- a/standin/taskworker.go
+++ b/standin/taskworker.go
@@ -252,7 +252,7 @@
 	if size := gangSize(order.Task, order.Spec); size > 1 && w.Gangs != nil {
 		run.gang = w.Gangs.join(size, gangMember{worker: w, task: order.Task, run: run})
 	} else {
-		run.timer = time.AfterFunc(run.duration, func() { w.finish(order.Task, run) })
+		run.timer = time.AfterFunc(run.duration, func() { w.finishRun(order.Task, run) })
 	}
 	w.running[order.Task] = run
 	if strings.HasPrefix(order.Spec, "crash") && w.Crash != nil {
@@ -268,7 +268,7 @@
 	return w.RunTime
 }
 
-func (w *TaskWorker) finish(task string, run *taskRun) {
+func (w *TaskWorker) finishRun(task string, run *taskRun) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	outcome := "done"
