--- a/e2e/storm_faults_test.go
+++ b/e2e/storm_faults_test.go
@@ -46,7 +46,7 @@
 	}
 	s.configVersion++
 	version := s.configVersion
-	return stormFault{"configuration", func(time.Duration) { s.configure(version) }}
+	return stormFault{"configuration", func(time.Duration) { s.publishConfig(version) }}
 }
 
 // drawInstanceFault draws a fault of an instance or of a connection to or from it.
@@ -82,7 +82,7 @@
 func (s *storm) moveStore(name string, duration time.Duration) {
 	instance := s.instanceByName(name)
 	formerProxy := instance.storeProxy
-	instance.storeProxy = s.proxy(s.storeAddr)
+	instance.storeProxy = s.startProxy(s.storeAddr)
 	s.rewriteSettings(instance, formerProxy.Address(), instance.storeProxy.Address())
 	time.Sleep(duration)
 	formerProxy.Close()
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -28,7 +28,7 @@
 
 // ClaimResult is the result of folding a claim.
 type ClaimResult struct {
-	Entry      *ledger.KeyEntry // the key's entry after the claim was folded; nil if the claim is void and there is none
+	Entry      *ledger.KeyEntry // the key's entry after the claim was folded; nil if the key has none
 	VoidReason ledger.VoidReason
 }
 
@@ -126,9 +126,9 @@
 	}
 }
 
-// Gap reports whether records were removed by retention before they were read, and
+// HasGap reports whether records were removed by retention before they were read, and
 // no newer snapshot was restored since.
-func (r *Replica) Gap() bool {
+func (r *Replica) HasGap() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ledgerGap || r.targetsGap
