--- a/batch/adaptivetimeout.go
+++ b/batch/adaptivetimeout.go
@@ -10,7 +10,7 @@
 	// store that has just become slow takes 0.3 s for each append to a part, and retries would only
 	// lengthen its queue.
 	minCallTimeout = 600 * time.Millisecond
-	// maxCallTimeout is the longest one; the store refuses calls when 2 s of work are queued.
+	// maxCallTimeout is the longest timeout; the store refuses calls when 2 s of work are queued.
 	maxCallTimeout = 2 * time.Second
 	// timeoutFactor is the ratio of the timeout to the usual latency. It keeps a slow store from
 	// being sent the same work again and again.
@@ -22,10 +22,10 @@
 // adaptiveTimeout derives the timeout of calls from the latency of earlier ones. Each lost answer
 // doubles the timeout, as the store may have become slow.
 type adaptiveTimeout struct {
-	minimum   time.Duration // of a call; 0 for minCallTimeout
-	lock      sync.Mutex
-	latency   time.Duration
-	lostInRow int // lost answers in a row
+	minimum           time.Duration // of a call; 0 for minCallTimeout
+	lock              sync.Mutex
+	latency           time.Duration
+	consecutiveLosses int // lost answers since the last one that arrived
 }
 
 // current returns the timeout of the next call.
@@ -37,7 +37,7 @@
 		minimum = minCallTimeout
 	}
 	timeout := max(minimum, timeoutFactor*t.latency)
-	for range t.lostInRow {
+	for range t.consecutiveLosses {
 		timeout = min(maxCallTimeout, 2*timeout)
 	}
 	return min(maxCallTimeout, timeout)
@@ -48,11 +48,11 @@
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.latency += time.Duration(latencyWeight * float64(latency-t.latency))
-	t.lostInRow = 0
+	t.consecutiveLosses = 0
 }
 
 // currentIgnoringLosses returns the timeout without regard to lost answers, for calls to many
-// servers of which some never answer.
+// servers, because some of them may never answer.
 func (t *adaptiveTimeout) currentIgnoringLosses() time.Duration {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -63,5 +63,5 @@
 func (t *adaptiveTimeout) recordLoss() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	t.lostInRow++
+	t.consecutiveLosses++
 }
--- a/batch/batch_test.go
+++ b/batch/batch_test.go
@@ -52,18 +52,18 @@
 
 func TestStoreTimeoutAdaptsAndDoubles(t *testing.T) {
 	is := is.New(t)
-	var p adaptiveTimeout
-	is.Equal(p.current(), minCallTimeout)
-	p.recordLoss()
-	is.Equal(p.current(), 2*minCallTimeout)
+	var timeout adaptiveTimeout
+	is.Equal(timeout.current(), minCallTimeout)
+	timeout.recordLoss()
+	is.Equal(timeout.current(), 2*minCallTimeout)
 	for range 20 {
-		p.observe(300 * time.Millisecond)
+		timeout.observe(300 * time.Millisecond)
 	}
-	is.True(p.current() > time.Second) // four times the usual answer time
+	is.True(timeout.current() > time.Second) // four times the usual answer time
 	for range 9 {
-		p.recordLoss()
+		timeout.recordLoss()
 	}
-	is.Equal(p.current(), maxCallTimeout)
+	is.Equal(timeout.current(), maxCallTimeout)
 }
 
 func TestRecordsOfOneJobShareOnePart(t *testing.T) {
@@ -115,16 +115,16 @@
 	is := is.New(t)
 	for _, c := range []struct {
 		results []error
-		fate    error
+		want    error
 	}{
 		{nil, nil},
 		{[]error{ErrNotApplied}, ErrNotApplied},
 		{[]error{ErrResultUnknown, nil}, nil},
-		{[]error{ErrResultUnknown, ErrNotApplied}, ErrResultUnknown}, // the first try may still take effect
+		{[]error{ErrResultUnknown, ErrNotApplied}, ErrResultUnknown}, // the first attempt may still take effect
 		{[]error{ErrResultUnknown, ErrResultUnknown}, ErrResultUnknown},
 	} {
 		committer := startCommitter(t, &scriptedStore{results: c.results})
-		is.Equal(committer.write(context.Background(), jobs.CancelRecord("a")), c.fate)
+		is.Equal(committer.write(context.Background(), jobs.CancelRecord("a")), c.want)
 	}
 }
 
@@ -208,21 +208,21 @@
 	is := is.New(t)
 	committer := startCommitter(t, &scriptedStore{results: []error{ErrResultUnknown, ErrResultUnknown}})
 	before := committer.clock.Now()
-	is.True(!committer.unresponsive(before))
+	is.True(!committer.storeUnresponsive(before))
 	is.Equal(committer.write(context.Background(), jobs.CancelRecord("a")), ErrResultUnknown)
 	for committer.unknownAt.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	is.True(committer.unresponsive(before))
-	is.True(!committer.unresponsive(committer.clock.Now().Add(time.Millisecond)))
+	is.True(committer.storeUnresponsive(before))
+	is.True(!committer.storeUnresponsive(committer.clock.Now().Add(time.Millisecond)))
 }
 
 func TestRetryAfterIsLongerEarlyInOutage(t *testing.T) {
 	is := is.New(t)
-	is.Equal(retryDelayFor(0, 0, false), retryStoreDown)
-	is.Equal(retryDelayFor(1, 0, false), retryEarlyOutage)
-	is.Equal(retryDelayFor(1, earlyOutage, false), retryStoreDown)
-	is.Equal(retryDelayFor(1, earlyOutage, true), retryOtherInstance)
+	is.Equal(retryDelayFor(0, 0, false), storeDownRetryAfter)
+	is.Equal(retryDelayFor(1, 0, false), earlyOutageRetryAfter)
+	is.Equal(retryDelayFor(1, earlyOutageDuration, false), storeDownRetryAfter)
+	is.Equal(retryDelayFor(1, earlyOutageDuration, true), isolatedRetryAfter)
 }
 
 // lossyStore adds appends to its log and loses their answers.
@@ -265,12 +265,12 @@
 		is.Equal(store.appends, 1)
 		committer.readBack = func(context.Context, []jobs.Record) (bool, error) { return false, nil }
 		is.Equal(committer.append(t.Context(), []*commit{{record: jobs.CancelRecord("a")}}), ErrResultUnknown)
-		is.Equal(store.appends, 1+maxCommitTries)
-		// If reads fail too, the call goes to other instances without another try.
+		is.Equal(store.appends, 1+maxCommitAttempts)
+		// If reads fail too, the call goes to other instances without another attempt.
 		committer.readBack = func(context.Context, []jobs.Record) (bool, error) { return false, errDown }
 		err := committer.append(t.Context(), []*commit{{record: jobs.CancelRecord("a")}})
 		is.True(errors.Is(err, errStoreUnreachable) && errors.Is(err, ErrResultUnknown))
-		is.Equal(store.appends, 2+maxCommitTries)
+		is.Equal(store.appends, 2+maxCommitAttempts)
 	})
 }
 
@@ -287,11 +287,11 @@
 		record, err := jobs.TermRecord(jobs.Term{Epoch: 3, Leader: "a/1", Renewals: 6})
 		is.NoErr(err)
 		instance.fold.apply(statePart, Batch{Records: []jobs.Record{record}, Offsets: []int64{0}})
-		is.Equal(writer.states.tryAppend(t.Context(), nil), ErrResultUnknown)
+		is.Equal(writer.states.appendOnce(t.Context(), nil), ErrResultUnknown)
 		record, err = jobs.TermRecord(renewed)
 		is.NoErr(err)
 		instance.fold.apply(statePart, Batch{Records: []jobs.Record{record}, Offsets: []int64{1}})
-		is.NoErr(writer.states.tryAppend(t.Context(), nil))
+		is.NoErr(writer.states.appendOnce(t.Context(), nil))
 	})
 }
 
@@ -378,7 +378,7 @@
 		second := []jobs.Record{jobs.GroupMarkRecord(3, 2), progress}
 		instance := writer.leader.instance
 		instance.fold.apply(7, Batch{Records: first, Offsets: []int64{0, 1}})
-		is.NoErr(writer.progress.tryAppend(t.Context(), first))
-		is.Equal(writer.progress.tryAppend(t.Context(), second), ErrResultUnknown)
+		is.NoErr(writer.progress.appendOnce(t.Context(), first))
+		is.Equal(writer.progress.appendOnce(t.Context(), second), ErrResultUnknown)
 	})
 }
--- a/batch/bounds.go
+++ b/batch/bounds.go
@@ -28,9 +28,9 @@
 type bounds struct {
 	lock          sync.Mutex
 	current       Bounds
-	shortestLease time.Duration // of the instances' leases until the change has propagated
-	longestLease  time.Duration
-	propagatedAt  time.Time
+	shortestLease time.Duration // shortest lease in force at any instance until propagatedAt
+	longestLease  time.Duration // longest lease granted to any instance until propagatedAt
+	propagatedAt  time.Time     // time at which no lease under previous bounds is left
 }
 
 func newBounds(first Bounds) *bounds {
@@ -94,7 +94,7 @@
 		ReclaimTimeout:      current.ReclaimTimeout,
 		EndedJobRetention:   current.EndedJobRetention,
 		EvacuationTimeout:   current.EvacuationTimeout,
-		LostLeaderTimeout:   leaderGiveUpTime,
+		LostLeaderTimeout:   leaderGiveUpTimeout,
 		ReleasedTermTimeout: handOverTimeout,
 		// A delegate may keep driving workers for an ended leader until its grant expires.
 		ExitedLeaderTimeout: grantDuration,
--- a/batch/bounds_test.go
+++ b/batch/bounds_test.go
@@ -66,13 +66,13 @@
 	link.recordAnswer(1)
 	now := link.env.clock.Now()
 	link.extendLease(now)
-	grantedLapse := link.lapse()
+	grantedLapse := link.leaseLapse()
 	link.env.bounds.update(Bounds{MaxLease: shortLease}, now)
 	link.extendLease(now.Add(100 * time.Millisecond))
-	is.Equal(link.lapse(), grantedLapse)
+	is.Equal(link.leaseLapse(), grantedLapse)
 	later := now.Add(3 * time.Second)
 	link.extendLease(later)
-	is.Equal(link.lapse(), later.Add(placing.LeaseExpiry(shortLease)))
+	is.Equal(link.leaseLapse(), later.Add(placing.LeaseExpiry(shortLease)))
 }
 
 // The leader applies changed bounds within its term: ended jobs are retained for as long as the
--- a/batch/calls.go
+++ b/batch/calls.go
@@ -30,23 +30,23 @@
 }
 
 const (
-	// retryStoreDown is returned while neither this instance nor the ones it asked reach the store.
-	// Outages last three to seven seconds, and callers retry four times.
-	retryStoreDown = time.Second
-	// retryOtherInstance is returned by an instance that reaches neither the store nor the other
+	// storeDownRetryAfter is returned while neither this instance nor the ones it asked reach the
+	// store. Outages last three to seven seconds, and callers retry four times.
+	storeDownRetryAfter = time.Second
+	// isolatedRetryAfter is returned by an instance that reaches neither the store nor the other
 	// instances. Those are likely to be better off, and urgent jobs have a second to spare.
-	retryOtherInstance = 100 * time.Millisecond
-	// retryEarlyOutage replaces retryStoreDown in the first earlyOutage of an outage, for jobs that are
-	// not urgent: their objective leaves time, and four retries a second apart would be over before
-	// the store is back.
-	retryEarlyOutage = 2 * time.Second
-	earlyOutage      = 2 * time.Second
-	// maxStateAge is how old the cached state of a job may be to be returned. refreshTimeout bounds
-	// a refresh of it.
+	isolatedRetryAfter = 100 * time.Millisecond
+	// earlyOutageRetryAfter replaces storeDownRetryAfter in the first earlyOutageDuration of an
+	// outage, for jobs that are not urgent: their objective leaves time, and four retries a second
+	// apart would be over before the store is back.
+	earlyOutageRetryAfter = 2 * time.Second
+	earlyOutageDuration   = 2 * time.Second
+	// maxStateAge is the age up to which the cached state of a job is returned without reading the
+	// log. refreshTimeout bounds such a read.
 	maxStateAge    = 60 * time.Millisecond
 	refreshTimeout = 400 * time.Millisecond
-	// finalStateWait is how long the answer about a running job waits for its end. Callers often ask
-	// while the end is being written, and then not again for a while.
+	// finalStateWait is how long the answer about a running job waits for its end. Callers often
+	// request the state while the end is being written, and then not again for a while.
 	finalStateWait = 100 * time.Millisecond
 	// minReadWait is the shortest wait that the store accepts.
 	minReadWait = time.Millisecond
@@ -89,22 +89,22 @@
 	if i.hasJob(submission.ID) {
 		return Outcome{Verdict: Accepted, Reason: "read back"}
 	}
-	return Outcome{Verdict: Undecided, Reason: "store did not answer", RetryAfter: retryStoreDown}
+	return Outcome{Verdict: Undecided, Reason: "store did not answer", RetryAfter: storeDownRetryAfter}
 }
 
 func (i *Instance) retryDelay(priority int) time.Duration {
-	return retryDelayFor(priority, i.work.sinceContact(), i.peers.isolated())
+	return retryDelayFor(priority, i.work.sinceContact(), i.peers.isIsolated())
 }
 
-// retryDelayFor returns when the caller of a refused submission should retry.
+// retryDelayFor returns the delay after which the caller of a refused submission should retry.
 func retryDelayFor(priority int, outage time.Duration, isolated bool) time.Duration {
 	if isolated {
-		return retryOtherInstance
+		return isolatedRetryAfter
 	}
-	if priority > 0 && outage < earlyOutage {
-		return retryEarlyOutage
+	if priority > 0 && outage < earlyOutageDuration {
+		return earlyOutageRetryAfter
 	}
-	return retryStoreDown
+	return storeDownRetryAfter
 }
 
 // Cancel cancels a job.
@@ -127,7 +127,7 @@
 		return Outcome{Verdict: Unavailable, Reason: "store away", RetryAfter: i.retryDelay(0)}
 	}
 	if err != nil {
-		return Outcome{Verdict: Undecided, Reason: err.Error(), RetryAfter: retryStoreDown}
+		return Outcome{Verdict: Undecided, Reason: err.Error(), RetryAfter: storeDownRetryAfter}
 	}
 	return Outcome{Verdict: Accepted, Reason: "stored"}
 }
@@ -157,7 +157,7 @@
 // lookUpState returns the state of a job, read by this instance or, while it does not reach the
 // store, by another one. It waits up to wait for a final state. A cached final state is always valid.
 func (i *Instance) lookUpState(ctx context.Context, id string, wait time.Duration) (jobs.State, Outcome) {
-	if i.loaded() && i.work.isReachable() {
+	if i.isLoaded() && i.work.isReachable() {
 		return i.localState(ctx, id, wait)
 	}
 	cached, ok := i.cachedState(id)
@@ -187,7 +187,7 @@
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	if err := i.followerOf(partOf(id, i.settings.StoreParts)).refresh(ctx, 0); err != nil {
-		return "", Outcome{Verdict: Unavailable, Reason: "store away", RetryAfter: retryStoreDown}
+		return "", Outcome{Verdict: Unavailable, Reason: "store away", RetryAfter: storeDownRetryAfter}
 	}
 	if state, ok := i.cachedState(id); ok {
 		return state, Outcome{Verdict: Accepted}
@@ -219,7 +219,7 @@
 	return state, ok
 }
 
-// WaitingJobs counts the accepted jobs of a queue of which nothing has started.
+// WaitingJobs returns the number of accepted jobs of a queue without a started task.
 func (i *Instance) WaitingJobs(queue string) int {
 	i.foldLock.Lock()
 	defer i.foldLock.Unlock()
@@ -241,8 +241,8 @@
 	return job.State(), true
 }
 
-// logOutcome logs the outcome of a call with the age of the log as read here and the version of
-// the configuration that was applied.
+// logOutcome logs the outcome of a call with the time since the log was last read and the version
+// of the configuration that was applied.
 func (i *Instance) logOutcome(call, id string, outcome Outcome) {
 	i.metrics.count("calls." + call + "." + outcome.Verdict.String())
 	fields := logrus.Fields{
--- a/batch/claim.go
+++ b/batch/claim.go
@@ -36,7 +36,7 @@
 	return err.Error()
 }
 
-// leaderDuty claims the term when it is vacant and leads while it is held.
+// leaderDuty claims the term when it is vacant and leads while this instance holds it.
 func (i *Instance) leaderDuty(ctx context.Context) {
 	e := newElection(i.settings.Name, i.identity, claimDelay(i.nameHash, i.settings.CPUShare))
 	takeover := &stallTakeover{instance: i}
@@ -51,20 +51,20 @@
 			continue
 		}
 		now := i.clock.Now()
-		if !i.loaded() || !i.work.isReachable() || i.Config() == nil {
+		if !i.isLoaded() || !i.work.isReachable() || i.Config() == nil {
 			e.reset()
 			continue
 		}
 		previous := e.term
 		e.observe(i.term(), now)
 		if e.isLeader() && e.term.Epoch == i.lastClaim.Epoch {
-			i.lead(ctx, e.term, i.claimSequence, formerLeaderFate(previous, e.term, i.settings.Name))
+			i.lead(ctx, e.term, i.claimSequence, formerLeaderState(previous, e.term, i.settings.Name))
 			e.reset()
 			i.lastClaim = jobs.Term{}
 			continue
 		}
 		takeover.maybeStart(ctx, e.term)
-		e.requestClaim(i.requestedEpoch.Load())
+		e.requestClaim(i.claimEpoch.Load())
 		if e.shouldClaim(i.work.lastAnswer(), now) {
 			i.claimTerm(ctx, e.term)
 		}
--- a/batch/commit.go
+++ b/batch/commit.go
@@ -25,8 +25,8 @@
 	// maxCommitGroup at 4 ms each, a full queue is half a second of work.
 	commitQueueSize = 512
 	maxCommitGroup  = 64
-	// maxCommitTries bounds how often a group is sent. Appending its records twice is harmless.
-	maxCommitTries = 2
+	// maxCommitAttempts bounds how often a group is sent. Appending its records twice is harmless.
+	maxCommitAttempts = 2
 	// readBackTimeout bounds a read-back of an append without an answer. Reads take milliseconds,
 	// and up to 0.4 s while the store is slow; a shorter timeout mistook a slow store for an
 	// unreachable one.
@@ -108,10 +108,10 @@
 	return &committer{store: store, clock: clock, part: part, queue: ring.New[*commit](commitQueueSize)}
 }
 
-// unresponsive reports whether an append got no answer and the store has answered nothing since;
-// answeredAt is the time of its last answer. Outcomes of new appends would mostly be unknown too,
-// and callers could not be told that their call had no effect.
-func (c *committer) unresponsive(answeredAt time.Time) bool {
+// storeUnresponsive reports whether an append got no answer and the store has answered nothing since;
+// answeredAt is the time of its last answer. The outcomes of new appends would mostly be unknown
+// too, so callers would not get the definite answer that their call had no effect.
+func (c *committer) storeUnresponsive(answeredAt time.Time) bool {
 	return answeredAt.UnixNano() <= c.unknownAt.Load()
 }
 
@@ -167,13 +167,13 @@
 	return group
 }
 
-// append sends a group until its outcome is known or all tries are used. Once a try went
+// append sends a group until its outcome is known or all attempts are used. Once an attempt went
 // unanswered, a later refusal does not prove that the group had no effect.
 func (c *committer) append(ctx context.Context, group []*commit) error {
 	records := recordsOf(group)
 	unanswered := false
-	for try := 0; try < maxCommitTries; try++ {
-		err := c.tryAppend(ctx, records)
+	for attempt := 0; attempt < maxCommitAttempts; attempt++ {
+		err := c.appendOnce(ctx, records)
 		if err == nil {
 			return nil
 		}
@@ -188,10 +188,10 @@
 	return ErrResultUnknown
 }
 
-// tryAppend sends a group once. Halfway through the timeout and at its end it reads the group
+// appendOnce sends a group once. Halfway through the timeout and at its end it reads the group
 // back: the answer may be lost although the append took effect, and sending the group again makes
 // a slow store slower.
-func (c *committer) tryAppend(ctx context.Context, records []jobs.Record) error {
+func (c *committer) appendOnce(ctx context.Context, records []jobs.Record) error {
 	limit := c.timeout.current()
 	ctx, cancel := context.WithTimeout(ctx, max(limit, slowStoreTimeout))
 	defer cancel()
@@ -236,7 +236,7 @@
 }
 
 // recordReadTime records whether a read-back that began at the given time was slow, and returns
-// the result.
+// true if it was.
 func (c *committer) recordReadTime(began time.Time) bool {
 	slow := c.clock.Now().Sub(began) >= slowReadThreshold
 	c.storeSlow.Store(slow)
--- a/batch/delegation.go
+++ b/batch/delegation.go
@@ -49,17 +49,17 @@
 }
 
 // ServeDelegation serves a session opened by the leader of a term, until the session ends.
-func (i *Instance) ServeDelegation(ctx context.Context, opened *relaypb.Keep, stream *relay.Stream) {
-	log := i.log.WithField("epoch", opened.Epoch).WithField("holder", opened.Holder)
+func (i *Instance) ServeDelegation(ctx context.Context, request *relaypb.Keep, stream *relay.Stream) {
+	log := i.log.WithField("epoch", request.Epoch).WithField("holder", request.Holder)
 	i.awaitLoaded(ctx)
-	if !opened.Lives || i.draining.Load() || !i.work.isLoaded() || i.leading.Load() && i.term().Epoch >= opened.Epoch {
-		log.WithField("lives", opened.Lives).Info("keeping_refused")
+	if !request.Lives || i.draining.Load() || !i.work.isLoaded() || i.leading.Load() && i.term().Epoch >= request.Epoch {
+		log.WithField("lives", request.Lives).Info("keeping_refused")
 		_ = stream.Send(&relaypb.Kept{Refused: true}) // the session ends whether or not this is sent
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d := i.newDelegation(ctx, cancel, opened.Epoch, stream, log)
+	d := i.newDelegation(ctx, cancel, request.Epoch, stream, log)
 	if !i.delegations.add(d, i.term().Epoch) {
 		_ = stream.Send(&relaypb.Kept{Fenced: true})
 		return
@@ -273,8 +273,8 @@
 	return true
 }
 
-// supersede fences the sessions of all terms before epoch.
-func (ds *delegations) supersede(epoch int64) {
+// fenceBefore fences the sessions of all terms before epoch.
+func (ds *delegations) fenceBefore(epoch int64) {
 	ds.lock.Lock()
 	defer ds.lock.Unlock()
 	for d := range ds.active {
@@ -290,8 +290,8 @@
 	delete(ds.active, d)
 }
 
-// count returns the number of workers that this instance drives for leaders.
-func (ds *delegations) count() int {
+// workerCount returns the number of workers that this instance drives for leaders.
+func (ds *delegations) workerCount() int {
 	ds.lock.Lock()
 	defer ds.lock.Unlock()
 	total := 0
--- a/batch/dispatchers.go
+++ b/batch/dispatchers.go
@@ -22,8 +22,8 @@
 	// capacityWait replaces sessionOpenWait while all open sessions have full shards: other
 	// instances are starting, as after a loss of all instances.
 	capacityWait = time.Second
-	// avoidDuration is how long a worker is not assigned to an instance from which it did not
-	// answer; it may answer another instance if only the network path is cut.
+	// avoidDuration is how long a worker is not assigned to an instance that it did not answer; it
+	// may answer another instance if only the network path is cut.
 	avoidDuration = 8 * time.Second
 	// idleAssignInterval is the interval between assignment passes while nothing changes.
 	idleAssignInterval = 500 * time.Millisecond
@@ -36,8 +36,8 @@
 }
 
 func (h holdReply) workerID() string         { return h.worker }
-func (u holdFailure) workerID() string       { return u.worker }
-func (r incarnationChange) workerID() string { return r.worker }
+func (f holdFailure) workerID() string       { return f.worker }
+func (c incarnationChange) workerID() string { return c.worker }
 func (r release) workerID() string           { return r.worker }
 func (s startReply) workerID() string        { return s.worker }
 func (s stopReply) workerID() string         { return s.worker }
@@ -48,32 +48,32 @@
 type dispatcher interface {
 	addWorker(entry placing.WorkerEntry)
 	removeWorker(worker string)
-	start(order placing.Start, open bool) // open: another dispatcher may have sent it before
+	start(order placing.Start, maybeSent bool) // maybeSent: another dispatcher may have sent it
 	stop(order placing.Stop)
 	pace(order placing.Pace)
 	acknowledge(worker string, number int64)
 }
 
-// assignedWorker is the leader's record of which instance dispatches to a worker.
-type assignedWorker struct {
+// workerAssignment is the leader's record of which instance dispatches to a worker.
+type workerAssignment struct {
 	entry         placing.WorkerEntry
 	instance      string // name of the dispatching instance; ownInstance for the leader
 	state         assignmentState
-	avoidInstance string // instance from which the worker did not answer; avoided until avoidUntil
+	avoidInstance string // instance that the worker did not answer; avoided until avoidUntil
 
 	unassignedSince time.Time // time since which the worker has had no dispatcher
 	avoidUntil      time.Time
-	minLapse        time.Time                  // no lease there lapses earlier, whatever the current dispatcher reports
+	minLapse        time.Time                  // leases there do not count as lapsed earlier, whatever the current dispatcher reports
 	pendingStarts   map[startKey]placing.Start // starts sent and not answered
 }
 
-// assignmentState tells whether an instance may give orders to a worker.
+// assignmentState is the state of a worker's assignment to an instance that gives it orders.
 type assignmentState int
 
 const (
 	unassigned assignmentState = iota // waits for sessions to open
 	assigned                          // to instance
-	releasing                         // instance has been told to release the worker
+	releasing                         // a release has been requested from instance
 )
 
 // ownInstance stands for the leader's own instance.
@@ -82,21 +82,21 @@
 // dispatchers routes the leader's orders to workers: over its own links or, in large deployments,
 // through delegates that each drive a shard of the workers. The leader's loop calls its methods.
 type dispatchers struct {
-	leader        *leader
-	ownLinks      *linkSet
-	workers       map[string]*assignedWorker
-	sessions      map[string]*session // current open sessions by instance
-	opening       map[string]time.Time
-	backoffs      map[string]sessionBackoff
-	dial          func(ctx context.Context, address string, request *relaypb.Keep) (*relay.Stream, error)
-	sharing       sharing.Switch
-	shared        bool
-	changed       bool // sessions or workers have changed since the last assignment pass
-	hasUnassigned bool // workers had no dispatcher after the last assignment pass
-	assignedAt    time.Time
+	leader         *leader
+	ownLinks       *linkSet
+	workers        map[string]*workerAssignment
+	sessions       map[string]*session // current open sessions by instance
+	opening        map[string]time.Time
+	backoffs       map[string]sessionBackoff
+	dial           func(ctx context.Context, address string, request *relaypb.Keep) (*relay.Stream, error)
+	shardingSwitch sharing.Switch
+	sharded        bool
+	changed        bool // sessions or workers have changed since the last assignment pass
+	hasUnassigned  bool // workers had no dispatcher after the last assignment pass
+	assignedAt     time.Time
 }
 
-// sessionBackoff is the backoff of an instance that is not requested to drive workers.
+// sessionBackoff is the time during which no session with an instance is opened.
 type sessionBackoff struct {
 	until time.Time
 	delay time.Duration
@@ -109,7 +109,7 @@
 	return &dispatchers{
 		leader:   l,
 		ownLinks: newLinkSet(l.ctx, env, &l.wg),
-		workers:  map[string]*assignedWorker{},
+		workers:  map[string]*workerAssignment{},
 		sessions: map[string]*session{},
 		opening:  map[string]time.Time{},
 		backoffs: map[string]sessionBackoff{},
@@ -129,8 +129,8 @@
 	o.event.apply(l, now)
 }
 
-// dispatchesTo reports whether an instance dispatches to a worker, so that its reports count. An
-// instance that has been told to release the worker counts until it has confirmed the release.
+// dispatchesTo reports whether an instance dispatches to a worker, so that its reports count. While
+// a release of the worker is requested, the instance counts until it has confirmed the release.
 func (d *dispatchers) dispatchesTo(instance, worker string) bool {
 	w := d.workers[worker]
 	return w != nil && w.state != unassigned && w.instance == instance
@@ -144,7 +144,7 @@
 	for _, entry := range entries {
 		w := d.workers[entry.ID]
 		if w == nil {
-			d.workers[entry.ID] = &assignedWorker{entry: entry, unassignedSince: now, pendingStarts: map[startKey]placing.Start{}}
+			d.workers[entry.ID] = &workerAssignment{entry: entry, unassignedSince: now, pendingStarts: map[startKey]placing.Start{}}
 			d.changed = true
 			continue
 		}
@@ -157,7 +157,7 @@
 }
 
 // dispatcherOf returns the dispatcher that may give orders to a worker now; nil if there is none.
-func (d *dispatchers) dispatcherOf(w *assignedWorker) dispatcher {
+func (d *dispatchers) dispatcherOf(w *workerAssignment) dispatcher {
 	if w == nil || w.state != assigned {
 		return nil
 	}
@@ -234,9 +234,9 @@
 	return w.minLapse
 }
 
-// workerSilent records that a worker does not answer its dispatcher. The worker is assigned to
+// recordSilence records that a worker does not answer its dispatcher. The worker is assigned to
 // another instance once, because only the network path between them may be cut.
-func (d *dispatchers) workerSilent(worker string, now time.Time) {
+func (d *dispatchers) recordSilence(worker string, now time.Time) {
 	w := d.workers[worker]
 	if w == nil || w.instance == ownInstance || w.state != assigned || now.Before(w.avoidUntil) {
 		return
@@ -287,8 +287,8 @@
 	d.changed = true
 }
 
-// sessionOpened adds a session that an instance has accepted.
-func (d *dispatchers) sessionOpened(s *session) {
+// addSession adds a session that an instance has accepted.
+func (d *dispatchers) addSession(s *session) {
 	delete(d.opening, s.name)
 	d.sessions[s.name] = s
 	d.leader.log.WithField("keeper", s.name).Info("keeper_won")
@@ -311,9 +311,10 @@
 	lapseAt time.Time // when all leases there lapse unless renewed
 }
 
-func (r release) apply(l *leader, now time.Time) { l.dispatchers.released(r.worker, r.lapseAt, now) }
+func (r release) apply(l *leader, now time.Time) { l.dispatchers.unassign(r.worker, r.lapseAt, now) }
 
-func (d *dispatchers) released(worker string, lapseAt, now time.Time) {
+// unassign records that an instance has released a worker.
+func (d *dispatchers) unassign(worker string, lapseAt, now time.Time) {
 	w := d.workers[worker]
 	if w == nil || w.state != releasing {
 		return
--- a/batch/election.go
+++ b/batch/election.go
@@ -25,10 +25,10 @@
 	// claims up to maxLowCPUDelay later.
 	sufficientCPUShare = 0.4
 	maxLowCPUDelay     = 2 * time.Second
-	// leaderGiveUpTime is when a leader that lost the store gives up, whatever other instances
-	// have observed. Its work goes on until then, because the store may be unreachable for all
-	// instances.
-	leaderGiveUpTime = 9 * time.Second
+	// leaderGiveUpTimeout is how long after its last successful append a leader gives the term up,
+	// whatever other instances have observed. It keeps its tasks running until then, because the
+	// store may be unreachable for all instances.
+	leaderGiveUpTimeout = 9 * time.Second
 )
 
 // election decides when an instance claims the term. It does no I/O: callers pass in the observed
@@ -40,7 +40,7 @@
 	term       jobs.Term
 	changedAt  time.Time // when this instance observed the last change or renewal of the term
 	claimedAt  time.Time
-	requested  int64     // epoch of the leader that requested a claim of its term
+	claimEpoch int64     // epoch of the leader that requested a claim of its term
 	vacantAt   time.Time // time since which the term is known to be vacant
 }
 
@@ -79,8 +79,8 @@
 func (e *election) isLeader() bool { return e.term.Leader == e.identity }
 
 // shouldClaim reports whether to claim the next term now. It is called only while this process is
-// not the leader. answeredAt is when the newest read of the log was answered: silence after that
-// may be the store's, not the leader's.
+// not the leader. answeredAt is when the newest read of the log was answered: missing renewals
+// after that may be due to the store and not to the leader.
 func (e *election) shouldClaim(answeredAt, now time.Time) bool {
 	if now.Sub(e.claimedAt) < claimInterval {
 		return false
@@ -100,9 +100,9 @@
 
 // requestClaim records that the leader with the given epoch has lost the store and requested that
 // this instance claim the next term.
-func (e *election) requestClaim(epoch int64) { e.requested = epoch }
+func (e *election) requestClaim(epoch int64) { e.claimEpoch = epoch }
 
-func (e *election) claimRequested() bool { return e.requested > 0 && e.requested == e.term.Epoch }
+func (e *election) claimRequested() bool { return e.claimEpoch > 0 && e.claimEpoch == e.term.Epoch }
 
 // isVacant reports whether the term has no active leader: it was handed over, or its leader was a
 // former incarnation of this instance, has requested a claim or is silent.
@@ -119,11 +119,11 @@
 	return name
 }
 
-// formerLeaderFate returns what the winner of a term knows about the previous leader; previous is
-// the newest term that it had observed. A former incarnation of its own has ended. After a loss of
-// all instances the former leader usually wins again, and waiting for a leader that may go on took
-// 15.5 s instead of 8.5 s for each run at a worker that had left.
-func formerLeaderFate(previous, won jobs.Term, name string) placing.FormerLeaderState {
+// formerLeaderState returns the state of the previous leader as far as the winner of a term knows
+// it; previous is the newest term that the winner had observed. A former incarnation of the winner
+// has exited. After a loss of all instances the former leader usually wins again, and waiting for a
+// leader that may go on took 15.5 s instead of 8.5 s for each run at a worker that had left.
+func formerLeaderState(previous, won jobs.Term, name string) placing.FormerLeaderState {
 	switch {
 	case previous.Epoch != won.Epoch-1:
 		return placing.FormerLeaderUnknown
--- a/batch/election_test.go
+++ b/batch/election_test.go
@@ -14,10 +14,10 @@
 func TestFateOfTheFormerHolder(t *testing.T) {
 	is := is.New(t)
 	won := jobs.Term{Epoch: 7, Leader: "a/2"}
-	is.Equal(formerLeaderFate(jobs.Term{Epoch: 6, Leader: "a/1"}, won, "a"), placing.FormerLeaderExited)
-	is.Equal(formerLeaderFate(jobs.Term{Epoch: 6}, won, "a"), placing.FormerLeaderReleased)
-	is.Equal(formerLeaderFate(jobs.Term{Epoch: 6, Leader: "b/1"}, won, "a"), placing.FormerLeaderUnknown)
-	is.Equal(formerLeaderFate(jobs.Term{Epoch: 5, Leader: "a/1"}, won, "a"), placing.FormerLeaderUnknown)
-	is.Equal(formerLeaderFate(jobs.Term{Epoch: 5}, won, "a"), placing.FormerLeaderUnknown)
-	is.Equal(formerLeaderFate(jobs.Term{Epoch: 6, Leader: "ab/1"}, won, "a"), placing.FormerLeaderUnknown)
+	is.Equal(formerLeaderState(jobs.Term{Epoch: 6, Leader: "a/1"}, won, "a"), placing.FormerLeaderExited)
+	is.Equal(formerLeaderState(jobs.Term{Epoch: 6}, won, "a"), placing.FormerLeaderReleased)
+	is.Equal(formerLeaderState(jobs.Term{Epoch: 6, Leader: "b/1"}, won, "a"), placing.FormerLeaderUnknown)
+	is.Equal(formerLeaderState(jobs.Term{Epoch: 5, Leader: "a/1"}, won, "a"), placing.FormerLeaderUnknown)
+	is.Equal(formerLeaderState(jobs.Term{Epoch: 5}, won, "a"), placing.FormerLeaderUnknown)
+	is.Equal(formerLeaderState(jobs.Term{Epoch: 6, Leader: "ab/1"}, won, "a"), placing.FormerLeaderUnknown)
 }
--- a/batch/evacuation.go
+++ b/batch/evacuation.go
@@ -11,9 +11,9 @@
 
 const (
 	// evacuationReadWait is how long a read of the operator stream may wait on the leader. It
-	// bounds the age of the known evacuations; nothing starts while that age is too high.
+	// bounds the age of the evacuations read last; nothing starts while that age is too high.
 	evacuationReadWait = 400 * time.Millisecond
-	// evacuationStartMargin is the part of the evacuation deadline reserved for the transmission
+	// evacuationStartMargin is the part of Bounds.EvacuationTimeout reserved for the transmission
 	// of a start.
 	evacuationStartMargin = time.Second
 	// evacuatedRetryAfter is returned to callers while every availability zone is evacuated: the
@@ -130,12 +130,12 @@
 // evacuated according to the records read here.
 func (i *Instance) mayStartInZone(zone string) bool { return !i.evacuations.contains(zone) }
 
-// mayStartWithoutGrant is mayStartInZone for an instance without a grant, where nothing else
-// bounds how long a start may have waited here, for example while the process was frozen. It
-// allows no start if the operator stream was last read too long ago.
+// mayStartWithoutGrant is mayStartInZone for the leader, which needs no grant: nothing else bounds
+// how long a start may have waited here, for example while the process was frozen. It allows no
+// start if the operator stream was last read too long ago.
 func (i *Instance) mayStartWithoutGrant(zone string) bool {
-	within := i.bounds.latest().EvacuationTimeout
-	fresh := within <= 0 || i.clock.Now().Sub(i.operator.lastContact()) < within-evacuationStartMargin
+	timeout := i.bounds.latest().EvacuationTimeout
+	fresh := timeout <= 0 || i.clock.Now().Sub(i.operator.lastContact()) < timeout-evacuationStartMargin
 	return fresh && i.mayStartInZone(zone)
 }
 
--- a/batch/evacuation_test.go
+++ b/batch/evacuation_test.go
@@ -32,7 +32,7 @@
 func (i *Instance) applyOperatorRecords(records ...jobs.Record) {
 	i.operator.lock.Lock()
 	defer i.operator.lock.Unlock()
-	i.applyOperator(Batch{Records: records})
+	i.applyOperatorBatch(Batch{Records: records})
 }
 
 // recordsStore returns its records as the newest of every stream.
@@ -108,15 +108,15 @@
 }
 
 // A start that is queued in an instance that has read the evacuation is not sent, whether or not
-// the leader has read it. The outcome of a start with an unanswered try stays unknown.
+// the leader has read it. The outcome of a start with an unanswered attempt stays unknown.
 func TestLinkSendsNoStartToEvacuatedZone(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		after  int // tries before the instance reads the evacuation
+		after  int // attempts before the instance reads the evacuation
 		result placing.StartResult
 	}{
-		{"read before the first try", 0, placing.StartEvacuated},
-		{"read after an unanswered try", 1, placing.StartUnknown},
+		{"read before the first attempt", 0, placing.StartEvacuated},
+		{"read after an unanswered attempt", 1, placing.StartUnknown},
 		{"not read", maxOrderAttempts, placing.StartUnknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -239,7 +239,7 @@
 		next := f.newLeader(6)
 		next.instance.decoder = zoneDecoder{}
 		next.instance.applyOperatorRecords(zoneRecord("z1", "{}"))
-		next.instance.evacuations.changed.Store(false) // already taken in a former term of this instance
+		next.instance.evacuations.changed.Store(false) // already applied in a former term of this instance
 		next.loadEngine(placing.FormerLeaderReleased)
 		formerDone := f.loopDone
 		f.leader, f.loopDone = next, make(chan struct{})
--- a/batch/fencedappend.go
+++ b/batch/fencedappend.go
@@ -26,10 +26,10 @@
 	part       int
 	epoch      int64
 	sequence   int64 // of the last append; the store deduplicates by it
-	groupCount int64 // number of groups in this term
+	groupCount int64 // number of groups appended in this term
 	timeout    adaptiveTimeout
 	isInLog    func(records []jobs.Record) bool // reports whether the fold contains the records
-	onTry      func(began time.Time, err error) // called after each attempt; may be nil
+	onAttempt  func(began time.Time, err error) // called after each attempt; may be nil
 }
 
 // append appends a group. Its errors are ErrFenced and that of ctx.
@@ -37,9 +37,9 @@
 	p.sequence++
 	began := p.clock.Now()
 	for ctx.Err() == nil {
-		err := p.tryAppend(ctx, records)
-		if p.onTry != nil {
-			p.onTry(began, err)
+		err := p.appendOnce(ctx, records)
+		if p.onAttempt != nil {
+			p.onAttempt(began, err)
 		}
 		if err == nil || errors.Is(err, ErrFenced) {
 			return err
@@ -51,8 +51,8 @@
 	return ctx.Err()
 }
 
-// tryAppend sends the group of the current sequence number once.
-func (p *fencedAppender) tryAppend(ctx context.Context, records []jobs.Record) error {
+// appendOnce sends the group of the current sequence number once.
+func (p *fencedAppender) appendOnce(ctx context.Context, records []jobs.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, p.timeout.current())
 	defer cancel()
 	sent := p.clock.Now()
--- a/batch/follower.go
+++ b/batch/follower.go
@@ -38,12 +38,12 @@
 	// inactiveCheckInterval is how often a follower checks whether it is active.
 	inactiveCheckInterval = 200 * time.Millisecond
 	// operatorStreamReadWait is how long reads wait for operators' records. A read on a silent
-	// connection is abandoned readSlack after that, which must fit into the two seconds in which a
-	// configuration takes effect.
+	// connection is abandoned after another readTimeoutSlack (package platform), which must fit into
+	// the two seconds in which a configuration takes effect.
 	operatorStreamReadWait = time.Second
 )
 
-// errWoken ends a long read when the instance becomes the leader.
+// errWoken cancels a long read when the instance becomes the leader.
 var errWoken = eris.New("the instance is now the leader")
 
 // follower keeps up with one stream: it reads the newest record of each key, then the tail. It is
@@ -310,7 +310,7 @@
 	log        *logrus.Entry
 	dirty      map[string]bool // jobs that changed since the leader last took them
 	trackDirty atomic.Bool     // whether a leader uses dirty
-	signal     chan struct{}
+	signal     chan struct{}   // notifies the leader duty; see wake
 }
 
 func newWorkFold(log *logrus.Entry) *workFold {
--- a/batch/instance.go
+++ b/batch/instance.go
@@ -35,8 +35,8 @@
 	// without an answer took effect.
 	leaderCallInterval = 15 * time.Millisecond
 	leaderOwnInterval  = 150 * time.Millisecond
-	// standbyProgressInterval is the pause between a standby's reads of job progress. It keeps the
-	// rest to read short when the standby becomes the leader.
+	// standbyProgressInterval is the pause between a standby's reads of job progress. It leaves
+	// little to read when the standby becomes the leader.
 	standbyProgressInterval = time.Second
 	// startupYield is how long an instance that has just started leaves the store to the standbys:
 	// claiming the term and reading progress and the worker list take that long.
@@ -75,9 +75,9 @@
 
 	draining       atomic.Bool
 	leading        atomic.Bool
-	sharing        atomic.Pointer[ShardingStatus] // nil unless this instance is the leader
+	shardingStatus atomic.Pointer[ShardingStatus] // nil unless this instance is the leader
 	readFailedAt   atomic.Int64                   // boot time in nanoseconds of the newest failed read of any stream
-	requestedEpoch atomic.Int64                   // epoch of the leader that requested a claim of its term
+	claimEpoch     atomic.Int64                   // epoch of the leader that requested a claim of its term
 	stalledAt      atomic.Int64                   // boot time in nanoseconds when this instance, as leader, last failed to write progress
 	handOver       chan struct{}                  // closed when the term is to be handed over
 	lastClaim      jobs.Term                      // last term that this process claimed
@@ -105,7 +105,7 @@
 	i.peers = newPeers(i.clock)
 	i.eventLog = newEventLog(i.clock)
 	i.operator = i.newFollower(StreamOperator, 0, &sync.Mutex{}, operatorStreamReadWait)
-	i.operator.apply = i.applyOperator
+	i.operator.apply = i.applyOperatorBatch
 	i.operator.reset = i.evacuations.reset
 	i.operator.readWait = i.operatorReadWait
 	i.operator.readInterval = func() time.Duration { return configReadInterval }
@@ -249,19 +249,19 @@
 
 // Ready reports whether callers should be routed to this instance.
 func (i *Instance) Ready() bool {
-	return i.settings.NotServedReason == "" && i.Config() != nil && i.loaded() && i.work.isReachable() && !i.draining.Load()
+	return i.settings.NotServedReason == "" && i.Config() != nil && i.isLoaded() && i.work.isReachable() && !i.draining.Load()
 }
 
 // LogOffset returns the offset up to which this instance has read the part of the log with the
-// term and the job states. Everything the instance does reflects all records before it, so
-// positions order actions of several instances whose clocks differ.
+// term and the job states. Every action of the instance reflects all records before it, so offsets
+// order the actions of several instances whose clocks differ.
 func (i *Instance) LogOffset() int64 { return i.work.publishedOffset.Load() }
 
 // Draining reports whether the instance is about to stop.
 func (i *Instance) Draining() bool { return i.draining.Load() }
 
-// applyOperator applies operators' records.
-func (i *Instance) applyOperator(batch Batch) {
+// applyOperatorBatch applies operators' records.
+func (i *Instance) applyOperatorBatch(batch Batch) {
 	i.applyEvacuations(batch)
 	i.applyConfig(batch)
 }
@@ -290,8 +290,8 @@
 	return i.fold.table.Term()
 }
 
-// loaded reports whether every followed part has been read completely once.
-func (i *Instance) loaded() bool {
+// isLoaded reports whether every followed part has been read completely once.
+func (i *Instance) isLoaded() bool {
 	for _, f := range i.calls {
 		if !f.isLoaded() {
 			return false
--- a/batch/interfaces.go
+++ b/batch/interfaces.go
@@ -58,12 +58,12 @@
 	// Read returns records of a part of a stream from an offset on. It waits up to wait for the
 	// first one. Errors: ErrNotRetained, or any failure of the call.
 	Read(ctx context.Context, stream Stream, part int, from int64, wait time.Duration) (Batch, error)
-	// ReadNewest returns the newest record of each key. Next is the offset at which reading has to
-	// continue, as others write while the pages are read.
+	// ReadNewest returns the newest record of each key. Reading has to continue at NextOffset, as
+	// others write while the pages are read.
 	ReadNewest(ctx context.Context, stream Stream, part int) (Batch, error)
 }
 
-// Decoder decodes the records of the outer streams.
+// Decoder decodes the records that operators and workers write.
 type Decoder interface {
 	// Config decodes a record of StreamOperator; ok is false for other records.
 	Config(record jobs.Record) (config *Config, ok bool, err error)
@@ -82,9 +82,9 @@
 	Stop(ctx context.Context, worker placing.WorkerEntry, order StopOrder) (clockMS int64, err error)
 	Hold(ctx context.Context, worker placing.WorkerEntry, order HoldOrder) (HoldReport, error)
 	Pace(ctx context.Context, worker placing.WorkerEntry, order PaceOrder) error
-	// Advise asks the advisory service which of some workers may run a step. The returned tickets,
-	// by worker ID, have to go with starts of the step while they are valid.
-	Advise(ctx context.Context, ask placing.AdviceRequest) (tickets map[string]string, valid time.Duration, err error)
+	// Advise requests from the advice service which of some workers may run a step. The returned
+	// tickets, by worker ID, have to go with starts of the step while they are valid.
+	Advise(ctx context.Context, request placing.AdviceRequest) (tickets map[string]string, valid time.Duration, err error)
 	// Forget releases the resources held for a worker that is no longer called.
 	Forget(worker placing.WorkerEntry)
 }
@@ -110,8 +110,9 @@
 	ClockMS int64
 }
 
-// OtherIncarnationError is returned if another incarnation of the worker answered than the one that the
-// order was meant for. The former one is gone; the one that answered may have carried the order out.
+// OtherIncarnationError is returned if another incarnation of the worker answered than the one that
+// the order was meant for. The former one has ended; the one that answered may have executed the
+// order.
 type OtherIncarnationError struct {
 	BornMS int64 // start of the incarnation that answered, in Unix milliseconds
 }
@@ -156,7 +157,7 @@
 	LeaseUntilMS int64 // on the worker's clock; 0 renews nothing
 	Epoch        int64
 	Ack          int64
-	Wait         time.Duration // how long the worker may wait for an end before it answers
+	Wait         time.Duration // how long the worker may wait for a run to end before it answers
 }
 
 // HoldReport is the answer to a hold.
--- a/batch/leader.go
+++ b/batch/leader.go
@@ -17,7 +17,7 @@
 	// eventQueueSize bounds the events that wait for the leader's loop. A worker has a hold and a
 	// few orders in flight at a time.
 	eventQueueSize = 1024
-	// tickInterval is how often the loop runs when nothing happens. It is the precision of due
+	// tickInterval is how often the loop runs when nothing happens. It limits the precision of due
 	// times and lapses.
 	tickInterval = 50 * time.Millisecond
 	// prepareTimeout bounds the work before the first scheduling pass: an append and the reading of
@@ -25,7 +25,7 @@
 	prepareTimeout = 2500 * time.Millisecond
 	// handOverTimeout is how long a leader that is about to stop goes on while the term is open to
 	// others. It is longer than a claim takes while the store is slow, and shorter than the time
-	// for which the process serves after it was told to stop.
+	// for which the process serves after the signal to stop.
 	handOverTimeout = 2 * time.Second
 )
 
@@ -72,7 +72,7 @@
 	}
 	l.dispatchers = newDispatchers(l)
 	l.writer = newFencedWriter(l, term, sequence)
-	i.delegations.supersede(term.Epoch)
+	i.delegations.fenceBefore(term.Epoch)
 	l.log.WithField("former", former.String()).Info("term_won")
 	i.leading.Store(true)
 	i.wakeFollowers()
@@ -88,7 +88,7 @@
 	i.metrics.leading.Update(1)
 	defer i.metrics.leading.Update(0)
 	defer i.metrics.stalled.Update(0)
-	defer i.sharing.Store(nil)
+	defer i.shardingStatus.Store(nil)
 	l.loadEngine(former)
 	l.spawn(ctx, l.awaitAllCalls)
 	l.spawn(ctx, l.writer.run)
@@ -106,7 +106,7 @@
 }
 
 // prepare fences the progress writes of former leaders and then reads all progress. It reads
-// what callers wrote at the same time, as each call takes long while the store is slow.
+// callers' records concurrently, as each call takes long while the store is slow.
 func (l *leader) prepare(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, prepareTimeout)
 	defer cancel()
@@ -119,8 +119,8 @@
 	if err := l.writer.fenceProgress(ctx); err != nil {
 		return err
 	}
-	if detail := l.instance.progress; detail != nil {
-		return detail.catchUp(ctx)
+	if progress := l.instance.progress; progress != nil {
+		return progress.catchUp(ctx)
 	}
 	return nil
 }
@@ -141,8 +141,7 @@
 	l.engine.LoadJobs(all, former, l.clock.Now())
 }
 
-// catchUpCalls reads once what callers have written, so that the engine mostly starts with
-// all jobs.
+// catchUpCalls reads callers' records once, so that the engine mostly starts with all jobs.
 func (i *Instance) catchUpCalls(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
@@ -151,8 +150,8 @@
 	}
 }
 
-// awaitAllCalls reads what callers wrote until a read succeeds after the term was won. From
-// then on the engine knows every job that was ever placed.
+// awaitAllCalls reads callers' records until a read succeeds after the term was won. From then on
+// the engine knows every job that was ever placed.
 func (l *leader) awaitAllCalls(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := l.instance.refreshCalls(ctx); err == nil {
@@ -171,6 +170,7 @@
 	l.engine.MarkJobsComplete()
 }
 
+// configure passes the newest configuration to the engine.
 func (l *leader) configure() {
 	config := l.instance.Config()
 	if config == nil {
@@ -243,7 +243,8 @@
 	}
 }
 
-// applyChanges passes what other instances wrote to the engine.
+// applyChanges passes changed jobs, the configuration and the evacuations to the engine, and gives
+// the term up if a later one was recorded.
 func (l *leader) applyChanges() {
 	i := l.instance
 	i.foldLock.Lock()
@@ -270,14 +271,14 @@
 }
 
 // holdsTerm reports whether this instance may go on leading. It goes on for some time while the
-// store is unreachable, as the store may be down for everybody. Workers that have served a later
-// leader refuse its orders meanwhile.
+// store is unreachable, as the store may be down for all instances. Workers that have served a
+// later leader refuse its orders meanwhile.
 func (l *leader) holdsTerm() bool {
 	if l.termLost {
 		return false
 	}
 	now := l.clock.Now()
-	if now.Sub(l.writer.lastConfirmed()) > leaderGiveUpTime {
+	if now.Sub(l.writer.lastConfirmed()) > leaderGiveUpTimeout {
 		l.loseTerm("the store is out of reach")
 	}
 	if !l.termOpenedAt.IsZero() && now.Sub(l.termOpenedAt) > handOverTimeout {
@@ -303,8 +304,8 @@
 
 // execute carries out a plan of the engine.
 func (l *leader) execute(ctx context.Context, plan placing.Plan) {
-	for _, note := range plan.LogEvents {
-		l.logDecision(note)
+	for _, logEvent := range plan.LogEvents {
+		l.logDecision(logEvent)
 	}
 	if len(plan.Records) > 0 {
 		l.writer.enqueue(plan.Records, plan.States)
@@ -335,19 +336,19 @@
 	}
 }
 
-func (l *leader) logDecision(note placing.LogEvent) {
+func (l *leader) logDecision(logEvent placing.LogEvent) {
 	fields := logrus.Fields{}
-	if note.Job != "" {
-		fields["job"] = note.Job
+	if logEvent.Job != "" {
+		fields["job"] = logEvent.Job
 	}
-	if note.Worker != "" {
-		fields["worker"] = note.Worker
+	if logEvent.Worker != "" {
+		fields["worker"] = logEvent.Worker
 	}
-	if note.Detail != "" {
-		fields["detail"] = note.Detail
+	if logEvent.Detail != "" {
+		fields["detail"] = logEvent.Detail
 	}
-	l.instance.eventLog.write(l.log, note.Event, fields)
-	l.instance.metrics.count("decisions." + note.Event)
+	l.instance.eventLog.write(l.log, logEvent.Event, fields)
+	l.instance.metrics.count("decisions." + logEvent.Event)
 }
 
 // openTerm makes further renewals name no leader, so that another instance claims the term at
--- a/batch/leaderstall_test.go
+++ b/batch/leaderstall_test.go
@@ -124,21 +124,21 @@
 	return entry, !found, nil
 }
 
-// twoInstances is two instances that share a log and elect a leader.
-type twoInstances struct {
+// instancePair is two instances that share a log and elect a leader.
+type instancePair struct {
 	fleet     *simWorkers
 	clients   map[string]*logClient
 	instances map[string]*Instance
 }
 
-// withTwoInstances runs a test with the instances a and b.
-func withTwoInstances(t *testing.T, prepare func(instances *twoInstances), test func(instances *twoInstances, is *is.I)) {
+// withInstancePair runs a test with the instances a and b.
+func withInstancePair(t *testing.T, prepare func(pair *instancePair), test func(pair *instancePair, is *is.I)) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newSimWorkers(4, time.Second)
 		log := &sharedLog{fleet: fleet, parts: map[int][]jobs.Record{}, fences: map[int]Fence{}}
-		instances := &twoInstances{fleet: fleet, clients: map[string]*logClient{}, instances: map[string]*Instance{}}
+		pair := &instancePair{fleet: fleet, clients: map[string]*logClient{}, instances: map[string]*Instance{}}
 		for _, name := range []string{"a", "b"} {
-			instances.clients[name] = &logClient{sharedLog: log}
+			pair.clients[name] = &logClient{sharedLog: log}
 			record, err := jobs.InstanceRecord(name, jobs.Instance{Address: "127.0.0.1:1", CPUShare: 1})
 			if err != nil {
 				t.Fatal(err)
@@ -146,30 +146,31 @@
 			part := partOf(record.Subject(), 8)
 			log.parts[part] = append(log.parts[part], record)
 		}
-		prepare(instances)
+		prepare(pair)
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		defer running.Wait()
 		defer cancel()
 		for _, name := range []string{"a", "b"} {
-			instance := New(Settings{Name: name, StoreParts: 8, CPUShare: 1}, instances.clients[name], fleetDecoder{fleet: fleet}, &simClient{fleet: fleet, instance: name}, metrics.NewRegistry(), discardLog())
+			instance := New(Settings{Name: name, StoreParts: 8, CPUShare: 1}, pair.clients[name], fleetDecoder{fleet: fleet}, &simClient{fleet: fleet, instance: name}, metrics.NewRegistry(), discardLog())
 			instance.bounds = newBounds(simBounds)
 			useTestClock(instance.clock)
 			instance.config.Store(&Config{Version: 1, Pools: []string{"pool"}})
-			instances.instances[name] = instance
-			for _, duty := range append([]*follower{instance.operator, instance.work, instance.progress}, instance.calls...) {
-				running.Go(func() { duty.run(ctx) })
+			pair.instances[name] = instance
+			for _, f := range append([]*follower{instance.operator, instance.work, instance.progress}, instance.calls...) {
+				running.Go(func() { f.run(ctx) })
 			}
 			running.Go(func() { instance.leaderDuty(ctx) })
 		}
 		time.Sleep(5 * time.Second)
-		test(instances, is.New(t))
+		test(pair, is.New(t))
 	})
 }
 
-// leader returns the name of the instance that leads and has begun to place; empty if none has.
-func (t *twoInstances) leader() string {
-	for name, instance := range t.instances {
+// leader returns the name of the instance that leads and has completed prepare; empty if there is
+// none.
+func (p *instancePair) leader() string {
+	for name, instance := range p.instances {
 		if instance.leading.Load() && instance.metrics.leading.Value() == 1 {
 			return name
 		}
@@ -178,8 +179,8 @@
 }
 
 // leaderAndStandby returns the names of the instance that leads and of the other one.
-func (t *twoInstances) leaderAndStandby(is *is.I) (leader, standby string) {
-	leader = t.leader()
+func (p *instancePair) leaderAndStandby(is *is.I) (leader, standby string) {
+	leader = p.leader()
 	is.True(leader != "")
 	if leader == "a" {
 		return "a", "b"
@@ -187,9 +188,9 @@
 	return "b", "a"
 }
 
-func (t *twoInstances) becomesLeader(name string, within time.Duration) bool {
+func (p *instancePair) becomesLeader(name string, within time.Duration) bool {
 	for begin := time.Now(); time.Since(begin) < within; time.Sleep(50 * time.Millisecond) {
-		if t.leader() == name {
+		if p.leader() == name {
 			return true
 		}
 	}
@@ -197,20 +198,20 @@
 }
 
 // submit submits a job of one task through an instance.
-func (t *twoInstances) submit(instance, id string, is *is.I) {
+func (p *instancePair) submit(instance, id string, is *is.I) {
 	submission := &jobs.Submission{ID: id, Queue: jobs.Queue{Name: "q", Pool: "pool", MaxAttempts: 4, Stretch: 3, TargetMS: 1000}}
 	submission.Steps = []jobs.Step{{Tasks: 1, EstimateMS: 1000, Need: jobs.Resources{MilliCores: 1000, MemoryMB: 100, Accelerators: 8}}}
 	record, err := jobs.SubmissionRecord(submission)
 	is.NoErr(err)
-	is.NoErr(t.clients[instance].Append(context.Background(), partOf(id, 8), []jobs.Record{record}, nil))
+	is.NoErr(p.clients[instance].Append(context.Background(), partOf(id, 8), []jobs.Record{record}, nil))
 }
 
 // startsWithin reports whether the task of a job is started within a time.
-func (t *twoInstances) startsWithin(id string, within time.Duration) bool {
+func (p *instancePair) startsWithin(id string, within time.Duration) bool {
 	for begin := time.Now(); time.Since(begin) < within; time.Sleep(50 * time.Millisecond) {
-		t.fleet.lock.Lock()
-		started := t.fleet.newestRun[jobs.TaskKey{Job: id}] > 0
-		t.fleet.lock.Unlock()
+		p.fleet.lock.Lock()
+		started := p.fleet.newestRun[jobs.TaskKey{Job: id}] > 0
+		p.fleet.lock.Unlock()
 		if started {
 			return true
 		}
@@ -221,36 +222,36 @@
 // An instance that wins the term and cannot write progress must not keep the term from an instance
 // that can.
 func TestTermMovesWhenItsLeaderCannotStart(t *testing.T) {
-	withTwoInstances(t, func(instances *twoInstances) { instances.clients["a"].setStuck(true) }, func(instances *twoInstances, is *is.I) {
-		is.True(instances.becomesLeader("b", failoverTimeout))
-		instances.submit("a", "a1", is)
-		is.True(instances.startsWithin("a1", maxTaskWait))
+	withInstancePair(t, func(pair *instancePair) { pair.clients["a"].setStuck(true) }, func(pair *instancePair, is *is.I) {
+		is.True(pair.becomesLeader("b", failoverTimeout))
+		pair.submit("a", "a1", is)
+		is.True(pair.startsWithin("a1", maxTaskWait))
 	})
 }
 
-// A leader that can only not write progress renews its term but starts nothing, so another
-// instance must take over.
+// A leader that cannot write progress, but everything else, renews its term and starts nothing, so
+// another instance must take over.
 func TestJobStartsAfterLeaderLosesProgressWrites(t *testing.T) {
-	withTwoInstances(t, func(*twoInstances) {}, func(instances *twoInstances, is *is.I) {
-		first, other := instances.leaderAndStandby(is)
-		instances.submit(other, "a1", is)
-		is.True(instances.startsWithin("a1", maxTaskWait))
-		instances.clients[first].setStuck(true)
-		instances.submit(other, "a2", is)
-		is.True(instances.startsWithin("a2", failoverTimeout))
+	withInstancePair(t, func(*instancePair) {}, func(pair *instancePair, is *is.I) {
+		first, other := pair.leaderAndStandby(is)
+		pair.submit(other, "a1", is)
+		is.True(pair.startsWithin("a1", maxTaskWait))
+		pair.clients[first].setStuck(true)
+		pair.submit(other, "a2", is)
+		is.True(pair.startsWithin("a2", failoverTimeout))
 	})
 }
 
 // Reading all progress takes longer than prepareTimeout, the time in which a new leader has to
 // begin.
 func TestTermIsTakenOverDespiteSlowProgressRead(t *testing.T) {
-	prepare := func(instances *twoInstances) {
-		for _, client := range instances.clients {
+	prepare := func(pair *instancePair) {
+		for _, client := range pair.clients {
 			client.newestDelay = 2 * prepareTimeout
 		}
 	}
-	withTwoInstances(t, prepare, func(instances *twoInstances, is *is.I) {
-		for begin := time.Now(); instances.leader() == ""; time.Sleep(50 * time.Millisecond) {
+	withInstancePair(t, prepare, func(pair *instancePair, is *is.I) {
+		for begin := time.Now(); pair.leader() == ""; time.Sleep(50 * time.Millisecond) {
 			is.True(time.Since(begin) < failoverTimeout)
 		}
 	})
--- a/batch/link.go
+++ b/batch/link.go
@@ -24,8 +24,8 @@
 	// ackTimeout is how long a link waits until ends are durable before it sends the next hold. An
 	// append takes milliseconds unless the store is down.
 	ackTimeout = 600 * time.Millisecond
-	// maxAnswerAge is how long after its last answer a worker incarnation is assumed to receive
-	// the next order. A restart of a worker takes longer than this.
+	// maxAnswerAge is how long after its last answer an incarnation of a worker is assumed to still
+	// be the one that receives orders. A restart of a worker takes longer than this.
 	maxAnswerAge = 250 * time.Millisecond
 	// minStartLease is the remaining lease below which a start extends it.
 	minStartLease = 3 * time.Second
@@ -42,7 +42,7 @@
 	lock          sync.Mutex
 	entry         placing.WorkerEntry
 	acked         int64 // newest end that the worker may forget
-	ackedByWorker int64 // newest end that the worker was told to forget
+	ackedByWorker int64 // newest end for which the worker has confirmed the acknowledgement
 	workerClockMS int64 // clock of the worker at workerClockAt; 0 while unknown
 	workerClockAt time.Time
 	leaseUntilMS  int64     // granted lease, on the worker's clock
@@ -90,7 +90,7 @@
 			continue
 		}
 		backoff = minHoldBackoff
-		l.env.report(ctx, holdReply{worker: l.worker().ID, report: report, sent: sent, lapseAt: l.lapse()})
+		l.env.report(ctx, holdReply{worker: l.worker().ID, report: report, sent: sent, lapseAt: l.leaseLapse()})
 		wait = l.awaitAck(ctx, report, wait)
 	}
 }
@@ -104,7 +104,7 @@
 	newest := report.Ended[len(report.Ended)-1].Number
 	timer := time.NewTimer(ackTimeout)
 	defer timer.Stop()
-	for l.acknowledged() < newest {
+	for l.newestAck() < newest {
 		select {
 		case <-ctx.Done():
 			return 0
@@ -125,12 +125,12 @@
 	if !l.attachAck(sent, &order) {
 		order.Wait = 0
 	}
-	ctx, end := context.WithCancelCause(ctx)
-	defer end(nil)
-	l.setHold(sent, end)
-	call, cancel := context.WithTimeout(ctx, wait+holdMargin)
+	ctx, cancelCause := context.WithCancelCause(ctx)
+	defer cancelCause(nil)
+	l.setHold(sent, cancelCause)
+	callCtx, cancel := context.WithTimeout(ctx, wait+holdMargin)
 	defer cancel()
-	report, err := l.env.workers.Hold(call, l.worker(), order)
+	report, err := l.env.workers.Hold(callCtx, l.worker(), order)
 	if err != nil && errors.Is(context.Cause(ctx), errHoldSuperseded) {
 		return report, sent, errHoldSuperseded
 	}
@@ -166,15 +166,15 @@
 }
 
 // setHold records the hold in flight, for requestReport.
-func (l *link) setHold(sent time.Time, end context.CancelCauseFunc) {
+func (l *link) setHold(sent time.Time, cancel context.CancelCauseFunc) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.holdSentAt = sent
-	l.cancelHold = end
+	l.cancelHold = cancel
 }
 
-// requestReport makes sure that a report is requested later than the given time. It cancels an
-// earlier hold, which may have been lost, so that a new one is sent.
+// requestReport makes sure that a report is requested after the given time. It cancels a hold that
+// was sent earlier, which may have been lost, so that a new one is sent.
 func (l *link) requestReport(after time.Time) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -233,7 +233,7 @@
 		l.handleRefusal(ctx, refused)
 		return
 	}
-	l.env.report(ctx, holdFailure{worker: l.worker().ID, lapseAt: l.lapse()})
+	l.env.report(ctx, holdFailure{worker: l.worker().ID, lapseAt: l.leaseLapse()})
 	l.reportIncarnation(ctx, err)
 }
 
@@ -277,13 +277,13 @@
 	}
 }
 
-func (l *link) lapse() time.Time {
+func (l *link) leaseLapse() time.Time {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.lapseAt
 }
 
-func (l *link) acknowledged() int64 {
+func (l *link) newestAck() int64 {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.acked
@@ -319,7 +319,7 @@
 
 func (f holdFailure) apply(l *leader, now time.Time) {
 	l.engine.WorkerUnreachable(f.worker, l.dispatchers.effectiveLapse(f.worker, f.lapseAt), now)
-	l.dispatchers.workerSilent(f.worker, now)
+	l.dispatchers.recordSilence(f.worker, now)
 }
 
 // incarnationChange signals that another incarnation answers at the address of a worker.
--- a/batch/linkset.go
+++ b/batch/linkset.go
@@ -11,8 +11,8 @@
 	"github.com/teaselcleat/teaselcleat/placing"
 )
 
-// linkEnv holds what the links to workers share: the term they act for, the limits of orders,
-// and the receiver of their answers.
+// linkEnv is shared by the links to workers: the term that they act for, the limits of orders and
+// the receiver of the answers.
 type linkEnv struct {
 	clock      *Clock
 	log        *logrus.Entry
@@ -94,7 +94,7 @@
 
 // release closes the link to a worker that another instance is going to drive. It calls done once
 // nothing is in flight from here, with the time at which all leases there have lapsed unless
-// somebody renews them; zero if none was ever granted.
+// another instance renews them; zero if none was ever granted.
 func (s *linkSet) release(worker string, done func(lapseAt time.Time)) {
 	l := s.links[worker]
 	s.removeWorker(worker)
@@ -106,7 +106,7 @@
 	go func() {
 		defer s.wg.Done()
 		l.wg.Wait()
-		done(l.lapse())
+		done(l.leaseLapse())
 	}()
 }
 
--- a/batch/order.go
+++ b/batch/order.go
@@ -31,7 +31,8 @@
 // errWithdrawn is returned for an order that was withdrawn before it was sent.
 var errWithdrawn = eris.New("order withdrawn before it was sent")
 
-// errZoneEvacuated is returned for a start whose zone is evacuated, or not known to be in service.
+// errZoneEvacuated is returned for a start into a zone that is evacuated, or whose evacuation state
+// was read too long ago.
 var errZoneEvacuated = eris.New("availability zone is evacuated, or its evacuation state is unknown")
 
 // startRun sends a start and reports the answer. No further attempt is sent once withdrawn is
@@ -73,9 +74,9 @@
 
 // sendOrder sends an order until it is answered or the attempts are used up. unanswered is true
 // if an earlier attempt went unanswered: it may still take effect, whatever a later answer says.
-func (l *link) sendOrder(ctx context.Context, withdrawn <-chan struct{}, order func(context.Context) error) (unanswered bool, err error) {
+func (l *link) sendOrder(ctx context.Context, withdrawn <-chan struct{}, send func(context.Context) error) (unanswered bool, err error) {
 	for range maxOrderAttempts {
-		err = l.sendOnce(ctx, withdrawn, order)
+		err = l.sendOnce(ctx, withdrawn, send)
 		if err == nil || isAnswer(err) || wasWithheld(err) || ctx.Err() != nil {
 			return unanswered, err
 		}
@@ -106,7 +107,7 @@
 	l.reportIncarnation(ctx, err)
 }
 
-func (l *link) sendOnce(ctx context.Context, withdrawn <-chan struct{}, order func(context.Context) error) error {
+func (l *link) sendOnce(ctx context.Context, withdrawn <-chan struct{}, send func(context.Context) error) error {
 	select {
 	case l.env.orderSlots <- struct{}{}:
 	case <-withdrawn:
@@ -126,7 +127,7 @@
 	ctx, cancel := context.WithTimeout(ctx, l.env.timeout.currentIgnoringLosses())
 	defer cancel()
 	sent := l.env.clock.Now()
-	err := order(ctx)
+	err := send(ctx)
 	if err == nil {
 		l.env.timeout.observe(l.env.clock.Now().Sub(sent))
 	}
--- a/batch/order_test.go
+++ b/batch/order_test.go
@@ -114,8 +114,8 @@
 	is := is.New(t)
 	link, _, _ := scriptedLink(accept)
 	sent := time.Unix(100, 0)
-	ctx, end := context.WithCancelCause(t.Context())
-	link.setHold(sent, end)
+	ctx, cancel := context.WithCancelCause(t.Context())
+	link.setHold(sent, cancel)
 	link.requestReport(sent.Add(-time.Millisecond))
 	is.NoErr(ctx.Err()) // the hold is newer
 	link.requestReport(sent.Add(time.Millisecond))
@@ -128,15 +128,15 @@
 	is := is.New(t)
 	p := newPeers(NewClock())
 	p.recordCall(false)
-	is.True(!p.isolated()) // one of them may be down
+	is.True(!p.isIsolated()) // one of them may be down
 	p.recordCall(false)
-	is.True(p.isolated())
+	is.True(p.isIsolated())
 	p.recordCall(true)
-	is.True(!p.isolated())
+	is.True(!p.isIsolated())
 	p.recordCall(false)
 	p.recordCall(false)
 	p.failedAt = p.clock.Now().Add(-isolationDuration)
-	is.True(!p.isolated()) // calls are allowed again
+	is.True(!p.isIsolated()) // calls are allowed again
 }
 
 // On an instance so slow that answers take a second, orders get a longer timeout, as retries would
--- a/batch/outage_test.go
+++ b/batch/outage_test.go
@@ -54,8 +54,8 @@
 }
 
 // When the store goes down for all instances, an instance notices by the first read that fails. A job
-// submitted after that is not sent to the store: it certainly does not run, and its caller is
-// told when to retry instead of getting an undecided answer.
+// submitted after that is not sent to the store: it certainly does not run, and its caller gets a
+// retry time instead of an undecided answer.
 func TestHandInRightAfterTheStoreWentAwayIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -140,7 +140,7 @@
 	for _, c := range []struct {
 		name string
 		late []time.Duration
-		fate error
+		want error
 		by   time.Duration
 	}{
 		{"late once", []time.Duration{1700 * time.Millisecond, 10 * time.Second}, nil, 2 * time.Second},
@@ -159,7 +159,7 @@
 				callCtx, cancelCall := context.WithTimeout(ctx, 2850*time.Millisecond)
 				start := time.Now()
 				err := committer.write(callCtx, jobs.CancelRecord("a"))
-				is.Equal(err, c.fate)
+				is.Equal(err, c.want)
 				is.True(time.Since(start) <= c.by)
 				cancelCall()
 				time.Sleep(time.Second)
@@ -194,7 +194,7 @@
 	})
 }
 
-// slowStore carries out one append at a time, each of which is slow, as are its reads.
+// slowStore processes one append at a time. Appends and reads take slowLatency.
 type slowStore struct {
 	Store
 	busy    chan struct{}
@@ -219,8 +219,8 @@
 	return false, nil
 }
 
-// Behind six appends of other instances an append takes two seconds in a slow store. It is sent once
-// and waited for: retries would keep the store's queue full.
+// Behind six appends of other instances an append takes two seconds in a slow store. It is sent only
+// once, and its answer is awaited: retries would keep the store's queue full.
 func TestSlowStoreIsNotSentRepeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -263,7 +263,7 @@
 		committer.openGroups.Store(0)
 		go func() { _ = committer.write(ctx, jobs.CancelRecord("b")) }()
 		time.Sleep(10 * time.Second)
-		is.Equal(committer.openGroups.Load(), int32(0)) // given up after its time
+		is.Equal(committer.openGroups.Load(), int32(0)) // maxResolveTime has passed
 		cancel()
 		time.Sleep(25 * time.Second)
 	})
--- a/batch/outbox.go
+++ b/batch/outbox.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// maxReportsPerMessage and maxAnswersPerMessage bound one message of a session; the rest
+	// maxReportsPerMessage and maxAnswersPerMessage bound one message of a session; the remainder
 	// goes into the next one. A report has up to 500 ends of a hundred bytes each.
 	maxReportsPerMessage = 64
 	maxAnswersPerMessage = 512
@@ -20,7 +20,7 @@
 // the newest report of each worker, as ends are reported until they are acknowledged, so its
 // size is bounded by the number of workers and of orders in flight.
 type outbox struct {
-	signal chan struct{} // there is something to send
+	signal chan struct{} // wakes the sender up
 
 	lock         sync.Mutex
 	answers      []event
@@ -68,7 +68,7 @@
 	defer b.lock.Unlock()
 	switch answer := answer.(type) {
 	case holdReply:
-		if !b.isNews(answer) {
+		if !b.needsForwarding(answer) {
 			return
 		}
 		b.setLatest(answer.worker, answer)
@@ -88,8 +88,9 @@
 	b.latest[worker] = report
 }
 
-// isNews reports whether the leader needs a report. It updates the state of the worker.
-func (b *outbox) isNews(report holdReply) bool {
+// needsForwarding reports whether a report brings news to the leader. It updates the worker's
+// reportState.
+func (b *outbox) needsForwarding(report holdReply) bool {
 	state := b.reportStates[report.worker]
 	empty := len(report.report.Running) == 0 && len(report.report.Ended) == 0
 	if !empty {
--- a/batch/peers.go
+++ b/batch/peers.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxPeerTries bounds the instances that are tried for one call.
-	maxPeerTries = 2
+	// maxPeerAttempts bounds the instances that are tried for one call.
+	maxPeerAttempts = 2
 	// peerCallTimeout bounds a call to another instance: the network takes a millisecond, an
 	// append 4 ms, or 0.3 s while the store is slow.
 	peerCallTimeout = 500 * time.Millisecond
@@ -48,8 +48,8 @@
 	return &peers{client: relay.NewClient(), clock: clock, backoffUntil: map[string]time.Time{}}
 }
 
-// choose returns addresses of peers in random order, to spread load.
-func (p *peers) choose(instances map[string]jobs.Instance, self string) []string {
+// chooseAddresses returns addresses of peers in random order, to spread load.
+func (p *peers) chooseAddresses(instances map[string]jobs.Instance, self string) []string {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	now := p.clock.Now()
@@ -60,7 +60,7 @@
 		}
 	}
 	rand.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
-	return list[:min(maxPeerTries, len(list))]
+	return list[:min(maxPeerAttempts, len(list))]
 }
 
 func (p *peers) backOff(address string) {
@@ -92,8 +92,8 @@
 	p.failedAt = p.clock.Now()
 }
 
-// isolated reports whether none of the other instances seems reachable.
-func (p *peers) isolated() bool {
+// isIsolated reports whether this instance seems to be cut off from all other instances.
+func (p *peers) isIsolated() bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.unansweredCalls >= isolatedAfterFailures && p.clock.Now().Sub(p.failedAt) < isolationDuration
@@ -156,16 +156,16 @@
 // of the waiting reads fails at once in an outage, so after any failed read the part is read
 // before it is written to.
 func (i *Instance) mayWrite(ctx context.Context, record jobs.Record) bool {
-	if !i.loaded() || !i.work.isReachable() || i.committerFor(record).unresponsive(i.work.lastAnswer()) {
+	if !i.isLoaded() || !i.work.isReachable() || i.committerFor(record).storeUnresponsive(i.work.lastAnswer()) {
 		return false
 	}
-	part := i.followerOf(partOf(record.Subject(), i.settings.StoreParts))
-	if part.answeredSince(time.Unix(0, i.readFailedAt.Load())) {
+	f := i.followerOf(partOf(record.Subject(), i.settings.StoreParts))
+	if f.answeredSince(time.Unix(0, i.readFailedAt.Load())) {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
-	return part.refresh(ctx, 0) == nil
+	return f.refresh(ctx, 0) == nil
 }
 
 // registeredInstances returns the registered instances by name. Some may have stopped.
@@ -176,10 +176,10 @@
 }
 
 func (i *Instance) peerAddresses() []string {
-	if i.peers.isolated() {
+	if i.peers.isIsolated() {
 		return nil
 	}
-	return i.peers.choose(i.registeredInstances(), i.settings.Name)
+	return i.peers.chooseAddresses(i.registeredInstances(), i.settings.Name)
 }
 
 // HandleRelayedCall answers a call of another instance. It does not relay the call further.
@@ -211,7 +211,7 @@
 }
 
 func (i *Instance) relayedLookUp(ctx context.Context, id string) *relaypb.Answer {
-	if !i.loaded() || !i.work.isReachable() {
+	if !i.isLoaded() || !i.work.isReachable() {
 		return &relaypb.Answer{}
 	}
 	state, outcome := i.localState(ctx, id, 0)
@@ -224,7 +224,7 @@
 	return &relaypb.Answer{}
 }
 
-// registerAddress writes this instance's address for the other instances once.
+// registerAddress records this instance's address for the other instances, once per process.
 func (i *Instance) registerAddress(ctx context.Context) {
 	record, err := jobs.InstanceRecord(i.settings.Name, jobs.Instance{
 		Address: i.settings.RelayAddress, Zone: i.settings.Zone, CPUShare: i.settings.CPUShare})
@@ -233,7 +233,7 @@
 		return
 	}
 	for i.settings.RelayAddress != "" && ctx.Err() == nil {
-		if i.loaded() && i.committerFor(record).write(ctx, record) == nil {
+		if i.isLoaded() && i.committerFor(record).write(ctx, record) == nil {
 			return
 		}
 		logstream.Sleep(ctx, registerBackoff)
--- a/batch/resolve.go
+++ b/batch/resolve.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// overtakeDelay is how long a group is waited for before the next is sent concurrently. With a
-	// store that takes 0.3 s for an append no group is overtaken.
+	// overtakeDelay is how long the committer waits for a group before it sends the next one
+	// concurrently. With a store that takes 0.3 s for an append no group is overtaken.
 	overtakeDelay = 600 * time.Millisecond
 	// resolveInterval is how often the log is read for a group without an answer, and
 	// resendInterval how often the group is sent again: a store that loses answers, or carries out
@@ -23,7 +23,7 @@
 )
 
 // sendGroup sends a group and resolves its outcome while any of its callers waits. It closes
-// overtaken once the next group need not wait any longer.
+// overtaken once the next group may be sent.
 func (c *committer) sendGroup(ctx context.Context, group []*commit, overtaken chan<- struct{}) {
 	defer c.openGroups.Add(-1)
 	sent := make(chan error, 1)
@@ -61,7 +61,7 @@
 }
 
 // resolve reads the log until it contains a group, and sends the group again concurrently with the
-// tries of append, whose result arrives in sent.
+// attempts of append, whose result arrives in sent.
 func (c *committer) resolve(ctx context.Context, group []*commit, sent <-chan error) error {
 	records := recordsOf(group)
 	resendResults := make(chan error, int(maxResolveTime/resendInterval)+1)
@@ -73,7 +73,7 @@
 		select {
 		case err := <-sent:
 			if resent && errors.Is(err, ErrNotApplied) {
-				continue // holds only for append's own tries
+				continue // holds only for append's own attempts
 			}
 			if !c.isUnresolved(err) {
 				return err
--- a/batch/restart_test.go
+++ b/batch/restart_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// restartPause is how long a worker is away between two incarnations.
+	// restartPause is how long a worker is down between two incarnations.
 	restartPause = 500 * time.Millisecond
 	// maxTaskWait is how long tasks may wait while capacity is free; it is a requirement of the users.
 	maxTaskWait = 3 * time.Second
@@ -126,8 +126,8 @@
 	})
 }
 
-// An entry without an incarnation was made by another writer if the other workers have one. It is
-// not used, and what runs on that worker goes on.
+// An entry without an incarnation was written by another writer if the entries of other workers
+// have one. It is not used, and the tasks on that worker keep running.
 func TestEntryWithoutIncarnationIsNotUsed(t *testing.T) {
 	inFleet(t, 2, 0, 3*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", 2)
@@ -143,8 +143,8 @@
 	})
 }
 
-// A worker is told once which ends it may forget, and not while a later incarnation may receive the
-// order, which would forget ends of its own that nobody has read.
+// An acknowledgement is sent to a worker once, and not while a later incarnation may receive the
+// order: that one would forget ends of its own that nobody has read.
 func TestAcknowledgementGoesToItsIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -171,13 +171,13 @@
 }
 
 // A later incarnation of a worker may accept a start meant for the former one. It grants the longest
-// lease from then on, as the former's clock means nothing to it. So nothing there lapses before
-// such a lease that began with the last attempt.
+// lease from then on, as the requested lease is on the clock of the former one. So nothing there
+// lapses before such a lease that began with the last attempt.
 func TestUnansweredStartDelaysTheLapse(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		bornMS int64
-		held   bool
+		name     string
+		bornMS   int64
+		extended bool
 	}{
 		{"workers report incarnations", 7, true},
 		{"each incarnation has an ID of its own", 0, false},
@@ -190,11 +190,11 @@
 				link.env.bounds = newBounds(Bounds{MaxLease: simLease})
 				link.recordAnswer(1)
 				link.extendLease(link.env.clock.Now())
-				granted := link.lapse()
+				granted := link.leaseLapse()
 				link.startRun(t.Context(), placing.Start{Worker: "w", Run: 1}, false, nil)
 				lastAttempt := link.env.clock.Now()
-				is.Equal(link.lapse().After(granted), c.held)
-				is.Equal(!link.lapse().Before(lastAttempt.Add(placing.LeaseExpiry(simLease))), c.held)
+				is.Equal(link.leaseLapse().After(granted), c.extended)
+				is.Equal(!link.leaseLapse().Before(lastAttempt.Add(placing.LeaseExpiry(simLease))), c.extended)
 			})
 		})
 	}
--- a/batch/session.go
+++ b/batch/session.go
@@ -167,8 +167,8 @@
 	s.enqueue(&relaypb.Order{Body: &relaypb.Order_Forget{Forget: worker}})
 }
 
-func (s *session) start(order placing.Start, open bool) {
-	s.enqueue(&relaypb.Order{Body: &relaypb.Order_Start{Start: startToPB(order, open)}})
+func (s *session) start(order placing.Start, maybeSent bool) {
+	s.enqueue(&relaypb.Order{Body: &relaypb.Order_Start{Start: startToPB(order, maybeSent)}})
 }
 
 func (s *session) stop(order placing.Stop) {
@@ -188,7 +188,7 @@
 	session *session
 }
 
-func (e sessionStart) apply(l *leader, _ time.Time) { l.dispatchers.sessionOpened(e.session) }
+func (e sessionStart) apply(l *leader, _ time.Time) { l.dispatchers.addSession(e.session) }
 
 // streamEnd signals that the stream of a session has ended.
 type streamEnd struct {
@@ -198,7 +198,7 @@
 
 func (e streamEnd) apply(l *leader, now time.Time) { l.dispatchers.endSession(e.session, e.cause, now) }
 
-// openFailure signals that an instance was not reached.
+// openFailure signals that no session could be opened, because the instance was not reached.
 type openFailure struct {
 	name  string
 	cause string
--- a/batch/shards.go
+++ b/batch/shards.go
@@ -17,8 +17,8 @@
 	}
 	d.assignedAt = now
 	d.changed = false
-	d.updateSharing()
-	if d.shared {
+	d.updateSharding()
+	if d.sharded {
 		d.openSessions(now)
 	}
 	delegates := d.delegates()
@@ -39,13 +39,13 @@
 	return idleAssignInterval
 }
 
-func (d *dispatchers) updateSharing() {
-	shared := d.sharing.Update(len(d.workers))
-	if shared == d.shared {
+func (d *dispatchers) updateSharding() {
+	sharded := d.shardingSwitch.Update(len(d.workers))
+	if sharded == d.sharded {
 		return
 	}
-	d.shared = shared
-	d.leader.log.WithField("shared", shared).WithField("workers", len(d.workers)).Info("sharing_changed")
+	d.sharded = sharded
+	d.leader.log.WithField("shared", sharded).WithField("workers", len(d.workers)).Info("sharing_changed")
 }
 
 // openSessions opens sessions until as many are open or being opened as the number of workers
@@ -86,7 +86,8 @@
 	}
 }
 
-// openSession connects to an instance. The session counts once the instance has sent a message.
+// openSession connects to an instance. The session becomes current with the instance's first
+// message.
 func (d *dispatchers) openSession(name, address string) {
 	l := d.leader
 	request := &relaypb.Keep{Epoch: l.epoch, Holder: l.instance.settings.Name, Lives: true}
@@ -105,7 +106,7 @@
 
 // delegates returns the instances that may drive workers now.
 func (d *dispatchers) delegates() []sharing.Instance {
-	if !d.shared {
+	if !d.sharded {
 		return nil
 	}
 	var delegates []sharing.Instance
@@ -120,9 +121,9 @@
 }
 
 // assign assigns one worker to the chosen instance. An assigned worker is first released by its
-// present instance. It stays with an instance that may drive it, unless the worker does not answer
+// current instance. It stays with an instance that may drive it, unless the worker does not answer
 // there or the shard has grown too large: a move costs more than an uneven shard.
-func (d *dispatchers) assign(w *assignedWorker, delegates []sharing.Instance, now time.Time) {
+func (d *dispatchers) assign(w *workerAssignment, delegates []sharing.Instance, now time.Time) {
 	if w.state == releasing || w.state == unassigned && d.awaitsSession(w, now) {
 		return
 	}
@@ -132,7 +133,7 @@
 	}
 	if w.state == assigned {
 		chosen := sharing.ChooseDelegate(w.entry.Name, w.entry.Zone, avoid, delegates)
-		if w.instance != chosen && !d.openingRecently(now) && !d.mayRemain(w, avoid) {
+		if w.instance != chosen && !d.hasRecentOpening(now) && !d.mayRemain(w, avoid) {
 			d.release(w)
 		}
 		return
@@ -148,8 +149,8 @@
 
 // awaitsSession reports whether a worker should wait for sessions that are being opened. With no
 // open session it waits longer, because otherwise all workers would be assigned to the leader.
-func (d *dispatchers) awaitsSession(w *assignedWorker, now time.Time) bool {
-	if !d.shared || len(d.opening) == 0 {
+func (d *dispatchers) awaitsSession(w *workerAssignment, now time.Time) bool {
+	if !d.sharded || len(d.opening) == 0 {
 		return false
 	}
 	if len(d.sessions) == 0 {
@@ -158,8 +159,8 @@
 	return now.Sub(w.unassignedSince) < sessionOpenWait
 }
 
-// openingRecently reports whether the opening of a session began less than sessionOpenWait ago.
-func (d *dispatchers) openingRecently(now time.Time) bool {
+// hasRecentOpening reports whether the opening of a session began less than sessionOpenWait ago.
+func (d *dispatchers) hasRecentOpening(now time.Time) bool {
 	for _, since := range d.opening {
 		if now.Sub(since) < sessionOpenWait {
 			return true
@@ -176,7 +177,7 @@
 	})
 }
 
-func (d *dispatchers) assignTo(w *assignedWorker, instance string) {
+func (d *dispatchers) assignTo(w *workerAssignment, instance string) {
 	w.state = assigned
 	w.instance = instance
 	if s := d.sessions[instance]; s != nil {
@@ -189,16 +190,16 @@
 	}
 }
 
-// mayRemain reports whether a worker may stay with its present dispatcher.
-func (d *dispatchers) mayRemain(w *assignedWorker, avoid string) bool {
+// mayRemain reports whether a worker may stay with its current dispatcher.
+func (d *dispatchers) mayRemain(w *workerAssignment, avoid string) bool {
 	if w.instance == ownInstance {
-		return !d.shared || len(d.sessions) == 0
+		return !d.sharded || len(d.sessions) == 0
 	}
 	s := d.sessions[w.instance]
-	return d.shared && s != nil && !s.draining && w.instance != avoid && s.workers <= s.maxWorkers
+	return d.sharded && s != nil && !s.draining && w.instance != avoid && s.workers <= s.maxWorkers
 }
 
-func (d *dispatchers) release(w *assignedWorker) {
+func (d *dispatchers) release(w *workerAssignment) {
 	w.state = releasing
 	if w.instance != ownInstance {
 		d.sessions[w.instance].release(w.entry.ID)
@@ -213,7 +214,7 @@
 
 // updateStatus publishes how many workers each dispatcher has.
 func (d *dispatchers) updateStatus() {
-	status := &ShardingStatus{Sharded: d.shared, Delegates: map[string]int{}}
+	status := &ShardingStatus{Sharded: d.sharded, Delegates: map[string]int{}}
 	for _, w := range d.workers {
 		switch {
 		case w.state != assigned:
@@ -225,7 +226,7 @@
 		}
 	}
 	i := d.leader.instance
-	i.sharing.Store(status)
+	i.shardingStatus.Store(status)
 	i.metrics.sessions.Update(int64(len(d.sessions)))
 	i.metrics.ownWorkers.Update(int64(status.OwnWorkers))
 	i.metrics.movingWorkers.Update(int64(status.MovingWorkers))
--- a/batch/shards_test.go
+++ b/batch/shards_test.go
@@ -18,8 +18,8 @@
 	// manyWorkers are assigned to delegates, fewWorkers are not.
 	manyWorkers = 600
 	fewWorkers  = 300
-	// settleTime is how long the links take to stabilize after the start of a leader.
-	settleTime = 3 * time.Second
+	// linkSetupTime is how long a new leader takes to assign all workers and to connect to them.
+	linkSetupTime = 3 * time.Second
 )
 
 // inFleet runs a test in virtual time with a leader, instances and workers.
@@ -28,7 +28,7 @@
 		f := newTestFleet(t, newSimWorkers(workers, taskTime), instances)
 		f.start()
 		defer f.stop()
-		time.Sleep(settleTime)
+		time.Sleep(linkSetupTime)
 		test(f, is.New(t))
 	})
 }
@@ -50,10 +50,10 @@
 // more than its shard.
 func TestManyWorkersAreKeptByOthers(t *testing.T) {
 	inFleet(t, manyWorkers, 8, time.Second, func(f *testFleet, is *is.I) {
-		driven := f.workers.dispatchedBy(2 * holdWait)
-		is.Equal(driven["a"], 0)
+		counts := f.workers.dispatchedBy(2 * holdWait)
+		is.Equal(counts["a"], 0)
 		total := 0
-		for _, count := range driven {
+		for _, count := range counts {
 			total += count
 			is.True(count < manyWorkers/3)
 		}
@@ -102,7 +102,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			inFleet(t, manyWorkers, 8, 8*time.Second, func(f *testFleet, is *is.I) {
-				lost := f.busiest()
+				lost := f.busiestInstance()
 				f.workers.setSlow(lost, 100*time.Millisecond)
 				f.submit("a1", 400)
 				time.Sleep(90 * time.Millisecond) // its starts are in flight, others are answered
@@ -126,7 +126,7 @@
 	inFleet(t, manyWorkers, 8, 12*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", manyWorkers/2) // there is capacity to start elsewhere
 		time.Sleep(time.Second)
-		silent := f.busiest()
+		silent := f.busiestInstance()
 		for id := range f.workers.workersOf(silent) {
 			for name := range f.instances {
 				f.workers.setCut(name, id, name != silent)
@@ -147,11 +147,11 @@
 	inFleet(t, manyWorkers, 8, 9*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", manyWorkers)
 		time.Sleep(time.Second)
-		cut := f.busiest()
+		cut := f.busiestInstance()
 		f.workers.setCut(cut, "*", true)
 		time.Sleep(4 * time.Second)
-		driven := f.workers.dispatchedBy(3 * time.Second)
-		is.Equal(driven[cut], 0)
+		counts := f.workers.dispatchedBy(3 * time.Second)
+		is.Equal(counts[cut], 0)
 		time.Sleep(8 * time.Second)
 		is.Equal(f.lapses(), 0)
 		is.Equal(f.doubleRuns(), 0)
@@ -178,7 +178,7 @@
 	inFleet(t, manyWorkers, 8, 8*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", 400)
 		time.Sleep(500 * time.Millisecond)
-		draining := f.busiest()
+		draining := f.busiestInstance()
 		f.instances[draining].Drain()
 		time.Sleep(2 * time.Second)
 		is.Equal(f.instances[draining].Status().DelegatedWorkers, 0)
@@ -224,13 +224,13 @@
 		select {
 		case <-formerDone:
 		case <-time.After(3 * time.Second):
-			t.Error("the former leader goes on")
+			t.Error("the former leader did not step down")
 		}
 		is.True(former.termLost)
 		former.wg.Wait()
-		time.Sleep(settleTime)
-		driven := f.workers.dispatchedBy(2 * holdWait)
-		is.Equal(driven["a"], 0)
+		time.Sleep(linkSetupTime)
+		counts := f.workers.dispatchedBy(2 * holdWait)
+		is.Equal(counts["a"], 0)
 		time.Sleep(6 * time.Second)
 		is.Equal(f.lapses(), 0)
 		is.Equal(f.doubleRuns(), 0)
--- a/batch/simrestart_test.go
+++ b/batch/simrestart_test.go
@@ -76,7 +76,7 @@
 	f.leader.offer(listChangedEvent{})
 }
 
-// startCount returns how many runs a worker has had in its present incarnation.
+// startCount returns how many runs a worker has had in its current incarnation.
 func (s *simWorkers) startCount(name string) int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/batch/simworkers_test.go
+++ b/batch/simworkers_test.go
@@ -15,7 +15,7 @@
 // simWorker is a worker in memory. Its runs end as done after a fixed time, unless their lease lapses
 // before.
 type simWorker struct {
-	bornMS     int64     // of the present incarnation
+	bornMS     int64     // of the current incarnation
 	clockStart time.Time // zero of its clock
 	down       bool      // between two incarnations
 	startCount int       // runs in this incarnation
@@ -41,7 +41,7 @@
 	workers      map[string]*simWorker
 	cut          map[string]bool // "instance worker" or "instance *" or "* worker"
 	frozen       map[string]bool // instances that do nothing
-	silent       map[string]bool // instances that go on, but whose sessions carry nothing
+	silent       map[string]bool // instances that run, but whose sessions carry no messages
 	slow         map[string]time.Duration
 	done         map[jobs.TaskKey]int
 	acknowledged map[jobs.TaskKey]bool // an end as done was acknowledged
@@ -94,10 +94,10 @@
 }
 
 // setSlow adds latency to the calls of an instance to workers.
-func (s *simWorkers) setSlow(instance string, way time.Duration) {
+func (s *simWorkers) setSlow(instance string, latency time.Duration) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.slow[instance] = way
+	s.slow[instance] = latency
 }
 
 // isMuted reports whether no messages pass between the leader and an instance.
@@ -203,8 +203,8 @@
 	instance string
 }
 
-// call waits until a call arrives, and returns the worker with the lock held, or nil if the call
-// does not arrive.
+// call waits until a call arrives, and returns the worker with the lock held, or an error without
+// the lock if the call does not arrive or is refused.
 func (c *simClient) call(ctx context.Context, worker placing.WorkerEntry, epoch int64) (*simWorker, error) {
 	s := c.fleet
 	s.lock.Lock()
@@ -331,10 +331,10 @@
 	}
 }
 
-func (p *simClient) Pace(context.Context, placing.WorkerEntry, PaceOrder) error { return nil }
+func (c *simClient) Pace(context.Context, placing.WorkerEntry, PaceOrder) error { return nil }
 
-func (p *simClient) Advise(context.Context, placing.AdviceRequest) (map[string]string, time.Duration, error) {
+func (c *simClient) Advise(context.Context, placing.AdviceRequest) (map[string]string, time.Duration, error) {
 	return nil, 0, eris.New("no advice")
 }
 
-func (p *simClient) Forget(placing.WorkerEntry) {}
+func (c *simClient) Forget(placing.WorkerEntry) {}
--- a/batch/stalltakeover.go
+++ b/batch/stalltakeover.go
@@ -17,7 +17,8 @@
 	// probeTimeout bounds the append by which a standby checks whether it can write progress.
 	probeTimeout = time.Second
 	// takeoverDelay is the time between that append and the claim. If the part was down for all
-	// instances and is back, the leader's next attempt succeeds in that time, and it keeps the term.
+	// instances and is up again, the leader's next attempt succeeds in that time, and it keeps the
+	// term.
 	takeoverDelay = maxCallTimeout + time.Second
 	// takeoverRetryInterval follows a check that did not lead to a claim.
 	takeoverRetryInterval = 2 * time.Second
@@ -44,7 +45,7 @@
 		defer t.wg.Done()
 		defer t.busy.Store(false)
 		if t.instance.confirmTakeover(ctx, term.Epoch) {
-			t.instance.requestedEpoch.Store(term.Epoch)
+			t.instance.claimEpoch.Store(term.Epoch)
 			return
 		}
 		logstream.Sleep(ctx, takeoverRetryInterval)
--- a/batch/standby.go
+++ b/batch/standby.go
@@ -9,7 +9,7 @@
 	"github.com/teaselcleat/teaselcleat/jobs"
 )
 
-// maxStandbys is how many instances are standbys at most.
+// maxStandbys bounds the number of standbys.
 const maxStandbys = 3
 
 // standbys returns the names of the instances that follow the leader closely: those that would claim
@@ -49,8 +49,8 @@
 	return first
 }
 
-// isStandby reports whether this instance is a standby. An instance that has not registered yet
-// is none.
+// isStandby reports whether this instance is a standby. An instance that has not registered yet is
+// not one.
 func (i *Instance) isStandby() bool {
 	i.foldLock.Lock()
 	instances := i.fold.table.Instances()
--- a/batch/standby_test.go
+++ b/batch/standby_test.go
@@ -32,7 +32,7 @@
 }
 
 // With any number of instances, and of instances with little CPU, there are a few standbys. They are
-// never all in one zone, and the leader is none of them.
+// never all in one zone, and the leader is not one of them.
 func TestSomeInstancesAlwaysWatchTheHolder(t *testing.T) {
 	is := is.New(t)
 	for _, perZone := range []int{1, 2, 13, 33, 100} {
@@ -56,7 +56,7 @@
 // with a third of the instances and workers and the leader. Instances of the lost zone were tried one
 // after the other, so that some session was always being opened, and the next leader reached no
 // worker for a second and more. In its log six of nine sessions were open within milliseconds; the
-// rest were not reached half a second later, nor were the next five that were tried.
+// others were not reached half a second later, nor were the next five that were tried.
 func TestLostZoneHoldsUpNoWorker(t *testing.T) {
 	for _, instances := range []int{12, 60} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
@@ -79,8 +79,9 @@
 	}
 }
 
-// maxRecoveryDelay is how long a new leader may take to order what fits. Two seconds are allowed for
-// the whole recovery, of which the silence of the former leader takes more than one.
+// maxRecoveryDelay is how long a new leader may take to start the tasks that fit. Two seconds are
+// allowed for the whole recovery, and it takes more than one to notice that the former leader is
+// silent.
 const maxRecoveryDelay = 600 * time.Millisecond
 
 // zoneOfInstance returns the availability zone of an instance, one of those that workers are in.
@@ -158,20 +159,20 @@
 // them read the terms at once.
 func TestInstancesThatWouldNotPlaceYieldTheStore(t *testing.T) {
 	for _, c := range []struct {
-		share  float64
-		yields time.Duration
+		cpuShare float64
+		delay    time.Duration
 	}{{0.8, 0}, {0.192, startupYield}} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			store := &firstReadStore{firstRead: map[int]time.Time{}}
-			instance := New(Settings{Name: "a", StoreParts: 8, CPUShare: c.share}, store, zoneDecoder{}, nil, metrics.NewRegistry(), discardLog())
+			instance := New(Settings{Name: "a", StoreParts: 8, CPUShare: c.cpuShare}, store, zoneDecoder{}, nil, metrics.NewRegistry(), discardLog())
 			begin := time.Now()
 			instance.Start()
 			time.Sleep(2 * startupYield)
 			instance.Stop()
 			is.Equal(store.firstRead[statePart].Sub(begin), time.Duration(0))
 			for part := 1; part <= callPartCount(8); part++ {
-				is.Equal(store.firstRead[part].Sub(begin), c.yields)
+				is.Equal(store.firstRead[part].Sub(begin), c.delay)
 			}
 		})
 	}
--- a/batch/state_test.go
+++ b/batch/state_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// newLoadedInstance returns an instance that has read the log and knows one running job.
+// newLoadedInstance returns an instance that has read a log with one submitted job.
 func newLoadedInstance(t *testing.T, store Store, id string) *Instance {
 	instance := New(Settings{Name: "a", StoreParts: 8}, store, nil, nil, metrics.NewRegistry(), discardLog())
 	record, err := jobs.SubmissionRecord(&jobs.Submission{ID: id, Steps: []jobs.Step{{Tasks: 1}}})
@@ -62,8 +62,8 @@
 	return instance
 }
 
-// Callers ask when they expect the end, which is then being written. They are answered some
-// milliseconds later, without asking again.
+// Callers often request the state while the end of the job is being written. The answer waits some
+// milliseconds for it, so that they need not call again.
 func TestQuestionWaitsForAnEndThatIsBeingWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -83,8 +83,8 @@
 	})
 }
 
-// A running job is reported as such after a short wait and few reads. Without the log there is
-// no wait.
+// The state of a job that has not ended is returned after a short wait and few reads. While the log
+// is unreachable there is no wait.
 func TestStateOfARunningJobWaitsBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -124,6 +124,6 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		instance.leaderDuty(ctx)
-		is.NoErr(ctx.Err()) // it ended at once
+		is.NoErr(ctx.Err()) // leaderDuty returned before the timeout
 	})
 }
--- a/batch/status.go
+++ b/batch/status.go
@@ -20,7 +20,7 @@
 
 // ShardingStatus describes how the leader reaches the workers.
 type ShardingStatus struct {
-	Sharded       bool           `json:"shared"`            // workers are divided among delegates
+	Sharded       bool           `json:"shared"`            // workers are assigned to delegates
 	OwnWorkers    int            `json:"own"`               // workers that the leader drives itself
 	MovingWorkers int            `json:"moving"`            // workers without a dispatcher, or in transfer
 	Delegates     map[string]int `json:"keepers,omitempty"` // workers by delegate
@@ -36,10 +36,10 @@
 		Draining:         i.Draining(),
 		LogAgeMS:         ageMS(i.clock.Now(), i.work.lastAnswer()),
 		Waiting:          map[string]int{},
-		DelegatedWorkers: i.delegations.count(),
+		DelegatedWorkers: i.delegations.workerCount(),
 	}
-	if sharing := i.sharing.Load(); sharing != nil {
-		status.Sharding = *sharing
+	if sharding := i.shardingStatus.Load(); sharding != nil {
+		status.Sharding = *sharding
 	}
 	config := i.Config()
 	i.foldLock.Lock()
--- a/batch/successor.go
+++ b/batch/successor.go
@@ -20,9 +20,9 @@
 	claimCheckTimeout = 200 * time.Millisecond
 )
 
-// findSuccessor asks another instance to claim the term once the store refuses this leader and not
-// the other one. A leader notices that after two refusals, 0.1 s; the others notice its silence
-// after 1.1 s. Until it loses the term the leader goes on with what runs.
+// findSuccessor requests that another instance claim the term once the store refuses this leader
+// and not the other instance. A leader notices that after two refusals, 0.1 s; the others notice its
+// silence after 1.1 s. Until it loses the term the leader keeps the running tasks running.
 func (l *leader) findSuccessor(ctx context.Context) {
 	for ctx.Err() == nil {
 		logstream.Sleep(ctx, successorCheckInterval)
@@ -36,7 +36,8 @@
 	}
 }
 
-// requestClaim asks other instances to claim the term that follows epoch, until one promises to.
+// requestClaim requests that another instance claim the term that follows epoch. It reports whether
+// one has promised to.
 func (i *Instance) requestClaim(ctx context.Context, epoch int64) bool {
 	call := &relaypb.Call{Body: &relaypb.Call_Claim{Claim: &relaypb.Claim{Epoch: epoch}}}
 	for _, address := range i.peerAddresses() {
@@ -52,7 +53,7 @@
 // store, has enough CPU to lead and is not draining.
 func (i *Instance) handleClaimRequest(ctx context.Context, epoch int64) relaypb.Fate {
 	weak := claimDelay(i.nameHash, i.settings.CPUShare) >= maxClaimJitter
-	if weak || i.draining.Load() || !i.loaded() || !i.work.isReachable() {
+	if weak || i.draining.Load() || !i.isLoaded() || !i.work.isReachable() {
 		return relaypb.Fate_FATE_NOT_DONE
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimCheckTimeout)
@@ -60,6 +61,6 @@
 	if err := i.work.refresh(ctx, 0); err != nil {
 		return relaypb.Fate_FATE_NOT_DONE
 	}
-	i.requestedEpoch.Store(epoch)
+	i.claimEpoch.Store(epoch)
 	return relaypb.Fate_FATE_DONE
 }
--- a/batch/successor_test.go
+++ b/batch/successor_test.go
@@ -13,28 +13,28 @@
 	"github.com/teaselcleat/teaselcleat/relay/relaypb"
 )
 
-// When the leader has requested a claim, neither its silence nor the rank is waited for. A request
-// of an earlier term is ignored.
+// When the leader has requested a claim, the term is claimed without waiting for the leader's
+// silence or the claim delay. A request of an earlier term is ignored.
 func TestTermIsClaimedAtOnceWhenItsHolderAsks(t *testing.T) {
 	is := is.New(t)
-	vote := newElection("a", "a/1", 200*time.Millisecond)
-	vote.observe(jobs.Term{Epoch: 4, Leader: "b/1"}, testNow)
-	vote.requestClaim(3)
-	is.True(!vote.shouldClaim(testNow, testNow))
-	vote.requestClaim(4)
-	is.True(vote.shouldClaim(testNow, testNow))
-	is.True(!vote.shouldClaim(testNow, testNow)) // a claim is in flight
-	vote.observe(jobs.Term{Epoch: 5, Leader: "c/1"}, testNow)
-	is.True(!vote.shouldClaim(testNow, testNow.Add(claimInterval)))
+	e := newElection("a", "a/1", 200*time.Millisecond)
+	e.observe(jobs.Term{Epoch: 4, Leader: "b/1"}, testNow)
+	e.requestClaim(3)
+	is.True(!e.shouldClaim(testNow, testNow))
+	e.requestClaim(4)
+	is.True(e.shouldClaim(testNow, testNow))
+	is.True(!e.shouldClaim(testNow, testNow)) // a claim is in flight
+	e.observe(jobs.Term{Epoch: 5, Leader: "c/1"}, testNow)
+	is.True(!e.shouldClaim(testNow, testNow.Add(claimInterval)))
 }
 
 // An instance promises to claim the term only if it can: it reads the log first, has enough CPU and
 // is not draining.
 func TestClaimIsPromisedByAnInstanceThatCan(t *testing.T) {
 	for _, example := range []struct {
-		name    string
-		change  func(i *Instance)
-		promise relaypb.Fate
+		name   string
+		change func(i *Instance)
+		answer relaypb.Fate
 	}{
 		{"it can", func(*Instance) {}, relaypb.Fate_FATE_DONE},
 		{"the store is down for it too", func(i *Instance) { i.work.store = downStore{} }, relaypb.Fate_FATE_NOT_DONE},
@@ -45,12 +45,12 @@
 		is := is.New(t)
 		instance := newLoadedInstance(t, &tailStore{}, "a1")
 		example.change(instance)
-		is.Equal(instance.handleClaimRequest(t.Context(), 7), example.promise)
-		is.Equal(instance.requestedEpoch.Load() == 7, example.promise == relaypb.Fate_FATE_DONE)
+		is.Equal(instance.handleClaimRequest(t.Context(), 7), example.answer)
+		is.Equal(instance.claimEpoch.Load() == 7, example.answer == relaypb.Fate_FATE_DONE)
 	}
 }
 
-// A leader that the store refuses finds an instance that the store answers.
+// A leader that cannot reach the store finds an instance that can.
 func TestHolderFindsASuccessorThatReachesTheStore(t *testing.T) {
 	is := is.New(t)
 	other := newLoadedInstance(t, &tailStore{}, "a1")
@@ -64,7 +64,7 @@
 	is.NoErr(err)
 	leader.applyRecord(t, partOf(record.Subject(), 8), record, nil)
 	is.True(leader.requestClaim(ctx, 7))
-	is.Equal(other.requestedEpoch.Load(), int64(7))
+	is.Equal(other.claimEpoch.Load(), int64(7))
 	other.work.failures = unreachableFailures
 	is.True(!leader.requestClaim(ctx, 8))
 }
--- a/batch/testfleet_test.go
+++ b/batch/testfleet_test.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// busiest returns the instance that drives the most workers.
-func (f *testFleet) busiest() string {
+// busiestInstance returns the instance that drives the most workers.
+func (f *testFleet) busiestInstance() string {
 	best, highest := "", 0
 	for name, count := range f.workers.dispatchedBy(3 * time.Second) {
 		if count > highest {
--- a/batch/wire.go
+++ b/batch/wire.go
@@ -23,9 +23,9 @@
 	return placing.WorkerEntry{ID: watch.Worker, Address: watch.Address, Name: watch.Name, BornMS: watch.BornMs, Zone: watch.Zone}
 }
 
-func startToPB(order placing.Start, open bool) *relaypb.Start {
+func startToPB(order placing.Start, maybeSent bool) *relaypb.Start {
 	return &relaypb.Start{Run: runToPB(order.Worker, order.Task, order.Run), Spec: order.Spec, Checkpoint: order.Checkpoint,
-		Ticket: order.Ticket, Open: open}
+		Ticket: order.Ticket, Open: maybeSent}
 }
 
 func startFromPB(order *relaypb.Start) placing.Start {
--- a/batch/writer.go
+++ b/batch/writer.go
@@ -55,7 +55,7 @@
 	i := leader.instance
 	w.states = &fencedAppender{store: i.store, clock: i.clock, part: statePart, epoch: term.Epoch, sequence: sequence, isInLog: w.renewalWasRead}
 	if part := progressPart(i.settings.StoreParts); part != statePart {
-		w.progress = &fencedAppender{store: i.store, clock: i.clock, part: part, epoch: term.Epoch, sequence: i.randomSequence(), isInLog: i.progressWasRead, onTry: w.recordProgressAttempt}
+		w.progress = &fencedAppender{store: i.store, clock: i.clock, part: part, epoch: term.Epoch, sequence: i.randomSequence(), isInLog: i.progressWasRead, onAttempt: w.recordProgressAttempt}
 	}
 	return w
 }
@@ -77,7 +77,8 @@
 	return w.progress.append(ctx, append([]jobs.Record{mark}, progress...))
 }
 
-// enqueue queues the records of a plan. The engine provides the next ones only after Recorded.
+// enqueue queues the records of a plan. The engine provides the next ones only after
+// MarkRecordsDurable.
 func (w *fencedWriter) enqueue(progress, states []jobs.Record) {
 	w.pendingGroups++
 	w.groups <- recordGroup{progress: progress, states: states}
--- a/jobs/job.go
+++ b/jobs/job.go
@@ -39,13 +39,13 @@
 	Gang             bool      `json:"g,omitempty"`  // all tasks must run at the same time
 	OneRack          bool      `json:"o,omitempty"`  // tasks run slowly unless all are in one rack
 	Speculative      bool      `json:"s,omitempty"`  // a task may run in several copies at once
-	LongRunning      bool      `json:"l,omitempty"`  // tasks are long-running: they end only when the job is cancelled
-	Filler           bool      `json:"f,omitempty"`  // tasks are fillers: they run on cores that others leave unused
+	LongRunning      bool      `json:"l,omitempty"`  // tasks run until the job is cancelled
+	Filler           bool      `json:"f,omitempty"`  // tasks run on cores that others leave unused
 	RequiredLabel    string    `json:"q,omitempty"`  // label that a worker must have
 	DataRack         string    `json:"t,omitempty"`  // rack that holds the input data
 	MaxPerWorker     int       `json:"p,omitempty"`  // maximum number of the step's tasks on one worker; 0 is no limit
 	Image            string    `json:"i,omitempty"`  // image of the tasks; tasks of the same image behave alike
-	ResponseTargetMS int64     `json:"rt,omitempty"` // milliseconds; for long-running tasks that serve users
+	ResponseTargetMS int64     `json:"rt,omitempty"` // target response time in milliseconds of long-running tasks that serve users
 	MaxUnavailable   int       `json:"mm,omitempty"` // maximum number of long-running tasks that are unavailable at once
 }
 
@@ -70,8 +70,8 @@
 	Pool        string  `json:"s"`           // pool of the workers that may run its tasks
 	Priority    int     `json:"p"`           // 0 is the highest and may preempt others
 	MaxAttempts int     `json:"a"`           // number of failed runs of a task that fails its job
-	Stretch     float64 `json:"x"`           // completion objective as a multiple of the critical path
-	TargetMS    int64   `json:"l"`           // added to the completion objective
+	Stretch     float64 `json:"x"`           // completion objective as a multiple of the job's critical path
+	TargetMS    int64   `json:"l"`           // milliseconds added to the completion objective
 	NeedsAdvice bool    `json:"v,omitempty"` // an external service advises which workers may run a step
 }
 
@@ -147,5 +147,5 @@
 	StateCancelled State = "cancelled"
 )
 
-// Final reports whether the state is final.
+// Final reports whether a job in this state has ended.
 func (s State) Final() bool { return s == StateDone || s == StateFailed || s == StateCancelled }
--- a/jobs/record.go
+++ b/jobs/record.go
@@ -50,11 +50,11 @@
 // TermRecord returns the record that claims, renews or hands over the term.
 func TermRecord(t Term) (Record, error) { return encode(termKey, t) }
 
-// Instance is what an instance announces to the other instances.
+// Instance is the announcement of an instance to the other instances.
 type Instance struct {
 	Address  string  `json:"a"`           // IP:PORT for calls of other instances
 	Zone     string  `json:"z,omitempty"` // availability zone
-	CPUShare float64 `json:"c,omitempty"` // CPU usage as a share of a core
+	CPUShare float64 `json:"c,omitempty"` // share of a core that its machine provides; 0 if unknown
 }
 
 // InstanceRecord returns the record by which an instance announces itself.
--- a/jobs/table.go
+++ b/jobs/table.go
@@ -16,7 +16,7 @@
 	FinalStateReported bool        // this instance reported the final state to a caller
 	Parts              uint64      // bit set of the stream's parts in which caller records of the job were read
 	progressNextOffset int64       // offset of Progress plus 1
-	stateNextOffset    int64       // offset of Shown plus 1
+	stateNextOffset    int64       // offset of the newest state record plus 1
 	progressState      State       // state in Progress
 }
 
@@ -118,7 +118,7 @@
 	return counts
 }
 
-// QueuedCount returns the number of a queue's jobs of which no task was placed.
+// QueuedCount returns the number of a queue's jobs in StateQueued: no task of them was placed yet.
 func (t *Table) QueuedCount(queue string) int {
 	count := 0
 	for _, job := range t.jobs {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,7 +1,7 @@
 // Package relay implements calls between instances: protobuf messages, with one
-// stream per call, over yamux sessions that are opened on demand. No decision
-// between instances is made here: an instance that has lost the store calls one that
-// has not, and the leader has delegates drive links to workers for it.
+// stream per call, over yamux sessions that are opened on demand. An instance that has
+// lost the store calls one that has not, and the leader opens delegation sessions with
+// instances that drive links to workers for it. The package makes no decisions itself.
 package relay
 
 import (
--- a/sharing/sharing.go
+++ b/sharing/sharing.go
@@ -20,8 +20,8 @@
 	defaultWeight = 0.4
 	// minDelegates prevents the loss of one instance from affecting half of the workers.
 	minDelegates = 4
-	// overloadFactor times its capacity is the shard size of a delegate above which some
-	// workers are moved. With hashing, shard sizes differ by a tenth.
+	// overloadFactor is the ratio of the shard size of a delegate to its capacity above which
+	// some workers are moved. With hashing, shard sizes differ by a tenth.
 	overloadFactor = 1.25
 )
 
@@ -106,13 +106,13 @@
 	return delegates
 }
 
-// MaxShardSize is the largest shard of a delegate with a given share of a core before some workers are
-// moved: a quarter more than its capacity.
+// MaxShardSize returns the shard size above which some workers of a delegate with the given share
+// of a core are moved: a quarter more than its capacity.
 func MaxShardSize(weight float64) int {
 	return int(overloadFactor * capacity(Instance{Weight: weight}))
 }
 
-// capacity is the intended shard size of an instance.
+// capacity returns the intended shard size of an instance.
 func capacity(instance Instance) float64 { return shardSize * instance.weight() / defaultWeight }
 
 // ChooseDelegate returns the delegate for a worker, by weighted rendezvous hashing among the delegates
@@ -137,7 +137,7 @@
 	return best
 }
 
-// score is the weighted rendezvous hash of an instance for a worker; the highest score wins.
+// score returns the weighted rendezvous hash of an instance for a worker; the highest score wins.
 func score(instance, worker string, weight float64) float64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/sharing/sharing_test.go
+++ b/sharing/sharing_test.go
@@ -13,10 +13,10 @@
 
 func TestMain(m *testing.M) { prooftest.Main(m, "30") }
 
-func instances(zones, each int) []Instance {
+func instances(zones, perZone int) []Instance {
 	var list []Instance
 	for zone := range zones {
-		for number := range each {
+		for number := range perZone {
 			list = append(list, Instance{Name: fmt.Sprintf("z%d-%d", zone, number), Zone: fmt.Sprintf("z%d", zone), Weight: defaultWeight})
 		}
 	}
