--- a/batch/bounds.go
+++ b/batch/bounds.go
@@ -13,7 +13,7 @@
 	MaxStopTime       time.Duration // longest time that a stop takes
 	ReclaimTimeout    time.Duration // time within which guaranteed urgent jobs start
 	EndedJobRetention time.Duration // retention of ended jobs
-	// EvacuationTimeout is the time after which nothing starts any more in an evacuated availability zone;
+	// EvacuationTimeout is the time after which nothing starts anymore in an evacuated availability zone;
 	// 0 if no bound is set.
 	EvacuationTimeout time.Duration
 }
--- a/batch/commit.go
+++ b/batch/commit.go
@@ -134,6 +134,7 @@
 	return ErrResultUnknown
 }
 
+// run appends queued records in groups until ctx ends.
 func (c *committer) run(ctx context.Context) {
 	for {
 		first, ok := c.queue.Take(ctx)
--- a/batch/dispatchers.go
+++ b/batch/dispatchers.go
@@ -167,7 +167,7 @@
 	return d.sessions[w.instance] // present, because a session's workers are unassigned when it ends
 }
 
-// removeWorker drops a worker that need not be reached any more.
+// removeWorker drops a worker that need not be reached anymore.
 func (d *dispatchers) removeWorker(worker string) {
 	w := d.workers[worker]
 	if w == nil {
@@ -204,7 +204,7 @@
 }
 
 // stop sends a stop. A stop of a worker without a dispatcher is repeated by the engine later. The
-// start of that run is not sent any more.
+// start of that run is not sent anymore.
 func (d *dispatchers) stop(order placing.Stop) {
 	d.clearStart(order.Worker, startKey{task: order.Task, run: order.Run})
 	if target := d.dispatcherOf(d.workers[order.Worker]); target != nil {
@@ -247,7 +247,7 @@
 }
 
 // endSession reassigns the workers of an ended session. Orders sent through it may have been
-// carried out, and the instance may go on renewing leases until its grant expires.
+// executed, and the instance may keep renewing leases until its grant expires.
 func (d *dispatchers) endSession(s *session, reason string, now time.Time) {
 	s.cancel()
 	if !d.isCurrent(s) {
--- a/batch/election_test.go
+++ b/batch/election_test.go
@@ -10,7 +10,7 @@
 )
 
 // Only a former incarnation of the winner is known to have ended. Any other leader may be cut off
-// and go on, also if terms were missed in between.
+// and still lead, also if terms were missed in between.
 func TestFateOfTheFormerHolder(t *testing.T) {
 	is := is.New(t)
 	won := jobs.Term{Epoch: 7, Leader: "a/2"}
--- a/batch/evacuation_test.go
+++ b/batch/evacuation_test.go
@@ -161,7 +161,7 @@
 	f.leader.instance.applyOperatorRecords(zoneRecord(zone, value))
 }
 
-// startedIn counts the workers of a zone whose last start was after a moment.
+// startedIn returns the number of workers of a zone whose last start was after the given time.
 func (f *testFleet) startedIn(zone string, after time.Time) int {
 	f.workers.lock.Lock()
 	defer f.workers.lock.Unlock()
--- a/batch/follower.go
+++ b/batch/follower.go
@@ -256,7 +256,7 @@
 	f.onFailure()
 }
 
-// answeredSince reports whether a read sent after some moment was answered.
+// answeredSince reports whether a read that was sent after the given time was answered.
 func (f *follower) answeredSince(moment time.Time) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
--- a/batch/handover_test.go
+++ b/batch/handover_test.go
@@ -39,7 +39,7 @@
 	i.fold.apply(part, Batch{Records: []jobs.Record{record}, Offsets: []int64{1}})
 }
 
-// A leader that is to stop opens the term and goes on placing tasks until another instance has
+// A leader that is about to stop opens the term and keeps placing tasks until another instance has
 // claimed it. Otherwise, with a store that takes 0.2 s for a call, nothing was placed and no end
 // was written for 2.6 s.
 func TestHolderGoesOnUntilTheTermIsClaimed(t *testing.T) {
--- a/batch/interfaces.go
+++ b/batch/interfaces.go
@@ -96,7 +96,7 @@
 const (
 	RefusedStaleTerm        Refusal = "fence"   // the worker has served a later term
 	RefusedStaleRun         Refusal = "old"     // the run is not above one that was stopped or ended there
-	RefusedLeaseOver        Refusal = "late"    // the requested lease has already ended
+	RefusedLeaseExpired     Refusal = "late"    // the requested lease has already ended
 	RefusedCapacity         Refusal = "room"    // the task does not fit
 	RefusedUnhealthy        Refusal = "busy"    // the worker is unhealthy
 	RefusedOtherIncarnation Refusal = "reborn"  // another incarnation of the worker answered
--- a/batch/leader.go
+++ b/batch/leader.go
@@ -23,8 +23,8 @@
 	// prepareTimeout bounds the work before the first scheduling pass: an append and the reading of
 	// all progress. A leader that cannot finish in that time gives the term up.
 	prepareTimeout = 2500 * time.Millisecond
-	// handOverTimeout is how long a leader that is about to stop goes on while the term is open to
-	// others. It is longer than a claim takes while the store is slow, and shorter than the time
+	// handOverTimeout is how long a leader that is about to stop continues while the term is open
+	// to others. It is longer than a claim takes while the store is slow, and shorter than the time
 	// for which the process serves after the signal to stop.
 	handOverTimeout = 2 * time.Second
 )
@@ -192,6 +192,7 @@
 // has to be one that is repeated.
 func (l *leader) offer(e event) { l.events.Offer(e) }
 
+// loop applies events and executes the plans of the engine until the term is lost or ctx ends.
 func (l *leader) loop(ctx context.Context) {
 	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
@@ -233,6 +234,7 @@
 	return tickInterval
 }
 
+// drainEvents applies the queued events without waiting for more.
 func (l *leader) drainEvents() {
 	for range eventQueueSize {
 		next, ok := l.events.TryTake()
@@ -270,9 +272,9 @@
 	}
 }
 
-// holdsTerm reports whether this instance may go on leading. It goes on for some time while the
-// store is unreachable, as the store may be down for all instances. Workers that have served a
-// later leader refuse its orders meanwhile.
+// holdsTerm reports whether this instance may continue to lead. While the store is unreachable it
+// continues for leaderGiveUpTimeout, as the store may be down for all instances. Workers that have
+// served a later leader refuse its orders meanwhile.
 func (l *leader) holdsTerm() bool {
 	if l.termLost {
 		return false
@@ -294,6 +296,7 @@
 	l.termLost = true
 }
 
+// stopTracking ends the tracking of changed jobs, which loadEngine started.
 func (l *leader) stopTracking() {
 	i := l.instance
 	i.foldLock.Lock()
@@ -352,7 +355,7 @@
 }
 
 // openTerm makes further renewals name no leader, so that another instance claims the term at
-// once. This leader goes on until then. The others take over as from a lost leader, protected
+// once. This leader continues until then. The others take over as from a lost leader, protected
 // by the fences of the store and of the workers.
 func (l *leader) openTerm() {
 	l.termOpenedAt = l.clock.Now()
--- a/batch/link.go
+++ b/batch/link.go
@@ -277,12 +277,14 @@
 	}
 }
 
+// leaseLapse returns the time at which the lease has lapsed for certain.
 func (l *link) leaseLapse() time.Time {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.lapseAt
 }
 
+// newestAck returns the number of the newest end that the worker may forget.
 func (l *link) newestAck() int64 {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/batch/order_test.go
+++ b/batch/order_test.go
@@ -122,8 +122,8 @@
 	is.Equal(context.Cause(ctx), errHoldSuperseded)
 }
 
-// An instance that gets no answer from any other counts as isolated, until one answers or some time
-// has passed.
+// An instance that gets no answer from any other counts as isolated, until one answers or
+// isolationDuration has passed.
 func TestInstanceThatNobodyAnswersIsAlone(t *testing.T) {
 	is := is.New(t)
 	p := newPeers(NewClock())
--- a/batch/shards_test.go
+++ b/batch/shards_test.go
@@ -76,15 +76,15 @@
 	})
 }
 
-// Without another instance in reach the leader drives all workers.
+// If no other instance is reachable the leader drives all workers.
 func TestLeaderWithoutDelegatesDispatchesToAll(t *testing.T) {
 	inFleet(t, manyWorkers, 0, time.Second, func(f *testFleet, is *is.I) {
 		is.Equal(f.workers.dispatchedBy(2 * holdWait)["a"], manyWorkers)
 	})
 }
 
-// The workers of a lost delegate get another dispatcher before any lease lapses. Their runs go on, and
-// each run ordered through the lost delegate takes place once.
+// The workers of a lost delegate get another dispatcher before any lease lapses. Their runs continue,
+// and each run ordered through the lost delegate takes place once.
 func TestLostKeeperLosesNoRun(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -119,9 +119,9 @@
 	}
 }
 
-// A delegate that no longer hears the leader goes on for its grant and no longer, though it reaches its
-// workers. A run on a worker that only this delegate reaches is not started elsewhere before the last
-// lease that it may have renewed has lapsed.
+// A delegate without messages from the leader drives its workers until its grant expires and no
+// longer, though it reaches them. A run on a worker that only this delegate reaches is not started
+// elsewhere before the last lease that it may have renewed has lapsed.
 func TestSilentHolderEndsTheGrant(t *testing.T) {
 	inFleet(t, manyWorkers, 8, 12*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", manyWorkers/2) // there is capacity to start elsewhere
--- a/batch/successor.go
+++ b/batch/successor.go
@@ -22,7 +22,7 @@
 
 // findSuccessor requests that another instance claim the term once the store refuses this leader
 // and not the other instance. A leader notices that after two refusals, 0.1 s; the others notice its
-// silence after 1.1 s. Until it loses the term the leader keeps the running tasks running.
+// silence after 1.1 s. Until it loses the term the leader keeps its tasks running.
 func (l *leader) findSuccessor(ctx context.Context) {
 	for ctx.Err() == nil {
 		logstream.Sleep(ctx, successorCheckInterval)
--- a/batch/writer.go
+++ b/batch/writer.go
@@ -125,6 +125,7 @@
 	return w.confirmedAt
 }
 
+// run writes queued groups until ctx ends.
 func (w *fencedWriter) run(ctx context.Context) {
 	for {
 		select {
