--- a/batch/batch_test.go
+++ b/batch/batch_test.go
@@ -136,7 +136,7 @@
 	committer := startCommitter(t, store)
 	first := make(chan error, 1)
 	go func() { first <- committer.write(context.Background(), jobs.CancelRecord("first")) }()
-	for committer.openGroups.Load() == 0 {
+	for committer.unresolvedGroups.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	cancelled, cancel := context.WithCancel(context.Background())
@@ -173,7 +173,7 @@
 
 // Without the log no job is accepted and none is reported as nonexistent. Submissions are refused
 // at once with a retry time.
-func TestUnreachableLogDeniesNoJob(t *testing.T) {
+func TestUnreachableLogReportsNoJobAsUnknown(t *testing.T) {
 	is := is.New(t)
 	instance := New(Settings{Name: "a", StoreParts: 8}, downStore{}, nil, nil, metrics.NewRegistry(), discardLog())
 	outcome := instance.Submit(context.Background(), &jobs.Submission{ID: "x", Steps: []jobs.Step{{Tasks: 1}}})
--- a/batch/bounds.go
+++ b/batch/bounds.go
@@ -13,8 +13,8 @@
 	MaxStopTime       time.Duration // longest time that a stop takes
 	ReclaimTimeout    time.Duration // time within which guaranteed urgent jobs start
 	EndedJobRetention time.Duration // retention of ended jobs
-	// EvacuationTimeout is the time after which nothing starts anymore in an evacuated availability zone;
-	// 0 if no bound is set.
+	// EvacuationTimeout is the time after which nothing starts anymore in an evacuated availability
+	// zone; 0 if no bound is set.
 	EvacuationTimeout time.Duration
 }
 
--- a/batch/calls.go
+++ b/batch/calls.go
@@ -206,13 +206,13 @@
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	until := time.Now().Add(wait)
-	for left := wait; ; left = time.Until(until) {
-		if err := i.work.refresh(ctx, max(0, left)); err != nil {
+	for remaining := wait; ; remaining = time.Until(until) {
+		if err := i.work.refresh(ctx, max(0, remaining)); err != nil {
 			i.log.WithField("error", err.Error()).Debug("refresh_failed")
 			break
 		}
 		state, ok = i.cachedState(id)
-		if state.Final() || left < minReadWait {
+		if state.Final() || remaining < minReadWait {
 			break
 		}
 	}
--- a/batch/claim.go
+++ b/batch/claim.go
@@ -63,7 +63,7 @@
 			i.lastClaim = jobs.Term{}
 			continue
 		}
-		takeover.maybeStart(ctx, e.term)
+		takeover.startIfStalled(ctx, e.term)
 		e.requestClaim(i.claimEpoch.Load())
 		if e.shouldClaim(i.work.lastAnswer(), now) {
 			i.claimTerm(ctx, e.term)
--- a/batch/commit.go
+++ b/batch/commit.go
@@ -37,9 +37,9 @@
 	// for six seconds, and 161 of some 280 submissions got no definite answer.
 	slowReadThreshold = 60 * time.Millisecond
 	slowStoreTimeout  = 2500 * time.Millisecond
-	// maxOpenGroups bounds the unresolved groups of a part; beyond it new records are refused at
+	// maxUnresolvedGroups bounds the unresolved groups of a part; beyond it new records are refused at
 	// once. A group stays unresolved for three seconds at most, and the next is sent after 0.6 s.
-	maxOpenGroups = 8
+	maxUnresolvedGroups = 8
 )
 
 // progressPart returns the part with job progress, which is the last one. The leader writes it and
@@ -93,24 +93,24 @@
 
 // committer appends the records of this instance's callers in groups.
 type committer struct {
-	store      Store
-	clock      *Clock
-	readBack   readBackFunc // nil if appends cannot be read back
-	part       int
-	queue      *ring.Ring[*commit]
-	timeout    adaptiveTimeout
-	openGroups atomic.Int32 // groups sent or being resolved
-	storeSlow  atomic.Bool  // according to the newest read-back
-	unknownAt  atomic.Int64 // boot time in nanoseconds of the last append with an unknown outcome
+	store            Store
+	clock            *Clock
+	readBack         readBackFunc // nil if appends cannot be read back
+	part             int
+	queue            *ring.Ring[*commit]
+	timeout          adaptiveTimeout
+	unresolvedGroups atomic.Int32 // groups sent or being resolved
+	storeSlow        atomic.Bool  // according to the newest read-back
+	unknownAt        atomic.Int64 // boot time in nanoseconds of the last append with an unknown outcome
 }
 
 func newCommitter(store Store, clock *Clock, part int) *committer {
 	return &committer{store: store, clock: clock, part: part, queue: ring.New[*commit](commitQueueSize)}
 }
 
-// storeUnresponsive reports whether an append got no answer and the store has answered nothing since;
-// answeredAt is the time of its last answer. The outcomes of new appends would mostly be unknown
-// too, so callers would not get the definite answer that their call had no effect.
+// storeUnresponsive reports whether an append got no answer and the store has answered nothing
+// since; answeredAt is the time of its last answer. The outcomes of new appends would mostly be
+// unknown too, so callers would not get the definite answer that their call had no effect.
 func (c *committer) storeUnresponsive(answeredAt time.Time) bool {
 	return answeredAt.UnixNano() <= c.unknownAt.Load()
 }
@@ -119,7 +119,7 @@
 // effect; ErrResultUnknown that it may.
 func (c *committer) write(ctx context.Context, record jobs.Record) error {
 	pending := &commit{record: record, result: make(chan error, 1)}
-	if c.openGroups.Load() >= maxOpenGroups || !c.queue.Offer(pending) {
+	if c.unresolvedGroups.Load() >= maxUnresolvedGroups || !c.queue.Offer(pending) {
 		return ErrNotApplied
 	}
 	select {
@@ -145,7 +145,7 @@
 		if len(group) == 0 {
 			continue
 		}
-		c.openGroups.Add(1)
+		c.unresolvedGroups.Add(1)
 		overtaken := make(chan struct{})
 		go c.sendGroup(ctx, group, overtaken)
 		<-overtaken
--- a/batch/election.go
+++ b/batch/election.go
@@ -123,9 +123,9 @@
 // it; previous is the newest term that the winner had observed. A former incarnation of the winner
 // has exited. After a loss of all instances the former leader usually wins again, and waiting for a
 // leader that may go on took 15.5 s instead of 8.5 s for each run at a worker that had left.
-func formerLeaderState(previous, won jobs.Term, name string) placing.FormerLeaderState {
+func formerLeaderState(previous, current jobs.Term, name string) placing.FormerLeaderState {
 	switch {
-	case previous.Epoch != won.Epoch-1:
+	case previous.Epoch != current.Epoch-1:
 		return placing.FormerLeaderUnknown
 	case previous.Leader == "":
 		return placing.FormerLeaderReleased
--- a/batch/instance.go
+++ b/batch/instance.go
@@ -27,20 +27,20 @@
 	// end of a read.
 	standbyReadInterval = 200 * time.Millisecond
 	standbyReadWait     = 300 * time.Millisecond
-	// nonLeaderCallInterval is the pause between reads of callers' records on instances that are
+	// nonLeaderCallReadInterval is the pause between reads of callers' records on instances that are
 	// not the leader. The count of waiting jobs may be two seconds old.
-	nonLeaderCallInterval = 1800 * time.Millisecond
-	// leaderCallInterval is the pause between the leader's reads of callers' records, and
-	// leaderOwnInterval between its reads of its own records, which only show whether an append
+	nonLeaderCallReadInterval = 1800 * time.Millisecond
+	// leaderCallReadInterval is the pause between the leader's reads of callers' records, and
+	// leaderOwnReadInterval between its reads of its own records, which only show whether an append
 	// without an answer took effect.
-	leaderCallInterval = 15 * time.Millisecond
-	leaderOwnInterval  = 150 * time.Millisecond
-	// standbyProgressInterval is the pause between a standby's reads of job progress. It leaves
+	leaderCallReadInterval = 15 * time.Millisecond
+	leaderOwnReadInterval  = 150 * time.Millisecond
+	// standbyProgressReadInterval is the pause between a standby's reads of job progress. It leaves
 	// little to read when the standby becomes the leader.
-	standbyProgressInterval = time.Second
-	// startupYield is how long an instance that has just started leaves the store to the standbys:
+	standbyProgressReadInterval = time.Second
+	// startupReadDelay is how long an instance that has just started leaves the store to the standbys:
 	// claiming the term and reading progress and the worker list take that long.
-	startupYield = 300 * time.Millisecond
+	startupReadDelay = 300 * time.Millisecond
 	// configReadInterval is the pause after a read that brought a new configuration.
 	configReadInterval = 20 * time.Millisecond
 )
@@ -165,7 +165,7 @@
 func (i *Instance) newCallFollower(part int) *follower {
 	f := i.newWorkFollower(part)
 	if claimDelay(i.nameHash, i.settings.CPUShare) >= maxClaimJitter {
-		f.startDelay = startupYield
+		f.startDelay = startupReadDelay
 	}
 	return f
 }
@@ -181,9 +181,9 @@
 
 func (i *Instance) progressReadInterval() time.Duration {
 	if i.leading.Load() {
-		return leaderOwnInterval
+		return leaderOwnReadInterval
 	}
-	return standbyProgressInterval
+	return standbyProgressReadInterval
 }
 
 // workReadWait returns how long a read of a part may wait for records. The leader waits briefly on
@@ -202,13 +202,13 @@
 
 func (i *Instance) workReadInterval(part int) time.Duration {
 	if i.leading.Load() && part == statePart {
-		return leaderOwnInterval
+		return leaderOwnReadInterval
 	}
 	if i.leading.Load() {
-		return leaderCallInterval
+		return leaderCallReadInterval
 	}
 	if part != statePart {
-		return nonLeaderCallInterval
+		return nonLeaderCallReadInterval
 	}
 	if i.isStandby() {
 		return standbyReadInterval
--- a/batch/leaderstall_test.go
+++ b/batch/leaderstall_test.go
@@ -221,7 +221,7 @@
 
 // An instance that wins the term and cannot write progress must not keep the term from an instance
 // that can.
-func TestTermMovesWhenItsLeaderCannotStart(t *testing.T) {
+func TestTermMovesWhenItsLeaderCannotPrepare(t *testing.T) {
 	withInstancePair(t, func(pair *instancePair) { pair.clients["a"].setStuck(true) }, func(pair *instancePair, is *is.I) {
 		is.True(pair.becomesLeader("b", failoverTimeout))
 		pair.submit("a", "a1", is)
@@ -233,11 +233,11 @@
 // another instance must take over.
 func TestJobStartsAfterLeaderLosesProgressWrites(t *testing.T) {
 	withInstancePair(t, func(*instancePair) {}, func(pair *instancePair, is *is.I) {
-		first, other := pair.leaderAndStandby(is)
-		pair.submit(other, "a1", is)
+		leader, standby := pair.leaderAndStandby(is)
+		pair.submit(standby, "a1", is)
 		is.True(pair.startsWithin("a1", maxTaskWait))
-		pair.clients[first].setStuck(true)
-		pair.submit(other, "a2", is)
+		pair.clients[leader].setStuck(true)
+		pair.submit(standby, "a2", is)
 		is.True(pair.startsWithin("a2", failoverTimeout))
 	})
 }
--- a/batch/link.go
+++ b/batch/link.go
@@ -203,10 +203,10 @@
 // leaseForStart returns the lease that a start carries.
 func (l *link) leaseForStart(now time.Time) int64 {
 	l.lock.Lock()
-	left := l.leaseUntilMS - l.workerClockMS - now.Sub(l.workerClockAt).Milliseconds()
+	remaining := l.leaseUntilMS - l.workerClockMS - now.Sub(l.workerClockAt).Milliseconds()
 	until := l.leaseUntilMS
 	l.lock.Unlock()
-	if left > minStartLease.Milliseconds() {
+	if remaining > minStartLease.Milliseconds() {
 		return until
 	}
 	return l.extendLease(now)
--- a/batch/outage_test.go
+++ b/batch/outage_test.go
@@ -248,7 +248,7 @@
 
 // The number of unconfirmed groups is bounded: beyond it a record is refused at once as certainly
 // not sent.
-func TestOpenGroupsAreBounded(t *testing.T) {
+func TestUnresolvedGroupsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -257,13 +257,13 @@
 		useTestClock(committer.clock)
 		committer.readBack = store.contains
 		go committer.run(ctx)
-		committer.openGroups.Store(maxOpenGroups)
+		committer.unresolvedGroups.Store(maxUnresolvedGroups)
 		is.Equal(committer.write(ctx, jobs.CancelRecord("a")), ErrNotApplied)
 		is.Equal(store.sent, 0)
-		committer.openGroups.Store(0)
+		committer.unresolvedGroups.Store(0)
 		go func() { _ = committer.write(ctx, jobs.CancelRecord("b")) }()
 		time.Sleep(10 * time.Second)
-		is.Equal(committer.openGroups.Load(), int32(0)) // maxResolveTime has passed
+		is.Equal(committer.unresolvedGroups.Load(), int32(0)) // maxResolveTime has passed
 		cancel()
 		time.Sleep(25 * time.Second)
 	})
--- a/batch/resolve.go
+++ b/batch/resolve.go
@@ -25,7 +25,7 @@
 // sendGroup sends a group and resolves its outcome while any of its callers waits. It closes
 // overtaken once the next group may be sent.
 func (c *committer) sendGroup(ctx context.Context, group []*commit, overtaken chan<- struct{}) {
-	defer c.openGroups.Add(-1)
+	defer c.unresolvedGroups.Add(-1)
 	sent := make(chan error, 1)
 	go func() { sent <- c.append(ctx, group) }()
 	var err error
--- a/batch/stalltakeover.go
+++ b/batch/stalltakeover.go
@@ -35,8 +35,8 @@
 	busy     atomic.Bool
 }
 
-// maybeStart starts a check if the leader has marked its term as stalled.
-func (t *stallTakeover) maybeStart(ctx context.Context, term jobs.Term) {
+// startIfStalled starts a check if the leader has marked its term as stalled.
+func (t *stallTakeover) startIfStalled(ctx context.Context, term jobs.Term) {
 	if !term.Stalled || !t.instance.canTakeOver() || t.busy.Swap(true) {
 		return
 	}
--- a/batch/stalltakeover_test.go
+++ b/batch/stalltakeover_test.go
@@ -19,17 +19,17 @@
 func TestTermStaysWhileNoInstanceCanWriteProgress(t *testing.T) {
 	for _, outage := range []time.Duration{stallTimeout, 10 * time.Second, time.Minute} {
 		withInstancePair(t, func(*instancePair) {}, func(pair *instancePair, is *is.I) {
-			first, other := pair.leaderAndStandby(is)
-			epoch := pair.instances[first].term().Epoch
+			leader, standby := pair.leaderAndStandby(is)
+			epoch := pair.instances[leader].term().Epoch
 			pair.setStuck(true)
-			pair.submit(other, "a1", is)
+			pair.submit(standby, "a1", is)
 			time.Sleep(outage)
 			pair.setStuck(false)
 			is.True(pair.startsWithin("a1", maxCallTimeout+maxTaskWait))
 			time.Sleep(takeoverDelay + takeoverRetryInterval + probeTimeout)
-			is.Equal(pair.instances[other].term().Epoch, epoch)
-			is.Equal(pair.leader(), first)
-			is.Equal(pair.instances[first].metrics.stalled.Value(), int64(0))
+			is.Equal(pair.instances[standby].term().Epoch, epoch)
+			is.Equal(pair.leader(), leader)
+			is.Equal(pair.instances[leader].metrics.stalled.Value(), int64(0))
 		})
 	}
 }
@@ -38,21 +38,21 @@
 // most once per takeoverBackoff and instance.
 func TestTermRarelyAlternatesWhenNoLeaderCanWriteProgress(t *testing.T) {
 	withInstancePair(t, func(*instancePair) {}, func(pair *instancePair, is *is.I) {
-		first, other := pair.leaderAndStandby(is)
-		epoch := pair.instances[first].term().Epoch
+		firstLeader, standby := pair.leaderAndStandby(is)
+		epoch := pair.instances[firstLeader].term().Epoch
 		const duration = 4 * takeoverBackoff
 		submitted := 0
 		for begin := time.Now(); time.Since(begin) < duration; time.Sleep(50 * time.Millisecond) {
 			if time.Since(begin) >= time.Duration(submitted)*time.Second { // there is always something to write
 				submitted++
-				pair.submit(other, fmt.Sprintf("a%d", submitted), is)
+				pair.submit(standby, fmt.Sprintf("a%d", submitted), is)
 			}
 			if leader := pair.leader(); leader != "" {
 				pair.clients[leader].setStuck(true)
 				pair.clients[map[string]string{"a": "b", "b": "a"}[leader]].setStuck(false)
 			}
 		}
-		handovers := pair.instances[first].term().Epoch - epoch
+		handovers := pair.instances[firstLeader].term().Epoch - epoch
 		t.Logf("the term moved %d times in %s", handovers, duration)
 		is.True(handovers >= 2)
 		is.True(handovers <= 2*int64(duration/takeoverBackoff)+1) // each instance hands the term over once in that time
@@ -62,10 +62,10 @@
 // An instance that was recently unable to write progress, or is not a standby, does not take over.
 func TestInstanceThatCouldNotWriteProgressBacksOff(t *testing.T) {
 	withInstancePair(t, func(*instancePair) {}, func(pair *instancePair, is *is.I) {
-		first, other := pair.leaderAndStandby(is)
-		i := pair.instances[other]
+		leader, standby := pair.leaderAndStandby(is)
+		i := pair.instances[standby]
 		is.True(i.canTakeOver())
-		is.True(!pair.instances[first].canTakeOver()) // the leader is not a standby
+		is.True(!pair.instances[leader].canTakeOver()) // the leader is not a standby
 		i.stalledAt.Store(i.clock.Now().UnixNano())
 		is.True(!i.canTakeOver())
 		time.Sleep(takeoverBackoff)
--- a/batch/standby_test.go
+++ b/batch/standby_test.go
@@ -161,14 +161,14 @@
 	for _, c := range []struct {
 		cpuShare float64
 		delay    time.Duration
-	}{{0.8, 0}, {0.192, startupYield}} {
+	}{{0.8, 0}, {0.192, startupReadDelay}} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			store := &firstReadStore{firstRead: map[int]time.Time{}}
 			instance := New(Settings{Name: "a", StoreParts: 8, CPUShare: c.cpuShare}, store, zoneDecoder{}, nil, metrics.NewRegistry(), discardLog())
 			begin := time.Now()
 			instance.Start()
-			time.Sleep(2 * startupYield)
+			time.Sleep(2 * startupReadDelay)
 			instance.Stop()
 			is.Equal(store.firstRead[statePart].Sub(begin), time.Duration(0))
 			for part := 1; part <= callPartCount(8); part++ {
--- a/batch/successor.go
+++ b/batch/successor.go
@@ -52,8 +52,8 @@
 // handleClaimRequest promises to claim the term that follows epoch, if this instance reaches the
 // store, has enough CPU to lead and is not draining.
 func (i *Instance) handleClaimRequest(ctx context.Context, epoch int64) relaypb.Fate {
-	weak := claimDelay(i.nameHash, i.settings.CPUShare) >= maxClaimJitter
-	if weak || i.draining.Load() || !i.isLoaded() || !i.work.isReachable() {
+	lowCPU := claimDelay(i.nameHash, i.settings.CPUShare) >= maxClaimJitter
+	if lowCPU || i.draining.Load() || !i.isLoaded() || !i.work.isReachable() {
 		return relaypb.Fate_FATE_NOT_DONE
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimCheckTimeout)
--- a/batch/workerlist.go
+++ b/batch/workerlist.go
@@ -10,15 +10,15 @@
 	"github.com/teaselcleat/teaselcleat/placing"
 )
 
-// listInterval is the interval between reads of the worker list, which changes many times a
-// second. A worker that leaves has to be noticed within two seconds.
-const listInterval = 400 * time.Millisecond
+// workerListReadInterval is the interval between reads of the worker list, which changes many times
+// a second. A worker that leaves has to be noticed within two seconds.
+const workerListReadInterval = 400 * time.Millisecond
 
 func (l *leader) newWorkerListFollower() *follower {
 	f := l.instance.newFollower(StreamWorkers, 0, &sync.Mutex{}, stateReadWait)
 	f.apply = l.applyWorkerList
 	f.reset = func() { clear(l.entries) }
-	f.readInterval = func() time.Duration { return listInterval }
+	f.readInterval = func() time.Duration { return workerListReadInterval }
 	return f
 }
 
