--- a/batch/dispatchers.go
+++ b/batch/dispatchers.go
@@ -67,7 +67,7 @@
 	pendingStarts   map[startKey]placing.Start // starts sent and not answered
 }
 
-// assignmentState is the state of a worker's assignment to an instance that gives it orders.
+// assignmentState is the state of a worker's assignment; only an assigned worker gets orders.
 type assignmentState int
 
 const (
--- a/batch/linkset.go
+++ b/batch/linkset.go
@@ -11,8 +11,8 @@
 	"github.com/teaselcleat/teaselcleat/placing"
 )
 
-// linkEnv is shared by the links to workers: the term that they act for, the limits of orders and
-// the receiver of the answers.
+// linkEnv holds the state that the links to workers share: the term that they act for, the limits
+// of orders and the receiver of the answers.
 type linkEnv struct {
 	clock      *Clock
 	log        *logrus.Entry
