--- a/batch/order_test.go
+++ b/batch/order_test.go
@@ -114,29 +114,29 @@
 	is := is.New(t)
 	link, _, _ := scriptedLink(accept)
 	sent := time.Unix(100, 0)
-	ctx, end := context.WithCancelCause(t.Context())
-	link.setHold(sent, end)
+	ctx, cancel := context.WithCancelCause(t.Context())
+	link.setHold(sent, cancel)
 	link.requestReport(sent.Add(-time.Millisecond))
 	is.NoErr(ctx.Err()) // the hold is newer
 	link.requestReport(sent.Add(time.Millisecond))
 	is.Equal(context.Cause(ctx), errHoldSuperseded)
 }
 
-// An instance that gets no answer from any other counts as isolated, until one answers or some time
-// has passed.
+// An instance that gets no answer from any other counts as isolated, until one answers or
+// isolationDuration has passed.
 func TestInstanceThatNobodyAnswersIsAlone(t *testing.T) {
 	is := is.New(t)
 	p := newPeers(NewClock())
 	p.recordCall(false)
-	is.True(!p.isolated()) // one of them may be down
+	is.True(!p.isIsolated()) // one of them may be down
 	p.recordCall(false)
-	is.True(p.isolated())
+	is.True(p.isIsolated())
 	p.recordCall(true)
-	is.True(!p.isolated())
+	is.True(!p.isIsolated())
 	p.recordCall(false)
 	p.recordCall(false)
 	p.failedAt = p.clock.Now().Add(-isolationDuration)
-	is.True(!p.isolated()) // calls are allowed again
+	is.True(!p.isIsolated()) // calls are allowed again
 }
 
 // On an instance so slow that answers take a second, orders get a longer timeout, as retries would
