--- a/adapters/all/all.go
+++ b/adapters/all/all.go
@@ -1,4 +1,5 @@
-// Package all links the adapters of the shipped binary.
+// Package all links the adapters of the shipped binary, which serve the product's own
+// interface; package platform holds those for the users' platform.
 package all
 
 import (
--- a/adapters/fronthttp/fronthttp.go
+++ b/adapters/fronthttp/fronthttp.go
@@ -1,4 +1,5 @@
-// Package fronthttp is the plug-in that serves the HTTP API of callers and operators.
+// Package fronthttp is the adapter that serves the HTTP API of callers and operators, the
+// product's own interface. The API on the users' platform is platform.FrontHandler.
 package fronthttp
 
 import (
@@ -30,7 +31,8 @@
 	HeaderReplayed  = "X-Replayed"
 )
 
-// ReplyBody is the JSON body of every answer but those relayed from a runner.
+// ReplyBody is the JSON body of a reply of the instance itself. Answers of runners are
+// relayed unchanged and have no such body.
 type ReplyBody struct {
 	Outcome       structs.Outcome `json:"outcome"`
 	Reason        structs.Reason  `json:"reason,omitempty"`
@@ -55,29 +57,29 @@
 	Overwritten int64            `json:"forgotten"`
 }
 
-// front serves one instance.
-type front struct {
+// apiHandler serves the API of one instance.
+type apiHandler struct {
 	service  service.Service
 	registry metrics.Registry
 }
 
 // Handler returns the HTTP handler of an instance.
 func Handler(s service.Service, registry metrics.Registry) http.Handler {
-	f := &front{service: s, registry: registry}
+	h := &apiHandler{service: s, registry: registry}
 	router := mux.NewRouter()
-	router.HandleFunc("/v1/requests/{class}", f.serveRequest).Methods(http.MethodPost)
-	router.HandleFunc("/v1/keys/{workspace}/{key}", f.serveKey).Methods(http.MethodGet)
-	router.HandleFunc("/v1/jobs", f.serveSubmitJob).Methods(http.MethodPost)
-	router.HandleFunc("/v1/jobs/{id}", f.serveJob).Methods(http.MethodGet)
-	router.HandleFunc("/v1/jobs/{id}", f.serveCancelJob).Methods(http.MethodDelete)
-	router.HandleFunc("/v1/targets", f.serveTargets).Methods(http.MethodGet)
-	router.HandleFunc("/v1/targets", f.servePropose).Methods(http.MethodPost)
-	router.HandleFunc("/v1/refusals", f.serveRefusals).Methods(http.MethodGet)
-	router.HandleFunc("/v1/timeline", f.serveTimeline).Methods(http.MethodGet)
-	router.HandleFunc("/v1/status", f.serveStatus).Methods(http.MethodGet)
-	router.HandleFunc("/healthz", f.serveHealth).Methods(http.MethodGet)
-	router.HandleFunc("/readyz", f.serveReady).Methods(http.MethodGet)
-	router.HandleFunc("/metrics", f.serveMetrics).Methods(http.MethodGet)
+	router.HandleFunc("/v1/requests/{class}", h.serveRequest).Methods(http.MethodPost)
+	router.HandleFunc("/v1/keys/{workspace}/{key}", h.serveKey).Methods(http.MethodGet)
+	router.HandleFunc("/v1/jobs", h.serveSubmitJob).Methods(http.MethodPost)
+	router.HandleFunc("/v1/jobs/{id}", h.serveJob).Methods(http.MethodGet)
+	router.HandleFunc("/v1/jobs/{id}", h.serveCancelJob).Methods(http.MethodDelete)
+	router.HandleFunc("/v1/targets", h.serveTargets).Methods(http.MethodGet)
+	router.HandleFunc("/v1/targets", h.servePropose).Methods(http.MethodPost)
+	router.HandleFunc("/v1/refusals", h.serveRefusals).Methods(http.MethodGet)
+	router.HandleFunc("/v1/timeline", h.serveTimeline).Methods(http.MethodGet)
+	router.HandleFunc("/v1/status", h.serveStatus).Methods(http.MethodGet)
+	router.HandleFunc("/healthz", h.serveHealth).Methods(http.MethodGet)
+	router.HandleFunc("/readyz", h.serveReady).Methods(http.MethodGet)
+	router.HandleFunc("/metrics", h.serveMetrics).Methods(http.MethodGet)
 	router.NotFoundHandler = http.HandlerFunc(notFound)
 	return router
 }
@@ -140,15 +142,15 @@
 	_ = json.NewEncoder(w).Encode(body) // an error means that the caller has gone
 }
 
-// refuse answers that a request was not run.
+// refuse replies that a request was not run, or that the object of a query does not exist.
 func refuse(w http.ResponseWriter, reason structs.Reason, detail string) {
 	writeReply(w, httpStatus(structs.OutcomeNotRun, reason), ReplyBody{Outcome: structs.OutcomeNotRun, Reason: reason, Detail: detail})
 }
 
 // readBody reads a body up to the limit and requires UTF-8. If it returns false, it has
 // answered the request.
-func (f *front) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, f.service.MaxBodyBytes()))
+func (h *apiHandler) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, h.service.MaxBodyBytes()))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -165,8 +167,8 @@
 }
 
 // readJSON decodes a body strictly. If it returns false, it has answered the request.
-func (f *front) readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
-	body, ok := f.readBody(w, r)
+func (h *apiHandler) readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
+	body, ok := h.readBody(w, r)
 	if !ok {
 		return false
 	}
@@ -177,8 +179,8 @@
 	return true
 }
 
-func (f *front) serveRequest(w http.ResponseWriter, r *http.Request) {
-	body, ok := f.readBody(w, r)
+func (h *apiHandler) serveRequest(w http.ResponseWriter, r *http.Request) {
+	body, ok := h.readBody(w, r)
 	if !ok {
 		return
 	}
@@ -187,13 +189,14 @@
 		refuse(w, structs.ReasonBadRequest, HeaderIssued+" is not a whole number of milliseconds")
 		return
 	}
-	result := f.service.Request(r.Context(), service.Request{
+	result := h.service.Request(r.Context(), service.Request{
 		Workspace: r.Header.Get(HeaderWorkspace),
 		Class:     mux.Vars(r)["class"],
 		Key:       r.Header.Get(HeaderKey),
 		IssuedAt:  issued,
 		Body:      body,
 	})
+	// A replay whose answer was not stored gets a reply without the answer.
 	if result.Outcome == structs.OutcomeRan && (result.Answer != nil || !result.Replayed) {
 		writeAnswer(w, result)
 		return
@@ -225,8 +228,8 @@
 	_, _ = w.Write(result.Answer) // an error means that the caller has gone
 }
 
-func (f *front) serveKey(w http.ResponseWriter, r *http.Request) {
-	entry := f.service.KeyState(structs.KeyID{Workspace: mux.Vars(r)["workspace"], Key: mux.Vars(r)["key"]})
+func (h *apiHandler) serveKey(w http.ResponseWriter, r *http.Request) {
+	entry := h.service.KeyState(structs.KeyID{Workspace: mux.Vars(r)["workspace"], Key: mux.Vars(r)["key"]})
 	if entry == nil {
 		refuse(w, structs.ReasonNotFound, "no such key is remembered")
 		return
@@ -234,12 +237,12 @@
 	writeJSON(w, http.StatusOK, KeyBody{Phase: entry.Phase, Reason: entry.Reason, Class: entry.Claim.Class, Holder: entry.Claim.Holder})
 }
 
-func (f *front) serveSubmitJob(w http.ResponseWriter, r *http.Request) {
+func (h *apiHandler) serveSubmitJob(w http.ResponseWriter, r *http.Request) {
 	var job service.JobRequest
-	if !f.readJSON(w, r, &job) {
+	if !h.readJSON(w, r, &job) {
 		return
 	}
-	reply := f.service.SubmitJob(r.Context(), job)
+	reply := h.service.SubmitJob(r.Context(), job)
 	status := httpStatus(reply.Outcome, reply.Reason)
 	if reply.Outcome == structs.OutcomeAccepted {
 		status = http.StatusAccepted
@@ -252,8 +255,8 @@
 	return ReplyBody{Outcome: reply.Outcome, Reason: reply.Reason, Detail: reply.Detail, ID: reply.ID, RetryAfterSec: ceilSeconds(reply.RetryAfter)}
 }
 
-func (f *front) serveJob(w http.ResponseWriter, r *http.Request) {
-	state := f.service.Job(mux.Vars(r)["id"])
+func (h *apiHandler) serveJob(w http.ResponseWriter, r *http.Request) {
+	state := h.service.Job(mux.Vars(r)["id"])
 	if state == nil {
 		refuse(w, structs.ReasonNotFound, "no such job is remembered")
 		return
@@ -261,28 +264,28 @@
 	writeJSON(w, http.StatusOK, state)
 }
 
-func (f *front) serveCancelJob(w http.ResponseWriter, r *http.Request) {
-	reply := f.service.CancelJob(r.Context(), mux.Vars(r)["id"])
+func (h *apiHandler) serveCancelJob(w http.ResponseWriter, r *http.Request) {
+	reply := h.service.CancelJob(r.Context(), mux.Vars(r)["id"])
 	writeReply(w, httpStatus(reply.Outcome, reply.Reason), replyBody(reply))
 }
 
-func (f *front) serveTargets(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, f.service.Targets())
+func (h *apiHandler) serveTargets(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, h.service.Targets())
 }
 
-func (f *front) servePropose(w http.ResponseWriter, r *http.Request) {
+func (h *apiHandler) servePropose(w http.ResponseWriter, r *http.Request) {
 	var proposal service.TargetsDocument
-	if !f.readJSON(w, r, &proposal) {
+	if !h.readJSON(w, r, &proposal) {
 		return
 	}
-	reply, version := f.service.ProposeTargets(r.Context(), proposal)
+	reply, version := h.service.ProposeTargets(r.Context(), proposal)
 	body := replyBody(reply)
 	body.Version = version
 	writeReply(w, httpStatus(reply.Outcome, reply.Reason), body)
 }
 
-func (f *front) serveRefusals(w http.ResponseWriter, r *http.Request) {
-	list, err := f.service.Refusals(r.Context(), r.URL.Query().Get("workspace"))
+func (h *apiHandler) serveRefusals(w http.ResponseWriter, r *http.Request) {
+	list, err := h.service.Refusals(r.Context(), r.URL.Query().Get("workspace"))
 	if err != nil {
 		refuse(w, structs.ReasonLogUnavailable, "recorded refusals cannot be read now")
 		return
@@ -290,22 +293,26 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-func (f *front) serveTimeline(w http.ResponseWriter, r *http.Request) {
+// serveTimeline serves the events of this process. The query parameter job selects the
+// subject of events, which may also be a request key or a worker.
+func (h *apiHandler) serveTimeline(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	events, overwritten := f.service.Events(timeline.Filter{Subject: query.Get("job"), Workspace: query.Get("workspace")})
+	events, overwritten := h.service.Events(timeline.Filter{Subject: query.Get("job"), Workspace: query.Get("workspace")})
 	writeJSON(w, http.StatusOK, EventsBody{Events: events, Overwritten: overwritten})
 }
 
-func (f *front) serveStatus(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, f.service.Status())
+func (h *apiHandler) serveStatus(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, h.service.Status())
 }
 
-func (f *front) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, f.service.Status())
+// serveHealth always replies 200: a process that replies is alive. For readiness see
+// serveReady.
+func (h *apiHandler) serveHealth(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, h.service.Status())
 }
 
-func (f *front) serveReady(w http.ResponseWriter, _ *http.Request) {
-	status := f.service.Status()
+func (h *apiHandler) serveReady(w http.ResponseWriter, _ *http.Request) {
+	status := h.service.Status()
 	code := http.StatusOK
 	if !status.Ready || status.Draining {
 		code = http.StatusServiceUnavailable
@@ -313,7 +320,7 @@
 	writeJSON(w, code, status)
 }
 
-func (f *front) serveMetrics(w http.ResponseWriter, _ *http.Request) {
+func (h *apiHandler) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	metrics.WriteJSONOnce(f.registry, w)
+	metrics.WriteJSONOnce(h.registry, w)
 }
--- a/adapters/platformhttp/platformhttp.go
+++ b/adapters/platformhttp/platformhttp.go
@@ -1,4 +1,4 @@
-// Package platformhttp is the plug-in for the platform's log service and instance list,
+// Package platformhttp is the adapter of the product's own interface for the platform's log service and instance list,
 // with JSON over HTTP.
 package platformhttp
 
--- a/adapters/runnerhttp/runnerhttp.go
+++ b/adapters/runnerhttp/runnerhttp.go
@@ -1,4 +1,4 @@
-// Package runnerhttp is the plug-in that sends requests to runners over HTTP/1.1.
+// Package runnerhttp is the adapter that sends requests to runners over HTTP/1.1.
 //
 // A request is POST /run/CLASS with the headers below. The runner echoes the ID of the
 // attempt. A refusal is status 503 with X-Not-Started set to busy or leaving; any other
--- a/adapters/workerhttp/workerhttp.go
+++ b/adapters/workerhttp/workerhttp.go
@@ -1,4 +1,4 @@
-// Package workerhttp is the plug-in that sends orders to workers, with JSON over HTTP.
+// Package workerhttp is the adapter that sends orders to workers, with JSON over HTTP.
 package workerhttp
 
 import (
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,5 +1,6 @@
-// Package balancer selects a runner for each request and queues the requests that
-// wait for a slot. It reads no clock and takes no lock: the caller passes the time
+// Package balancer selects a runner for each request of the product's own interface and
+// queues the requests that wait for a slot. A runner answers short requests, as many at
+// once as it has slots; workers run the tasks of gangs and are not balanced here. It reads no clock and takes no lock: the caller passes the time
 // and serializes the calls. Instances share no counters; each learns the load of a
 // runner from the runner's own reports.
 package balancer
@@ -13,20 +14,22 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// Limits, rates and intervals of the balancer.
+// Limits, rates and intervals of the balancer. The limit of requests in flight at a runner
+// grows by about one for each round of answers and is multiplied by decreaseFactor when the
+// runner is busy (additive increase, multiplicative decrease).
 const (
 	// MaxQueued is the maximum number of requests that wait for a slot.
-	MaxQueued         = 4096
-	defaultSlots      = 8
-	decreaseFactor    = 0.7
-	minLimit          = 1.0
-	minFailureBackoff = 200 * time.Millisecond
-	maxFailureBackoff = 10 * time.Second
-	busyReportTTL     = time.Second
-	latencySmoothing  = 0.1
-	defaultLatency    = 20 * time.Millisecond
-	minRetryAfter     = time.Second
-	noUpstreamBackoff = 2 * time.Second
+	MaxQueued          = 4096
+	defaultSlots       = 8
+	decreaseFactor     = 0.7
+	minLimit           = 1.0
+	minFailureBackoff  = 200 * time.Millisecond
+	maxFailureBackoff  = 10 * time.Second
+	busyReportTTL      = time.Second
+	latencySmoothing   = 0.1
+	defaultLatency     = 20 * time.Millisecond
+	minRetryAfter      = time.Second
+	noRunnerRetryAfter = 2 * time.Second
 )
 
 // Result is the result of an attempt at a runner, as far as it concerns load.
@@ -48,7 +51,7 @@
 
 type runner struct {
 	entry          membership.Member
-	limit          float64
+	limit          float64 // of requests in flight, between minLimit and the slots; see Release
 	inFlight       int
 	busy           int // slots in use by all instances, as the runner last reported
 	busyReportedAt time.Time
@@ -57,7 +60,7 @@
 	leaving        bool
 }
 
-// WaiterID identifies a waiting request.
+// WaiterID identifies a queued request.
 type WaiterID uint64
 
 type queuedRequest struct {
@@ -67,7 +70,7 @@
 	exclude  []string
 }
 
-// AcquireResult assigns a slot to a waiting request, or refuses the request.
+// AcquireResult assigns a slot to a request, or refuses the request.
 type AcquireResult struct {
 	Waiter  WaiterID
 	Runner  string // empty if refused
@@ -84,10 +87,10 @@
 type Balancer struct {
 	runners      map[string]*runner
 	order        []string                 // runner IDs, sorted
-	queue        []queuedRequest          // sorted by latest start
+	queue        []queuedRequest          // by latest start as of the arrival; not sorted again when latencies change
 	latency      map[string]time.Duration // moving average by class
 	random       *rand.Rand
-	leavingBoots map[string]int64 // by runner ID, the newest boot that is leaving
+	leavingBoots map[string]int64 // by runner ID, the newest boot (start number of the process) that is leaving
 }
 
 // New returns a balancer without runners. The seed only affects how ties are broken.
@@ -100,9 +103,10 @@
 	}
 }
 
-// UpdateRunners applies the platform's instance list. A runner that was marked as
-// leaving stays so until it is listed with a later boot, even if the list is stale or
-// inconsistent.
+// UpdateRunners applies the runners of the platform's list of machines. A runner that was
+// marked as leaving stays so until it is listed with a later boot, even if the list is
+// stale or inconsistent. A runner that is no longer listed is leaving until its requests in
+// flight have ended, and is then removed.
 func (b *Balancer) UpdateRunners(list []membership.Member) {
 	listed := map[string]bool{}
 	for _, entry := range list {
@@ -150,7 +154,7 @@
 		r.backoffUntil = time.Time{}
 		r.limit = float64(r.entry.Slots)
 	}
-	entry.Slots = r.entry.Slots
+	entry.Slots = r.entry.Slots // those of the first listing, also for a later boot
 	r.entry = entry
 	r.leaving = leaving
 }
@@ -213,7 +217,7 @@
 func (b *Balancer) refusalFor(class string, deadline, now time.Time) (Refusal, bool) {
 	capacity := b.capacity()
 	if capacity == 0 {
-		return Refusal{Reason: structs.ReasonNoUpstream, RetryAfter: noUpstreamBackoff}, true
+		return Refusal{Reason: structs.ReasonNoUpstream, RetryAfter: noRunnerRetryAfter}, true
 	}
 	service := b.classLatency(class)
 	ahead := b.countAhead(deadline.Add(-service))
--- a/command/fleet.go
+++ b/command/fleet.go
@@ -39,7 +39,8 @@
 }
 
 // printStatus prints a line for the instance and, if it is the leader, one for each of its
-// delegates.
+// delegates. In the output holder is the leader, keeper a delegate, and keeping the number
+// of workers that are delegated to the instance.
 func printStatus(out io.Writer, status *batch.Status) {
 	fmt.Fprintf(out, "instance=%s leading=%t epoch=%d holder=%s config=%d ready=%t draining=%t log_age_ms=%d jobs=%v waiting=%v keeping=%d",
 		status.Instance, status.Leading, status.Term.Epoch, status.Term.Leader, status.ConfigVersion, status.Ready,
--- a/command/front.go
+++ b/command/front.go
@@ -27,11 +27,12 @@
 	// because peak memory is expensive for the users, and the heap has only a few
 	// megabytes.
 	frontGCPercent = 60
-	// balancerLeaveDelay is how long a stopping instance still accepts connections. The
-	// load balancer checks once a second and removes an instance after two failed checks.
-	balancerLeaveDelay = 2500 * time.Millisecond
-	// shutdownReserve is the part of the grace period that is reserved for the end of
-	// the process.
+	// loadBalancerRemovalDelay is how long a stopping instance still accepts connections. The
+	// platform's load balancer checks once a second and removes an instance after two failed
+	// checks.
+	loadBalancerRemovalDelay = 2500 * time.Millisecond
+	// shutdownReserve is the part of the grace period that is left after the wait for calls,
+	// to stop the relay and the instance and to close the servers; see stop.
 	shutdownReserve = 700 * time.Millisecond
 	// readTimeout bounds the reading of a request with its body, idleTimeout an idle
 	// connection of a caller.
@@ -39,8 +40,9 @@
 	idleTimeout = 30 * time.Second
 )
 
-// runFront runs an instance on the users' platform, configured by the platform's settings
-// file.
+// runFront implements the subcommand front: it runs an instance on the users' platform,
+// configured by the platform's settings file (platform.Settings). The settings file that
+// package settings reads is for the subcommand serve.
 func runFront(args []string, to output) int {
 	flags := newFlags("front", to)
 	path := flags.String("settings", os.Getenv(platform.SettingsVariable), "the platform's settings file")
@@ -163,13 +165,15 @@
 		go p.serve(server, listener)
 	}
 	p.serveMetrics()
+	// The field terms holds the parts of the platform's contract that are in force.
 	p.log.WithField("terms", strings.Join(p.settings.Contracts, ",")).Info("settings_read")
 	p.logUnsupportedDuties()
 	p.instance.Start()
 	return p.serveRelay()
 }
 
-// logUnsupportedDuties logs the duties that the deployment requests; none is implemented.
+// logUnsupportedDuties logs an error with the duties of machine management that the
+// deployment requests. None is implemented; the instance starts without them.
 func (p *frontProcess) logUnsupportedDuties() {
 	if len(p.settings.Duties) > 0 {
 		p.log.WithField("duties", strings.Join(p.settings.Duties, ",")).Error("duties_not_served")
@@ -215,7 +219,7 @@
 // calls finish and stops within the grace period.
 func (p *frontProcess) stop() {
 	p.instance.Drain()
-	time.Sleep(min(balancerLeaveDelay, p.settings.GracePeriod/2))
+	time.Sleep(min(loadBalancerRemovalDelay, p.settings.GracePeriod/2))
 	ctx, cancel := context.WithTimeout(context.Background(), p.settings.GracePeriod/2-shutdownReserve)
 	defer cancel()
 	if err := p.front.Shutdown(ctx); err != nil {
--- a/e2e/machine_test.go
+++ b/e2e/machine_test.go
@@ -93,7 +93,7 @@
 	incarnation.BornMS = bornMS
 	incarnation.Gangs = m.fleet.gangs
 	incarnation.MaxLease = maxLease
-	incarnation.ClockLag = m.clockSlowdown
+	incarnation.ClockSlowdown = m.clockSlowdown
 	incarnation.Checker = m.fleet.checker
 	incarnation.Zone = m.zone
 	if m.proxy != nil {
--- a/e2e/storm_callers_test.go
+++ b/e2e/storm_callers_test.go
@@ -109,7 +109,7 @@
 func (s *storm) expiredRuns() int {
 	total := 0
 	for _, worker := range s.allIncarnations() {
-		total += worker.LapsedRuns()
+		total += worker.ExpiredRuns()
 	}
 	return total
 }
--- a/e2e/storm_test.go
+++ b/e2e/storm_test.go
@@ -38,18 +38,19 @@
 	// stormTaskDuration exceeds all attempts to start a task, so that a task which runs although
 	// its start was not answered overlaps with the one started in its place.
 	stormTaskDuration = 1200 * time.Millisecond
-	// stormRackSize is the number of workers per rack, fewer than wideRackJob needs.
+	// stormRackSize is the number of workers per rack, fewer than the gang of wideRackJob
+	// needs; see submitWideRackJob.
 	stormRackSize = 2
 	// maxConcurrentFaults bounds the faults that overlap.
 	maxConcurrentFaults = 3
 	minFaultDuration    = 100 * time.Millisecond
-	// maxShortFault bounds the random part of most fault durations; maxLongFault bounds that of
-	// one fault in longFaultOdds, and faults between instances and a worker, so that leases of
-	// the worker expire meanwhile.
+	// maxShortFault bounds the random part of most fault durations. maxLongFault bounds that of
+	// one fault in longFaultOdds. It also bounds that of every fault between instances and a
+	// worker, so that leases of the worker expire meanwhile.
 	maxShortFault = 2500 * time.Millisecond
 	maxLongFault  = 9 * time.Second
 	longFaultOdds = 4
-	// stormRetention is the number of records that the store keeps readable in each part.
+	// stormRetention is the number of records that the store keeps readable in each partition.
 	stormRetention = 30
 	// maxAppendDelay bounds the delay of an append that gets no answer.
 	maxAppendDelay = 4 * time.Second
@@ -77,7 +78,7 @@
 	wantState string // required final state, unless the job was cancelled
 }
 
-// storm is a fleet under overlapping faults while callers submit jobs.
+// storm is a fleet under overlapping injected faults while callers submit jobs.
 type storm struct {
 	*fleet
 	random        *rand.Rand
@@ -91,20 +92,21 @@
 	faultTargets map[string]bool // targets of the faults in progress
 }
 
-// Injects overlapping faults while callers submit, retry, cancel and query jobs:
+// TestPlatformStorm injects overlapping faults while callers submit, retry, cancel and query
+// jobs:
 //   - instances are killed, stopped, frozen, or cut off from the store, callers, each other or all;
 //   - the store is down, slow, loses answers, applies appends late, drops old records and moves to
 //     another address;
 //   - connections are slow, silent in one direction, reset, or pass few bytes at a time;
 //   - workers are unreachable until their leases expire, and restart under their IDs;
 //   - availability zones are evacuated, or lost with their instances and workers;
-//   - the configuration changes.
+//   - the operators' configuration changes.
 //
 // No task may run on two workers at once, run again after its end was recorded, or start in a
-// zone that was evacuated five seconds before. Refused jobs must never start. Accepted jobs must
-// end, and must not wait beside idle workers after the last fault; this includes gangs that
-// request one rack and are wider than every rack. Memory and open files must stay within the
-// machine's limits.
+// zone that was evacuated five seconds before (evacuationDeadline). Refused jobs must never
+// start. Accepted jobs must end, and must not wait beside idle workers after the last fault;
+// this includes gangs that request one rack and are wider than every rack. Memory and open
+// files must stay within the machine's limits.
 func TestPlatformStorm(t *testing.T) {
 	checker := standin.NewTaskChecker()
 	fleet := startFleet(&fleet{t: t, store: standin.NewKeyedStore(), taskDuration: stormTaskDuration, rackSize: stormRackSize, reuseIDs: true, useProxies: true, checker: checker, earlierBinary: *stormEarlierBinary}, *stormInstances, *stormWorkers)
--- a/gangs/coordinator.go
+++ b/gangs/coordinator.go
@@ -1,7 +1,8 @@
 // Package gangs coordinates gang runs: a run starts on all of its workers or on
 // none, stays alive while its leases are renewed, and ends as a whole. The
 // coordinator does no I/O and reads no clock: Step takes an event and the time
-// and returns actions, which the executor in package instance carries out.
+// and returns actions, which the executor in package instance carries out. It serves the
+// product's own interface; package placing decides for jobs on the users' platform.
 package gangs
 
 import (
@@ -15,8 +16,9 @@
 
 // Config holds the term and the timeouts of a Coordinator.
 type Config struct {
-	Term           int64
-	LeaseTTL       time.Duration
+	Term     int64 // epoch of the leader's term
+	LeaseTTL time.Duration
+	// ReclaimTimeout bounds the checkpoint of a run that is stopped to reclaim its capacity.
 	ReclaimTimeout time.Duration
 	// RecordTimeout bounds how long a run waits until its start is read back from the log.
 	RecordTimeout time.Duration
@@ -96,6 +98,8 @@
 	return nil
 }
 
+// allMembersAcked reports whether the call of the current phase succeeded at all members;
+// see allMembersReported for reports under this term.
 func (g *gang) allMembersAcked() bool {
 	for _, m := range g.members {
 		if !m.acked {
@@ -123,7 +127,8 @@
 }
 
 // withdraw ends a run of which no task has started. If a start record was appended, a
-// stop record revokes it.
+// stop record revokes it. The reason of that record is ReasonReserveRefused for every
+// withdrawal, also after a timeout of the record or a cancellation.
 func (c *Coordinator) withdraw(g *gang, failedWorker string, now time.Time) []Action {
 	return c.withdrawWithResult(g, scheduler.RunNotStarted, failedWorker, now)
 }
@@ -139,7 +144,7 @@
 
 // releaseLeases releases the leases of all members. The scheduler is notified of
 // the end of the run only after all workers have answered or the leases have
-// lapsed, so that it places no other run on accelerators that are still leased.
+// expired, so that it places no other run on accelerators that are still leased.
 func (g *gang) releaseLeases(result scheduler.Result, failedWorker string, now time.Time) []Action {
 	g.result = scheduler.RunEnded{Run: g.run, Result: result, Worker: failedWorker}
 	g.enterPhase(phaseReleasing, now)
@@ -161,7 +166,7 @@
 
 // halt ends a run on all members without a checkpoint. An adopted run is halted
 // only after every member has answered under this term or the reservations of
-// the previous leader have lapsed: if one member were released while a start
+// the previous leader have expired: if one member were released while a start
 // call of that leader was in flight to another, the gang would run in part.
 func (c *Coordinator) halt(g *gang, cause haltCause, now time.Time) []Action {
 	if !c.previousLeaderFenced(g, now) {
@@ -212,6 +217,8 @@
 	return actions
 }
 
+// stopResult returns the result of a run that is stopped without a checkpoint. A run
+// that is preempted after a checkpoint gets scheduler.RunPreempted instead.
 func stopResult(reason structs.Reason) scheduler.Result {
 	switch reason {
 	case structs.ReasonCancelled:
@@ -243,7 +250,7 @@
 func (c *Coordinator) tickGang(g *gang, e Tick, now time.Time) []Action {
 	switch g.phase {
 	case phaseReserving:
-		if now.Sub(g.roundStarted) > c.roundLimit() {
+		if now.Sub(g.roundStarted) > c.roundLimit() { // for rounds see reserveAll
 			return c.withdraw(g, g.firstUnacked(), now)
 		}
 	case phaseRecording:
@@ -296,7 +303,7 @@
 }
 
 // silentMember returns a member whose lease was not renewed for three quarters of
-// the lease TTL, or an empty string.
+// the lease TTL (three poll intervals, see pollWorkers), or an empty string.
 func (c *Coordinator) silentMember(g *gang, now time.Time) string {
 	for _, m := range g.members {
 		if now.Sub(m.leaseRenewed) > c.config.LeaseTTL*3/4 {
@@ -306,7 +313,8 @@
 	return ""
 }
 
-// pollWorkers renews all leases on a worker with a single call.
+// pollWorkers polls each worker of running gangs every quarter of the lease TTL. A poll
+// renews all leases on the worker and fetches its report in a single call.
 func (c *Coordinator) pollWorkers(now time.Time) []Action {
 	runsByWorker := map[string][]string{}
 	var workers []string
--- a/gangs/events.go
+++ b/gangs/events.go
@@ -35,8 +35,8 @@
 	MinLease     time.Duration // remaining lease time that a start call requires
 }
 
-// Poll requests the renewal of the leases of runs on one worker. The worker's
-// state is reported by WorkerState.
+// Poll requests a call that renews the leases of runs on one worker and fetches the
+// worker's report, which WorkerState returns.
 type Poll struct {
 	Worker string
 	Runs   []string
--- a/gangs/gang.go
+++ b/gangs/gang.go
@@ -23,7 +23,7 @@
 type member struct {
 	structs.Member
 	acked        bool             // the call of the current phase succeeded
-	callEnded    bool             // the call of the current phase has returned
+	callEnded    bool             // the call of the current phase has returned, also with an error
 	phase        worker.TaskPhase // phase of the task as last reported
 	reported     bool             // the worker has reported under this term
 	leaseRenewed time.Time        // the lease lasts at least LeaseTTL from here
--- a/gangs/simulation_test.go
+++ b/gangs/simulation_test.go
@@ -287,7 +287,7 @@
 
 // maxPartialDuration bounds how long any task of a run may execute after a member
 // lost its lease: the leader detects the loss within one lease TTL, and the leases
-// that it no longer renews lapse within another.
+// that it no longer renews expire within another.
 const maxPartialDuration = 2*leaseTTL + time.Second
 
 func (s *simulation) checkInvariants() {
--- a/gangs/start.go
+++ b/gangs/start.go
@@ -22,7 +22,7 @@
 // run has started, its leases are renewed only in such rounds: all answers of a
 // round must arrive within a quarter of the lease TTL, and a worker starts a task
 // only while a quarter of its lease is left, so when a task starts no lease of
-// the same round has lapsed.
+// the same round has expired.
 func (g *gang) reserveAll(now time.Time) []Action {
 	g.roundStarted = now
 	for _, m := range g.members {
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -1,5 +1,6 @@
-// Package instance implements an entry instance. Its duties, one goroutine each,
-// perform the I/O for the decisions that the pure packages make.
+// Package instance implements an instance that serves the product's own interface
+// (subcommand serve). Its duties, one goroutine each, perform the I/O for the decisions
+// that the pure packages make. Package batch implements an instance on the users' platform.
 package instance
 
 import (
@@ -28,11 +29,11 @@
 	"github.com/teaselcleat/teaselcleat/worker"
 )
 
-// lostAfter is the time without a message after which an instance counts as lost. Other
+// instanceLostAfter is the time without a message after which an instance counts as lost. Other
 // instances may then close its open claims.
-const lostAfter = 15 * time.Second
+const instanceLostAfter = 15 * time.Second
 
-// Instance is an entry instance. It implements service.Service.
+// Instance is one process that serves callers and operators. It implements service.Service.
 type Instance struct {
 	settings  *settings.Settings
 	boot      int64
--- a/instance/maintainer.go
+++ b/instance/maintainer.go
@@ -12,16 +12,17 @@
 
 const (
 	maintenanceInterval = 100 * time.Millisecond
-	prunesPerKeyWindow  = 24
+	prunesPerRetention  = 24
 	snapshotTimeout     = 30 * time.Second
 )
 
-// maintainer writes snapshots, prunes old keys and closes claims whose holder is lost.
+// maintainer writes snapshots, prunes old keys and closes claims whose holder is lost, that
+// is, completes them with the outcome unknown. Its duty is named keeper in the log.
 // Only the leader does so, to save appends; the folds would tolerate several instances.
 type maintainer struct {
 	instance        *Instance
 	snapshotAt      time.Time
-	snapshotOffsets int64 // sum of the two offsets at the last snapshot
+	snapshotOffsets int64 // sum of the next offsets of the ledger and targets streams at the last snapshot
 	prunedAt        time.Time
 	claimsClosedAt  time.Time
 }
@@ -79,7 +80,7 @@
 func (m *maintainer) pruneIfDue() {
 	i := m.instance
 	now := i.now()
-	if now.Sub(m.prunedAt) < i.settings.KeyRetention/prunesPerKeyWindow {
+	if now.Sub(m.prunedAt) < i.settings.KeyRetention/prunesPerRetention {
 		return
 	}
 	m.prunedAt = now
@@ -89,12 +90,12 @@
 	}
 }
 
-// closeLostClaims completes the open claims of lost holders as unknown, for the
-// operator to reconcile.
+// closeLostClaims closes the open claims of lost holders with the outcome unknown, for the
+// operator to reconcile. It looks for them three times per instanceLostAfter.
 func (m *maintainer) closeLostClaims() {
 	i := m.instance
 	now := i.now()
-	if now.Sub(m.claimsClosedAt) < lostAfter/3 {
+	if now.Sub(m.claimsClosedAt) < instanceLostAfter/3 {
 		return
 	}
 	m.claimsClosedAt = now
--- a/instance/peersync.go
+++ b/instance/peersync.go
@@ -151,7 +151,7 @@
 }
 
 // isLost reports whether a boot of an instance is certainly or very probably gone: a
-// later boot was seen, or no message was received for lostAfter.
+// later boot was seen, or no message was received for instanceLostAfter.
 func (i *Instance) isLost(name string, boot int64) bool {
 	if name == i.settings.Name {
 		return boot != i.boot
@@ -161,7 +161,7 @@
 		return true
 	}
 	if ok {
-		return i.now().Sub(seen.LastMessageAt) > lostAfter
+		return i.now().Sub(seen.LastMessageAt) > instanceLostAfter
 	}
-	return i.now().Sub(i.startedAt) > lostAfter
+	return i.now().Sub(i.startedAt) > instanceLostAfter
 }
--- a/instance/placer.go
+++ b/instance/placer.go
@@ -33,7 +33,7 @@
 	events         *ring.Ring[gangs.Event]
 	mu             sync.Mutex
 	changedJobs    map[string]bool // jobs whose ledger entries changed
-	term           int64           // in which the scheduler below runs; 0 while not the leader
+	term           int64           // epoch of the term in which the scheduler below runs; 0 while not the leader
 	scheduler      *scheduler.Scheduler
 	coordinator    *gangs.Coordinator
 	trackedJobs    map[string]bool              // jobs submitted to the scheduler
--- a/instance/requests.go
+++ b/instance/requests.go
@@ -249,14 +249,14 @@
 func (e *execution) claimKey(ctx context.Context) {
 	i := e.instance
 	if entry := i.replica.Key(e.spec.Key); entry != nil && entry.Phase != ledger.KeyReleased {
-		e.postEvent(e.claimReadEvent(entry))
+		e.postEvent(e.claimEntryEvent(entry))
 		return
 	}
-	results, unregister := i.replica.AwaitClaim(e.id)
+	results, unregister := i.replica.RegisterClaimWaiter(e.id)
 	defer unregister()
 	claim := &structs.Claim{ID: e.id, Key: e.spec.Key, Class: e.spec.Class, Digest: e.spec.Digest, Holder: i.identity, IssuedMS: e.issuedMS()}
 	if !i.appendRecord(&structs.Record{Kind: structs.RecordClaim, Claim: claim}, e.abandoned) {
-		e.postEvent(requests.ClaimRead{Reason: structs.ReasonLogUnavailable})
+		e.postEvent(requests.ClaimResult{Reason: structs.ReasonLogUnavailable})
 		return
 	}
 	timer := time.NewTimer(i.settings.ClaimTimeout)
@@ -265,7 +265,7 @@
 	case result := <-results:
 		e.postEvent(e.claimResultEvent(result.Entry, result.VoidReason))
 	case <-timer.C:
-		e.postEvent(requests.ClaimRead{Reason: structs.ReasonLogUnavailable, Appended: true})
+		e.postEvent(requests.ClaimResult{Reason: structs.ReasonLogUnavailable, Appended: true})
 	case <-ctx.Done():
 	}
 }
@@ -288,21 +288,21 @@
 	}
 }
 
-func (e *execution) claimResultEvent(entry *ledger.KeyEntry, reason ledger.VoidReason) requests.ClaimRead {
+func (e *execution) claimResultEvent(entry *ledger.KeyEntry, reason ledger.VoidReason) requests.ClaimResult {
 	switch reason {
 	case ledger.VoidExpired:
-		return requests.ClaimRead{Reason: structs.ReasonKeyExpired}
+		return requests.ClaimResult{Reason: structs.ReasonKeyExpired}
 	case ledger.VoidFull:
-		return requests.ClaimRead{Reason: structs.ReasonKeyTableFull}
+		return requests.ClaimResult{Reason: structs.ReasonKeyTableFull}
 	}
-	return e.claimReadEvent(entry)
+	return e.claimEntryEvent(entry)
 }
 
-// claimReadEvent returns the event for a key's entry. If another request has an open
+// claimEntryEvent returns the event for a key's entry. If another request has an open
 // claim whose holder is lost, the claim is closed as unknown, for the caller and in the
 // log.
-func (e *execution) claimReadEvent(entry *ledger.KeyEntry) requests.ClaimRead {
-	read := requests.ClaimRead{Entry: entry}
+func (e *execution) claimEntryEvent(entry *ledger.KeyEntry) requests.ClaimResult {
+	read := requests.ClaimResult{Entry: entry}
 	if entry.Phase != ledger.KeyOpen || entry.Claim.ID == e.id {
 		return read
 	}
--- a/instance/streams.go
+++ b/instance/streams.go
@@ -128,7 +128,7 @@
 // JobChanged implements replica.Observer.
 func (i *Instance) JobChanged(job string) { i.placer.jobChanged(job) }
 
-// TermChanged implements replica.Observer.
+// TermChanged implements replica.Observer. The log names the leader holder.
 func (i *Instance) TermChanged(term structs.Term) {
 	i.log.WithField("term", term.Number).WithField("holder", term.Leader).Info("term_changed")
 	i.events.Add("term_changed", term.Leader, "", "")
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,6 +1,7 @@
 // Command knownred runs all tests of the module and tolerates failures of exactly the
-// tests that a file lists with a known fault. It prints these with their causes, and
-// fails if one of them passes or does not exist. It is for CI and is not shipped.
+// tests that a file lists with a known fault (known red tests). It prints these with their
+// causes, and fails if one of them passes or does not exist. It is for CI and is not
+// shipped.
 package main
 
 import (
--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -1,6 +1,6 @@
 // Package kernel implements the life cycle of the process: the registry of
-// plug-ins, the duties, which run in one goroutine each, and the order in which
-// they start, drain and stop.
+// adapters, the duties (background loops), which run in one goroutine each, and the order
+// in which they start, drain and stop.
 package kernel
 
 import (
--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -25,7 +25,7 @@
 	PointPeers        ExtensionPoint = "peers"
 )
 
-// Env holds the dependencies that factories of plug-ins may use.
+// Env holds the dependencies that factories of adapters may use.
 type Env struct {
 	Settings *settings.Settings
 	Log      *logrus.Entry
@@ -38,7 +38,7 @@
 // write to it and all reads come later, so that it needs no lock.
 var factories = map[ExtensionPoint]map[string]any{}
 
-// Register adds a factory under a point and a name. It is called from a plug-in's
+// Register adds a factory under a point and a name. It is called from an adapter's
 // init function and panics if the name is already registered.
 func Register[T any](point ExtensionPoint, name string, factory func(*Env) (T, error)) {
 	byName := factories[point]
@@ -47,21 +47,21 @@
 		factories[point] = byName
 	}
 	if _, taken := byName[name]; taken {
-		panic("kernel: plug-in registered twice: " + string(point) + "/" + name)
+		panic("kernel: adapter registered twice: " + string(point) + "/" + name)
 	}
 	byName[name] = factory
 }
 
-// Open builds the plug-in registered under a point and a name.
+// Open builds the adapter registered under a point and a name.
 func Open[T any](env *Env, point ExtensionPoint, name string) (T, error) {
 	var none T
 	registered, ok := factories[point][name]
 	if !ok {
-		return none, eris.Errorf("no plug-in %q at %s; registered are: %s", name, point, strings.Join(factoryNames(point), ", "))
+		return none, eris.Errorf("no adapter %q at %s; registered are: %s", name, point, strings.Join(factoryNames(point), ", "))
 	}
 	factory, ok := registered.(func(*Env) (T, error))
 	if !ok {
-		return none, eris.Errorf("plug-in %q at %s has another type", name, point)
+		return none, eris.Errorf("adapter %q at %s has another type", name, point)
 	}
 	return factory(env)
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -3,6 +3,8 @@
 // The fold is a pure function of the records in offset order, so every instance
 // computes the same state. A record that is not valid at its offset is void and
 // changes nothing, which makes lost answers, duplicate appends and races harmless.
+//
+// It serves the product's own interface; package jobs holds the jobs of the users' platform.
 package ledger
 
 import (
@@ -86,10 +88,10 @@
 	VoidExpired      VoidReason = "expired"
 	VoidFull         VoidReason = "full"
 	VoidNotHolder    VoidReason = "not_holder"
-	VoidWrongPhase   VoidReason = "wrong_phase"
+	VoidWrongPhase   VoidReason = "wrong_phase" // also of a prune that is not newer than the last one
 	VoidMissing      VoidReason = "missing"
 	VoidStaleTerm    VoidReason = "stale_term"
-	VoidMayNotRepeat VoidReason = "may_not_repeat"
+	VoidMayNotRepeat VoidReason = "may_not_repeat" // no rule of the fold returns it
 )
 
 var valid = Verdict{Valid: true}
@@ -102,7 +104,7 @@
 	Keys         map[structs.KeyID]*KeyEntry
 	Jobs         map[string]*JobEntry
 	Term         structs.Term
-	PrunedBefore int64 // Unix milliseconds; claims and jobs issued earlier are rejected
+	PrunedBefore int64 // Unix milliseconds; claims and submissions issued earlier are void
 }
 
 // New returns the state before the first record.
--- a/logstream/writer.go
+++ b/logstream/writer.go
@@ -1,7 +1,8 @@
 // Package logstream accesses the platform's log: group commit of the records of this
 // process, retries until an append is acknowledged, and reading of streams into the
 // folds. The acknowledgement of an append proves nothing; callers that need the
-// result of a record read it from the fold.
+// result of a record read it from the fold. It serves the product's own interface; the log
+// of the users' platform is reached through package platform.
 package logstream
 
 import (
@@ -21,8 +22,9 @@
 	maxGroupRecords = 256
 	maxGroupBytes   = 512 << 10
 	// ForegroundInterval is the minimum interval between appends of a writer whose
-	// records callers wait for, BackgroundInterval that of a background writer. Seven
-	// instances with one of each make at most 420 appends per second.
+	// records callers wait for, BackgroundInterval that of a background writer. They allow
+	// 50 and 10 appends per second, so seven instances with one of each make at most 420
+	// appends per second.
 	ForegroundInterval = 20 * time.Millisecond
 	BackgroundInterval = 100 * time.Millisecond
 	appendTimeout      = 5 * time.Second
@@ -83,7 +85,8 @@
 // Available reports whether the last append was acknowledged.
 func (w *Writer) Available() bool { return w.available.Load() }
 
-// Unacknowledged returns the number of entries that are not yet acknowledged.
+// Unacknowledged returns the number of entries that are not yet acknowledged, in the
+// queue and in the backlog.
 func (w *Writer) Unacknowledged() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -91,7 +94,7 @@
 }
 
 // Pending returns the data of the oldest entries of the backlog, up to limit, without
-// entries that may still be abandoned.
+// entries that may still be abandoned and without those in the queue.
 func (w *Writer) Pending(limit int) [][]byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -11,8 +11,8 @@
 // Roles of listed machines.
 const (
 	RoleInstance Role = "instance"
-	RoleRunner   Role = "runner"
-	RoleWorker   Role = "worker"
+	RoleRunner   Role = "runner" // answers short requests
+	RoleWorker   Role = "worker" // runs tasks of gangs
 )
 
 // Member is a machine as shown in the instance list, which may be out of date.
--- a/peers/link.go
+++ b/peers/link.go
@@ -1,6 +1,7 @@
-// Package peers implements the links between instances: one yamux session to each
-// other instance, carrying length-prefixed protobuf envelopes. The messages save time
-// and bridge outages of the log; instances never agree on anything by them.
+// Package peers implements the links between the instances of the product's own interface:
+// one yamux session to each other instance, carrying length-prefixed protobuf envelopes. The
+// messages save time and bridge outages of the log; no decision that instances must share
+// depends on them. Package relay is the counterpart on the users' platform.
 package peers
 
 import (
@@ -42,7 +43,7 @@
 	Boot           int64
 	LastMessageAt  time.Time
 	Draining       bool
-	TargetsVersion int64 // of the targets in force at that instance
+	TargetsVersion int64 // of the current targets of that instance
 }
 
 // Link connects this instance to the others. It is safe for concurrent use.
@@ -56,7 +57,7 @@
 
 	mu    sync.Mutex
 	peers map[string]*peer
-	seen  map[string]PeerState
+	seen  map[string]PeerState // by instance name, of every instance that ever sent a message
 }
 
 type peer struct {
@@ -250,8 +251,8 @@
 }
 
 // SendUpTo queues a message to at most limit connected instances, beginning with the
-// next by name after this one, so that copies are spread evenly. It returns the
-// number of instances.
+// next by name after this one, so that copies of pending records are spread evenly over
+// the instances. It returns the number of instances.
 func (l *Link) SendUpTo(limit int, envelope *peerpb.Envelope) int { return l.sendUpTo(limit, envelope) }
 
 func (l *Link) sendUpTo(limit int, envelope *peerpb.Envelope) int {
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -19,7 +19,8 @@
 	// failDelay is how long a task runs on a worker that fails every task.
 	failDelay = 5 * scheduler.Second
 	// maxReclaimDelay is how long a job that its workspace's guarantee covers may
-	// wait before it counts as a violation of the guarantee.
+	// wait before it counts as a violation of the guarantee. It does not depend on the
+	// setting reclaim_within, which bounds the checkpoints of preempted runs alone.
 	maxReclaimDelay = scheduler.Minute
 	// maxDrainTime bounds how long the replay continues after the last event.
 	maxDrainTime        = 24 * 60 * scheduler.Minute
@@ -27,7 +28,7 @@
 	idleTickInterval    = 10 * scheduler.Second // while no job is queued
 	sampleInterval      = scheduler.Minute
 	neverEnds           = scheduler.Time(1) << 60
-	defaultFinishWithin = 24 * time.Hour // for a class that the settings do not name
+	defaultFinishWithin = 24 * time.Hour // for a class that the targets do not name
 )
 
 // replayer is the state of a running replay.
@@ -40,10 +41,10 @@
 	runs              map[string]*activeRun
 	ends              endQueue
 	lastSeq           int
-	failingWorkers    map[string]bool
-	usedByWorker      map[string]int // accelerators in use, by worker
-	usedByWorkspace   map[string]int // accelerators in use, by workspace
-	logDown           bool
+	failingWorkers    map[string]bool     // workers between their worker_bad and worker_good events
+	usedByWorker      map[string]int      // accelerators in use, by worker
+	usedByWorkspace   map[string]int      // accelerators in use, by workspace
+	logDown           bool                // between the events append_down and append_up
 	waitingGuaranteed map[*jobRecord]bool // jobs covered by a guarantee that have not started
 	metrics           metrics
 }
@@ -76,6 +77,8 @@
 		}
 		r.now = next
 		r.processDue()
+		// All that is due at until has been processed, unless the policy has started a run
+		// that ends at once.
 		if next == until && !r.endDue() {
 			return
 		}
@@ -177,7 +180,9 @@
 	r.jobs[event.Job] = job
 	r.submitted = append(r.submitted, job)
 	if r.logDown || event.Shape().Validate() != nil {
-		job.phase = jobRefused // as the instances do, which cannot record a job durably without the log
+		// As the instances do: a shape may be invalid, and without the log no job can be
+		// recorded durably.
+		job.phase = jobRefused
 		job.endedAt = r.now
 		return
 	}
@@ -277,7 +282,8 @@
 }
 
 // checkPlacement checks a placement against the replay's own records: gangs must be whole
-// and fit, and no job may run twice.
+// and fit, no job may run twice at once, and a job that is not idempotent may start again
+// only from a checkpoint.
 func (r *replayer) checkPlacement(job *jobRecord, place scheduler.Place) {
 	distinct := map[string]bool{}
 	whole := len(place.Members) == job.event.Members
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -1,5 +1,6 @@
 // Package replica holds this instance's copy of the state folded from the log
-// streams, and lets callers wait until records that they appended are read back.
+// streams of the product's own interface, and lets callers wait until records that they
+// appended are read back.
 // All methods are safe for concurrent use.
 package replica
 
@@ -66,7 +67,8 @@
 // Observe sets the observer; it must be called before the streams are read.
 func (r *Replica) Observe(observer Observer) { r.observer = observer }
 
-// ledgerSink and targetsSink receive the records of the two tailers.
+// ledgerSink and targetsSink receive the records of the readers (logstream.Tailer) of the
+// two streams.
 type ledgerSink struct{ replica *Replica }
 type targetsSink struct{ replica *Replica }
 
@@ -215,9 +217,9 @@
 	}
 }
 
-// AwaitClaim registers a waiter for a claim before it is appended. The returned
+// RegisterClaimWaiter registers a waiter for a claim before it is appended. The returned
 // channel receives one result; unregister removes the waiter.
-func (r *Replica) AwaitClaim(claimID string) (result <-chan ClaimResult, unregister func()) {
+func (r *Replica) RegisterClaimWaiter(claimID string) (result <-chan ClaimResult, unregister func()) {
 	waiter := make(chan ClaimResult, 1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -229,8 +231,9 @@
 	}
 }
 
-// AwaitSubmit registers a waiter for a job's submission before it is appended.
-func (r *Replica) AwaitSubmit(job string) <-chan ledger.VoidReason {
+// RegisterSubmitWaiter registers a waiter for a job's submission before it is appended. The
+// waiter stays registered until the submission is read.
+func (r *Replica) RegisterSubmitWaiter(job string) <-chan ledger.VoidReason {
 	waiter := make(chan ledger.VoidReason, 1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -238,8 +241,8 @@
 	return waiter
 }
 
-// AwaitProposal registers a waiter for a proposal before it is appended.
-func (r *Replica) AwaitProposal(id string) <-chan targets.Decision {
+// RegisterProposalWaiter registers a waiter for a proposal before it is appended.
+func (r *Replica) RegisterProposalWaiter(id string) <-chan targets.Decision {
 	waiter := make(chan targets.Decision, 1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -309,29 +312,29 @@
 	return r.ledger.Term
 }
 
-// PrunedBefore returns the issue time, in Unix milliseconds, before which keys are
-// refused.
+// PrunedBefore returns the issue time, in Unix milliseconds, before which claims and
+// submissions are void.
 func (r *Replica) PrunedBefore() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ledger.PrunedBefore
 }
 
-// Targets returns the targets in force and their version.
+// Targets returns the current targets and their version.
 func (r *Replica) Targets() (*targets.Targets, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.targets.Targets, r.targets.Version
 }
 
-// Document returns the targets document in force and its version.
+// Document returns the current targets document and its version.
 func (r *Replica) Document() (string, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.targets.Document, r.targets.Version
 }
 
-// WaitVersion waits until the given version is in force or ctx ends.
+// WaitVersion waits until the given version of the targets is reached or ctx ends.
 func (r *Replica) WaitVersion(ctx context.Context, version int64) bool {
 	for {
 		r.mu.Lock()
--- a/requests/events.go
+++ b/requests/events.go
@@ -13,9 +13,9 @@
 // Started is the first event of every request.
 type Started struct{}
 
-// ClaimRead reports the key's entry in the fold after the claim was appended. Entry is
-// nil if the claim could not be read back.
-type ClaimRead struct {
+// ClaimResult reports the key's entry in the fold after the claim was appended. Entry is
+// nil if the claim could not be read back; Reason and Appended tell more of this case.
+type ClaimResult struct {
 	Entry  *ledger.KeyEntry
 	Reason structs.Reason // why Entry is nil
 	// Appended reports whether the claim was submitted to the log, where it may exist
@@ -69,7 +69,7 @@
 type CallerGone struct{}
 
 func (Started) isEvent()        {}
-func (ClaimRead) isEvent()      {}
+func (ClaimResult) isEvent()    {}
 func (RunnerPicked) isEvent()   {}
 func (SlotRefused) isEvent()    {}
 func (AttemptEnded) isEvent()   {}
@@ -79,7 +79,7 @@
 // Action is an instruction for the executor, which executes actions in order.
 type Action interface{ isAction() }
 
-// AppendClaim requests that the claim is appended and read back (ClaimRead).
+// AppendClaim requests that the claim is appended and read back (ClaimResult).
 type AppendClaim struct{}
 
 // PickRunner requests a slot of a runner (RunnerPicked or SlotRefused).
--- a/requests/machine.go
+++ b/requests/machine.go
@@ -2,6 +2,9 @@
 // when it may be retried and which outcome may be reported to its caller. The machine
 // does no I/O and reads no clock: Step takes an event and the time and returns
 // actions, which the executor in package instance carries out.
+//
+// It serves the product's own interface. A request is executed by a runner, which answers
+// short requests; workers run the tasks of gangs, see package gangs.
 package requests
 
 import (
@@ -74,8 +77,8 @@
 	switch e := event.(type) {
 	case Started:
 		return m.start(now)
-	case ClaimRead:
-		return m.onClaimRead(e, now)
+	case ClaimResult:
+		return m.onClaimResult(e, now)
 	case RunnerPicked:
 		return m.onRunnerPicked(e, now)
 	case SlotRefused:
@@ -100,7 +103,7 @@
 	return []Action{AppendClaim{}}
 }
 
-func (m *Machine) onClaimRead(e ClaimRead, now time.Time) []Action {
+func (m *Machine) onClaimResult(e ClaimResult, now time.Time) []Action {
 	if m.phase != phaseClaiming {
 		return nil
 	}
@@ -124,16 +127,20 @@
 // onClaimUnread ends a request whose claim may or may not be in the log. Nothing was
 // sent, so the outcome is not run. The release covers the case that the claim took
 // effect.
-func (m *Machine) onClaimUnread(e ClaimRead) []Action {
+func (m *Machine) onClaimUnread(e ClaimResult) []Action {
 	m.mayHoldClaim = e.Appended
 	return m.finishNotRun(e.Reason, retryAfterFor(e.Reason))
 }
 
+// finishLostClaim ends a request whose claim another instance has closed meanwhile, as it
+// took this instance for lost. Nothing was sent, so a release replaces the unknown outcome.
 func (m *Machine) finishLostClaim(reason structs.Reason) []Action {
 	m.mayHoldClaim = true
 	return m.finishNotRun(reason, defaultRetryAfter)
 }
 
+// retryAfterFor returns the time after which to retry; 0 means that a retry cannot
+// succeed, as the key has expired.
 func retryAfterFor(reason structs.Reason) time.Duration {
 	if reason == structs.ReasonKeyExpired {
 		return 0
@@ -141,7 +148,7 @@
 	return defaultRetryAfter
 }
 
-func (m *Machine) finishFromEntry(e ClaimRead) []Action {
+func (m *Machine) finishFromEntry(e ClaimResult) []Action {
 	return m.finish(AnswerFromEntry(e.Entry, m.spec.Class, m.spec.Digest, e.HolderLost))
 }
 
@@ -269,7 +276,7 @@
 	if m.phase == phaseClaiming {
 		m.mayHoldClaim = true
 	}
-	actions := []Action{Abandon{}}
+	actions := []Action{Abandon{}} // of the pending append, slot request or attempt
 	if inFlight {
 		m.maybeSent = true
 		return append(actions, m.finishUnknown(reason)...)
@@ -277,6 +284,8 @@
 	return append(actions, m.finishUnanswered(reason, defaultRetryAfter)...)
 }
 
+// finishUnanswered ends a request without an answer. A retryAfter of 0 means that there is
+// no estimate.
 func (m *Machine) finishUnanswered(reason structs.Reason, retryAfter time.Duration) []Action {
 	if retryAfter == 0 {
 		retryAfter = defaultRetryAfter
--- a/requests/simulation_test.go
+++ b/requests/simulation_test.go
@@ -137,7 +137,7 @@
 		s.enqueue(c.instance, structs.Record{Claim: &structs.Claim{ID: c.id, Key: key, Class: "flow", Holder: c.instance.name, IssuedMS: s.issuedAt[c.key]}}, c)
 		if s.mutation == sendBeforeClaimRead {
 			c.claiming = false
-			c.pendingEvents = append(c.pendingEvents, requests.ClaimRead{Entry: &ledger.KeyEntry{Claim: structs.Claim{ID: c.id}, Phase: ledger.KeyOpen}})
+			c.pendingEvents = append(c.pendingEvents, requests.ClaimResult{Entry: &ledger.KeyEntry{Claim: structs.Claim{ID: c.id}, Phase: ledger.KeyOpen}})
 		}
 	case requests.PickRunner:
 		c.pendingEvents = append(c.pendingEvents, requests.RunnerPicked{Runner: "r"})
@@ -210,12 +210,12 @@
 		}
 		c.claiming = false
 		if verdict.Reason == ledger.VoidExpired {
-			c.pendingEvents = append(c.pendingEvents, requests.ClaimRead{Reason: structs.ReasonKeyExpired})
+			c.pendingEvents = append(c.pendingEvents, requests.ClaimResult{Reason: structs.ReasonKeyExpired})
 			return
 		}
 		entry := *inst.fold.Keys[claim.Key]
 		lost := entry.Phase == ledger.KeyOpen && entry.Claim.ID != c.id && s.appearsLost(entry.Claim.Holder)
-		c.pendingEvents = append(c.pendingEvents, requests.ClaimRead{Entry: &entry, HolderLost: lost})
+		c.pendingEvents = append(c.pendingEvents, requests.ClaimResult{Entry: &entry, HolderLost: lost})
 		return
 	}
 	if verdict.Valid && claim.Holder == inst.name { // no caller waits for the claim any more
--- a/service/service.go
+++ b/service/service.go
@@ -1,5 +1,6 @@
 // Package service defines the API that an instance offers to callers and operators, as
-// types and one interface. Adapters translate it to a protocol.
+// types and one interface: the product's own interface. Adapters translate it to a
+// protocol.
 package service
 
 import (
@@ -35,7 +36,7 @@
 	Class     string        `json:"class"`
 	Key       string        `json:"key"`
 	Shape     structs.Shape `json:"shape"`
-	DeclaredS int64         `json:"declared_s,omitempty"`
+	DeclaredS int64         `json:"declared_s,omitempty"` // run time in seconds as estimated by the caller; 0 if not declared
 	Payload   string        `json:"payload,omitempty"`
 }
 
@@ -68,7 +69,7 @@
 	Ready          bool   `json:"ready"`
 	Draining       bool   `json:"draining"`
 	TargetsVersion int64  `json:"targets_version"`
-	Term           int64  `json:"term"`
+	Term           int64  `json:"term"` // epoch of the current term
 	TermLeader     string `json:"term_holder"`
 	LogAvailable   bool   `json:"log_available"`
 	// SnapshotAgeMS is the age of the peer's snapshot that this instance started from
@@ -90,12 +91,12 @@
 	CancelJob(ctx context.Context, id string) structs.Reply
 	// Targets returns the current targets document.
 	Targets() TargetsDocument
-	// ProposeTargets returns once the proposal is accepted or refused, with the version in force.
+	// ProposeTargets returns once the proposal is accepted or refused, with the current version.
 	ProposeTargets(ctx context.Context, proposal TargetsDocument) (structs.Reply, int64)
 	// Refusals returns the recorded refusals of a workspace, oldest first.
 	Refusals(ctx context.Context, workspace string) ([]structs.Refusal, error)
 	// Events returns the events of this process that match filter, and how many older
-	// events were dropped.
+	// events were overwritten.
 	Events(filter timeline.Filter) ([]timeline.Event, int64)
 	// Status returns the state of the instance.
 	Status() Status
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the settings file of an instance: its name, addresses,
-// availability zone, limits and times. The operators' targets are not part of it.
+// Package settings reads the settings file of an instance that serves the product's own
+// interface: its name, addresses, availability zone, limits and times. The operators'
+// targets are not part of it. On the users' platform platform.Settings takes its place.
 package settings
 
 import (
@@ -25,10 +26,10 @@
 	HTTPAddress       string        // serves callers and operators
 	PeerAddress       string        // serves the other instances
 	PlatformAddress   string        // base URL of the platform
-	Adapter           string        // name of the registered adapters for external systems
+	Adapter           string        // name under which the adapters for all external systems are registered
 	MaxInFlight       int           // requests in flight
 	MaxBodyBytes      int64         // of a request
-	MaxAnswerBytes    int64         // of an upstream's answer
+	MaxAnswerBytes    int64         // of a runner's answer
 	PendingRecords    int           // records buffered while the log is unavailable
 	MaxTimelineEvents int           // events kept in the timeline
 	ClaimTimeout      time.Duration // maximum wait until a claim is read back from the log
@@ -111,7 +112,8 @@
 const allowedName = "1 to 128 characters without spaces, quotes or slashes"
 const allowedAddress = "IP:PORT"
 
-// fields lists every known key.
+// fields lists every known key. The keys claim_wait, reclaim_within, drain_within,
+// snapshot_every and key_window set fields that have other names.
 var fields = []field{
 	{"instance", "name", "", allowedName, nameSetter(func(s *Settings) *string { return &s.Name })},
 	{"instance", "region", "", allowedName, nameSetter(func(s *Settings) *string { return &s.Region })},
--- a/standin/keyedstore.go
+++ b/standin/keyedstore.go
@@ -20,7 +20,7 @@
 type StoreFaults struct {
 	Down        bool // every call is refused without effect
 	LoseAnswers int  // number of appends that take effect and get no answer
-	Retain      int  // newest records retained for reading in each part; 0 retains all
+	Retain      int  // newest records retained for reading in each partition; 0 retains all
 	// Slow delays each call before it is processed.
 	Slow time.Duration
 	// LateAppends is the number of appends that get no answer and are applied after
@@ -29,15 +29,16 @@
 	LateDelay   time.Duration
 }
 
-// KeyedStore is an in-memory stand-in of the users' store. Its topics consist of
-// parts that hold keyed records. The newest record of each key is retained, and
+// KeyedStore is an in-memory stand-in of the users' store, the service that keeps the
+// platform's log. Its topics consist of partitions (part on the wire), which hold keyed
+// records. The newest record of each key is retained, and
 // appends are fenced by a producer's epoch and sequence.
 type KeyedStore struct {
-	mu        sync.Mutex
-	parts     map[string]*storePart // by "topic/part"
-	faults    StoreFaults
-	addresses map[string]string // quoted replacements of quoted addresses; see TranslateAddress
-	router    *mux.Router
+	mu         sync.Mutex
+	partitions map[string]*storePartition // by "topic/partition"
+	faults     StoreFaults
+	addresses  map[string]string // quoted replacements of quoted addresses; see TranslateAddress
+	router     *mux.Router
 }
 
 type storeRecord struct {
@@ -45,7 +46,7 @@
 	value []byte
 }
 
-type storePart struct {
+type storePartition struct {
 	firstOffset   int64
 	records       []storeRecord
 	newestOffsets map[string]int64 // by key
@@ -57,7 +58,7 @@
 
 // NewKeyedStore returns an empty store.
 func NewKeyedStore() *KeyedStore {
-	s := &KeyedStore{parts: map[string]*storePart{}, addresses: map[string]string{}, router: mux.NewRouter()}
+	s := &KeyedStore{partitions: map[string]*storePartition{}, addresses: map[string]string{}, router: mux.NewRouter()}
 	s.router.HandleFunc("/api/log-append", s.serveAppend).Methods(http.MethodPost)
 	s.router.HandleFunc("/api/log-read", s.serveRead).Methods(http.MethodGet)
 	s.router.HandleFunc("/api/log-newest", s.serveNewest).Methods(http.MethodGet)
@@ -82,7 +83,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
-	for _, part := range s.parts {
+	for _, part := range s.partitions {
 		part.dropOldest(faults.Retain)
 	}
 }
@@ -106,29 +107,29 @@
 	return records
 }
 
-// Put writes a record to part 0 without a producer, as the operator or a worker
+// Put writes a record to partition 0 without a producer, as the operator or a worker
 // does. A nil value deletes the key.
 func (s *KeyedStore) Put(topic, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	part := s.part(topic, "0")
-	part.add([]storeRecord{{key, value}})
-	part.dropOldest(s.faults.Retain)
+	p := s.partition(topic, "0")
+	p.add([]storeRecord{{key, value}})
+	p.dropOldest(s.faults.Retain)
 }
 
-func (s *KeyedStore) part(topic, partNumber string) *storePart {
-	name := topic + "/" + partNumber
-	part := s.parts[name]
-	if part == nil {
-		part = &storePart{newestOffsets: map[string]int64{}, newestValues: map[string][]byte{}, changed: make(chan struct{})}
-		s.parts[name] = part
+func (s *KeyedStore) partition(topic, number string) *storePartition {
+	name := topic + "/" + number
+	p := s.partitions[name]
+	if p == nil {
+		p = &storePartition{newestOffsets: map[string]int64{}, newestValues: map[string][]byte{}, changed: make(chan struct{})}
+		s.partitions[name] = p
 	}
-	return part
+	return p
 }
 
-func (p *storePart) end() int64 { return p.firstOffset + int64(len(p.records)) }
+func (p *storePartition) end() int64 { return p.firstOffset + int64(len(p.records)) }
 
-func (p *storePart) add(records []storeRecord) {
+func (p *storePartition) add(records []storeRecord) {
 	for _, record := range records {
 		if len(record.value) == 0 {
 			delete(p.newestOffsets, record.key)
@@ -143,7 +144,7 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *storePart) dropOldest(retain int) {
+func (p *storePartition) dropOldest(retain int) {
 	if excess := len(p.records) - retain; retain > 0 && excess > 0 {
 		p.records = append([]storeRecord(nil), p.records[excess:]...)
 		p.firstOffset += int64(excess)
@@ -176,25 +177,25 @@
 
 // append applies an append request and returns its reply. The caller holds s.mu.
 func (s *KeyedStore) append(query url.Values, body []byte) (status int, reply map[string]any) {
-	part := s.part(query.Get("topic"), query.Get("part"))
+	p := s.partition(query.Get("topic"), query.Get("part"))
 	if query.Get("producer") != "" {
-		repeat, refused := part.checkProducer(parseNumber(query.Get("epoch")), parseNumber(query.Get("sequence")))
+		repeat, refused := p.checkProducer(parseNumber(query.Get("epoch")), parseNumber(query.Get("sequence")))
 		if refused != "" {
-			return http.StatusConflict, map[string]any{"reason": refused, "sequence": part.lastSequence + 1}
+			return http.StatusConflict, map[string]any{"reason": refused, "sequence": p.lastSequence + 1}
 		}
 		if repeat {
-			return http.StatusOK, map[string]any{"offset": part.end(), "end": part.end()}
+			return http.StatusOK, map[string]any{"offset": p.end(), "end": p.end()}
 		}
 	}
-	offset := part.end()
-	part.add(s.translateAddresses(splitRecords(body)))
-	part.dropOldest(s.faults.Retain)
-	return http.StatusOK, map[string]any{"offset": offset, "end": part.end()}
+	offset := p.end()
+	p.add(s.translateAddresses(splitRecords(body)))
+	p.dropOldest(s.faults.Retain)
+	return http.StatusOK, map[string]any{"offset": offset, "end": p.end()}
 }
 
 // checkProducer checks and records a producer's epoch and sequence. It reports whether
 // the append repeats the last one, or the reason of a refusal.
-func (p *storePart) checkProducer(epoch, sequence int64) (repeat bool, refused string) {
+func (p *storePartition) checkProducer(epoch, sequence int64) (repeat bool, refused string) {
 	switch {
 	case epoch < p.epoch:
 		return false, "fenced"
@@ -236,16 +237,16 @@
 	defer timeout.Stop()
 	for waiting := true; ; {
 		s.mu.Lock()
-		part := s.part(query.Get("topic"), query.Get("part"))
-		changed := part.changed
-		if from < part.firstOffset {
-			firstOffset := part.firstOffset
+		p := s.partition(query.Get("topic"), query.Get("part"))
+		changed := p.changed
+		if from < p.firstOffset {
+			firstOffset := p.firstOffset
 			s.mu.Unlock()
 			writeReply(w, http.StatusGone, map[string]any{"first": firstOffset})
 			return
 		}
-		if from < part.end() || !waiting {
-			body := part.read(from)
+		if from < p.end() || !waiting {
+			body := p.read(from)
 			s.mu.Unlock()
 			// The write fails only if the reader has disconnected.
 			_, _ = w.Write(body)
@@ -262,7 +263,7 @@
 	}
 }
 
-func (p *storePart) read(from int64) []byte {
+func (p *storePartition) read(from int64) []byte {
 	body := binary.BigEndian.AppendUint64(nil, uint64(p.end()))
 	body = binary.BigEndian.AppendUint64(body, uint64(p.firstOffset))
 	for _, record := range p.records[from-p.firstOffset:] {
@@ -287,17 +288,17 @@
 	query := r.URL.Query()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	part := s.part(query.Get("topic"), query.Get("part"))
+	p := s.partition(query.Get("topic"), query.Get("part"))
 	items := []newestItem{}
-	for key, offset := range part.newestOffsets {
+	for key, offset := range p.newestOffsets {
 		if key > query.Get("after") {
-			items = append(items, newestItem{key, base64.StdEncoding.EncodeToString(part.newestValues[key]), offset})
+			items = append(items, newestItem{key, base64.StdEncoding.EncodeToString(p.newestValues[key]), offset})
 		}
 	}
 	sort.Slice(items, func(a, b int) bool { return items[a].Key < items[b].Key })
 	hasMore := len(items) > newestPageSize
 	items = items[:min(len(items), newestPageSize)]
-	writeReply(w, http.StatusOK, map[string]any{"items": items, "has_more": hasMore, "end": part.end()})
+	writeReply(w, http.StatusOK, map[string]any{"items": items, "has_more": hasMore, "end": p.end()})
 }
 
 func writeReply(w http.ResponseWriter, status int, body any) {
--- a/standin/taskchecker.go
+++ b/standin/taskchecker.go
@@ -42,7 +42,7 @@
 }
 
 // checkZone records a violation if a task starts in an evacuated zone too late. Starts on
-// a worker whose orders may have been delayed are exempt. The caller holds l.mu.
+// a worker whose orders may have been delayed are exempt. The caller holds c.mu.
 func (c *TaskChecker) checkZone(w *TaskWorker, task string, run int) {
 	since, evacuated := c.evacuated[w.Zone]
 	if !evacuated || time.Since(since) <= c.evacuateWithin {
--- a/standin/taskrun.go
+++ b/standin/taskrun.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// LongRunFactor is the factor by which tasks run longer if their spec is "long".
+// LongRunFactor is the factor by which tasks run longer if their spec begins with "long".
 const LongRunFactor = 7
 
 // taskRun is a run of a task that executes on a worker.
@@ -38,11 +38,11 @@
 
 // taskEnd is an ended run that was not acknowledged yet.
 type taskEnd struct {
-	cursor int64
-	run    *taskRun
-	row    []any
-	seq    int64 // of the checker, when the run ended
-	lapsed bool  // the lease expired before an acknowledgement, so instances may have ignored the end
+	cursor  int64
+	run     *taskRun
+	row     []any
+	seq     int64 // of the checker, when the run ended
+	expired bool  // the lease expired before an acknowledgement, so instances may have ignored the end
 }
 
 // outcome returns the task's name and whether it ended as done.
--- a/standin/taskworker.go
+++ b/standin/taskworker.go
@@ -13,38 +13,38 @@
 )
 
 // TaskWorker is a stand-in of one worker of the users' platform that runs tasks under
-// leases. A task runs for RunTime and ends as done, or as failed if its spec is "fail".
-// A task whose spec is "long" runs LongRunFactor times as long, and one whose spec is "crash"
-// calls Crash on a separate goroutine. A TaskWorker is one incarnation of the worker: a
+// leases. A task runs for RunTime and ends as done, or as failed if its spec begins with
+// "fail". A task whose spec begins with "long" runs LongRunFactor times as long, and one
+// whose spec begins with "crash" calls Crash on a separate goroutine. A TaskWorker is one incarnation of the worker: a
 // worker that replaces it, under the same ID or another, is another TaskWorker.
 type TaskWorker struct {
-	ID           string
-	BornMS       int64 // start of this incarnation in Unix milliseconds; 0 to omit it from replies
-	RunTime      time.Duration
-	MaxLease     time.Duration // longest lease; 0 for no limit
-	ClockLag     float64       // fraction of time that the worker's clock loses
-	Crash        func()
-	Zone         string                        // availability zone
-	UndelayedFor func(span time.Duration) bool // reports that orders were not delayed for the span; nil for always
-	Checker      *TaskChecker                  // records starts and ends; nil for none
-	Gangs        *GangCoordinator              // of the fleet; nil if every task runs by itself
+	ID            string
+	BornMS        int64 // start of this incarnation in Unix milliseconds; 0 to omit it from replies
+	RunTime       time.Duration
+	MaxLease      time.Duration // longest lease; 0 for no limit
+	ClockSlowdown float64       // fraction of time that the worker's clock loses
+	Crash         func()
+	Zone          string                        // availability zone
+	UndelayedFor  func(span time.Duration) bool // reports whether no order was delayed during the last span, so that starts may be expected in time; nil for always
+	Checker       *TaskChecker                  // records starts and ends; nil for none
+	Gangs         *GangCoordinator              // of the fleet; nil if every task runs by itself
 
 	mu          sync.Mutex
 	halted      bool
 	startedAt   time.Time
-	fence       int64
+	fence       int64       // highest epoch of a term that sent an order
 	leaseUntil  int64       // expiry of the lease, by the worker's clock
 	leaseTimer  *time.Timer // nil before the first lease
-	lapsedRuns  int         // runs that ended when the lease expired, and ends unacknowledged at that time
+	expiredRuns int         // runs that ended when the lease expired, and ends unacknowledged at that time
 	running     map[string]*taskRun
 	highestRun  map[string]int // highest run number stopped or ended, by task
 	ends        []taskEnd
-	lastCursor  int64
+	lastCursor  int64 // number of the last end; ends are acknowledged up to a number
 	endsChanged chan struct{}
 	starts      map[string]int // by task
 	done        map[string]int // ends as done, by task
 	lostDone    map[string]int // ends as done that were lost with the worker unacknowledged, by task
-	strayAcks   int            // holds that acknowledged ends that this incarnation never had
+	strayAcks   int            // hold orders that acknowledged ends that this incarnation never had
 	router      *mux.Router
 }
 
@@ -111,8 +111,8 @@
 	return w.lostDone[task]
 }
 
-// StrayAcks returns how many holds acknowledged ends that this incarnation never had. Such
-// a hold is meant for another incarnation and would discard unread ends of this one.
+// StrayAcks returns how many hold orders acknowledged ends that this incarnation never had.
+// Such an order is meant for another incarnation and would discard unread ends of this one.
 func (w *TaskWorker) StrayAcks() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -133,24 +133,25 @@
 	return slices.Collect(maps.Keys(w.running))
 }
 
-// taskOrder is the body of every order.
+// taskOrder is the body of every order: start, stop, and hold, which renews the lease,
+// acknowledges ends and fetches the worker's report (a poll, for the instances).
 type taskOrder struct {
 	Task      string `json:"task"`
 	Run       int    `json:"run"`
 	Spec      string `json:"spec"`
 	UntilMS   int64  `json:"until_ms"`
-	Fence     int64  `json:"fence"`
+	Fence     int64  `json:"fence"` // epoch of the sender's term
 	AckCursor int64  `json:"ack_cursor"`
 	WaitMS    int64  `json:"wait_ms"`
 }
 
-// clockMS returns the time of the worker's clock, in milliseconds from its start.
+// clockMS returns the time of the worker's clock, in milliseconds from its start plus 1.
 func (w *TaskWorker) clockMS() int64 {
-	return int64(float64(time.Since(w.startedAt).Milliseconds())*(1-w.ClockLag)) + 1
+	return int64(float64(time.Since(w.startedAt).Milliseconds())*(1-w.ClockSlowdown)) + 1
 }
 
-// acceptOrder reads an order, checks its fence and extends the lease. On success it
-// returns with w.mu held.
+// acceptOrder reads an order, refuses it if its epoch is lower than one seen before, and
+// extends the lease. On success it returns with w.mu held.
 func (w *TaskWorker) acceptOrder(rw http.ResponseWriter, r *http.Request) (order taskOrder, ok bool) {
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		rw.WriteHeader(http.StatusBadRequest)
@@ -189,7 +190,7 @@
 
 // leaseRemaining converts the lease's remaining time from the worker's clock to real time.
 func (w *TaskWorker) leaseRemaining() time.Duration {
-	return time.Duration(float64(w.leaseUntil-w.clockMS())/(1-w.ClockLag)) * time.Millisecond
+	return time.Duration(float64(w.leaseUntil-w.clockMS())/(1-w.ClockSlowdown)) * time.Millisecond
 }
 
 // expireLease ends all runs, unless the lease was renewed meanwhile. A task whose end was
@@ -205,25 +206,28 @@
 		return
 	}
 	for i := range w.ends {
-		if !w.ends[i].lapsed {
-			w.ends[i].lapsed = true
-			w.lapsedRuns++
+		if !w.ends[i].expired {
+			w.ends[i].expired = true
+			w.expiredRuns++
 		}
 	}
 	for task, run := range w.running {
-		w.lapsedRuns++
+		w.expiredRuns++
 		w.endRun(task, run, "lapsed")
 	}
 }
 
-// LapsedRuns returns how many runs ended when their lease expired, or had ended and were not
+// ExpiredRuns returns how many runs ended when their lease expired, or had ended and were not
 // acknowledged before.
-func (w *TaskWorker) LapsedRuns() int {
+func (w *TaskWorker) ExpiredRuns() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lapsedRuns
+	return w.expiredRuns
 }
 
+// writeRefusal refuses an order. The reasons, as workers of the platform give them, are
+// fence (of a lower epoch), old (this or a later run of the task has ended or was stopped,
+// or another run of it is running) and late (there is no lease, or it has expired).
 func (w *TaskWorker) writeRefusal(rw http.ResponseWriter, reason string) {
 	writeReply(rw, http.StatusConflict, map[string]any{"clock_ms": w.clockMS(), "reason": reason})
 }
@@ -329,7 +333,7 @@
 	for _, end := range w.ends {
 		if end.cursor > order.AckCursor {
 			unacknowledged = append(unacknowledged, end)
-		} else if !end.lapsed {
+		} else if !end.expired {
 			for _, task := range end.completedTasks() {
 				w.Checker.recordAck(task, end.seq)
 			}
@@ -346,6 +350,8 @@
 		w.mu.Lock()
 	}
 	defer w.mu.Unlock()
+	// The columns of running are task, run, checkpoint, percent done and load, those of ended
+	// number, task, run, outcome and checkpoint.
 	running, ended := [][]any{}, [][]any{}
 	for task, run := range w.running {
 		running = append(running, []any{task, run.number, "", run.percentDone(), 0})
--- a/standin/taskworker_test.go
+++ b/standin/taskworker_test.go
@@ -48,7 +48,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := NewTaskWorker("w", time.Hour)
-				w.MaxLease, w.ClockLag = 6*time.Second, c.slow
+				w.MaxLease, w.ClockSlowdown = 6*time.Second, c.slow
 				status, _ := sendOrder(t, w, "/api/run-start", taskOrder{Task: "a", Run: 1, UntilMS: 1 + c.requested.Milliseconds()})
 				is.Equal(status, http.StatusOK)
 				status, _ = sendOrder(t, w, "/api/hold", taskOrder{UntilMS: 1000}) // a shorter lease
@@ -57,7 +57,7 @@
 				is.Equal(w.Running(), 1)
 				time.Sleep(20 * time.Millisecond)
 				is.Equal(w.Running(), 0)
-				is.Equal(w.LapsedRuns(), 1)
+				is.Equal(w.ExpiredRuns(), 1)
 				status, reason := sendOrder(t, w, "/api/run-start", taskOrder{Task: "b", Run: 1})
 				is.Equal(status, http.StatusConflict)
 				is.Equal(reason, "late")
--- a/structs/outcome.go
+++ b/structs/outcome.go
@@ -3,12 +3,12 @@
 import "time"
 
 // Outcome is the result of a submission. OutcomeNotRun is definite: it is used only
-// if nothing was sent or the upstream itself reported that it did not start.
+// if nothing was sent or the runner itself reported that it did not start.
 type Outcome string
 
 // Outcomes that are returned to callers.
 const (
-	// OutcomeRan means the upstream executed the request and its complete answer is known.
+	// OutcomeRan means the runner executed the request and its complete answer is known.
 	OutcomeRan Outcome = "ran"
 	// OutcomeNotRun means the request certainly did not execute.
 	OutcomeNotRun Outcome = "not_run"
@@ -23,7 +23,7 @@
 // Reason is the machine-readable cause of a refusal or delay.
 type Reason string
 
-// Reasons of refusals, as returned to callers and as recorded.
+// Reasons of refusals, as returned to callers and as recorded. An upstream is a runner.
 const (
 	ReasonNone                 Reason = ""
 	ReasonBadRequest           Reason = "bad_request"
--- a/structs/record.go
+++ b/structs/record.go
@@ -130,8 +130,9 @@
 	Detail  string  `json:"detail,omitempty"`
 }
 
-// Term makes one instance the leader. It is valid if Number is the current number
-// plus one.
+// Term makes one instance the leader. Number is the epoch of the term, and the Term field
+// of other records is the epoch under which they were appended. A Term is valid if Number
+// is the current epoch plus one.
 type Term struct {
 	Number int64  `json:"number"`
 	Leader string `json:"holder"`
--- a/targets/fold.go
+++ b/targets/fold.go
@@ -5,13 +5,13 @@
 )
 
 // Fold is the state that results from the operators' proposals. Every instance applies the
-// same stream in offset order. A proposal is accepted if it is based on the version in force
+// same stream in offset order. A proposal is accepted if it is based on the current version
 // and its document is valid, so of two racing proposals one is refused. The version never goes
 // down.
 type Fold struct {
 	NextOffset int64    // offset of the next proposal to apply
-	Version    int64    // version in force; 0 before the first
-	Document   string   // the document in force
+	Version    int64    // current version; 0 before the first
+	Document   string   // the current document
 	LastID     string   // identifier of the last accepted proposal
 	Targets    *Targets // the parsed document
 }
@@ -25,7 +25,7 @@
 type Decision struct {
 	Accepted bool
 	Reason   structs.Reason
-	Version  int64 // in force after the proposal
+	Version  int64 // current version after the proposal
 	Detail   string
 }
 
--- a/targets/targets.go
+++ b/targets/targets.go
@@ -1,6 +1,7 @@
 // Package targets reads and edits the operators' targets document: classes of work and the
 // target of each, workspaces and the capacity guaranteed to each, and evacuated availability
-// zones. Weights, priorities and addresses have no keys and are refused like any unknown key.
+// zones. By design, operators state nothing else: weights, priorities and addresses have no
+// keys and are refused like any unknown key.
 package targets
 
 import (
@@ -43,7 +44,7 @@
 	Idempotent   bool          // running twice is harmless
 }
 
-// Workspace is a customer and its guaranteed shapes, each adjacent in one rack.
+// Workspace is a customer and its guaranteed shapes, each within one rack.
 type Workspace struct {
 	Name      string
 	Guarantee []structs.Shape
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,5 +1,6 @@
-// Package upstream defines the interface to runners, the back ends that execute
-// requests. Adapters implement it.
+// Package upstream defines the interface to runners, the back ends that answer short
+// requests; "upstream" in reasons and texts means a runner. Workers, which run the tasks
+// of gangs, have the interface in package worker. Adapters implement it.
 package upstream
 
 import (
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,5 +1,7 @@
-// Package worker defines the interface to workers, the machines whose accelerators
-// run tasks under leases. Adapters implement it.
+// Package worker defines the interface to workers, the machines whose accelerators run
+// the tasks of gangs under leases. Runners, which answer short requests, have the interface
+// in package upstream. Adapters implement it. Term is the epoch of the sender's term in
+// every call.
 package worker
 
 import (
