--- a/standin/keyedstore.go
+++ b/standin/keyedstore.go
@@ -31,8 +31,8 @@
 
 // KeyedStore is an in-memory stand-in of the users' store, the service that keeps the
 // platform's log. Its topics consist of partitions (part on the wire), which hold keyed
-// records. The newest record of each key is retained, and
-// appends are fenced by a producer's epoch and sequence.
+// records. The newest record of each key is retained, and appends are fenced by a
+// producer's epoch and sequence.
 type KeyedStore struct {
 	mu         sync.Mutex
 	partitions map[string]*storePartition // by "topic/partition"
@@ -83,8 +83,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
-	for _, part := range s.partitions {
-		part.dropOldest(faults.Retain)
+	for _, p := range s.partitions {
+		p.dropOldest(faults.Retain)
 	}
 }
 
--- a/standin/taskworker.go
+++ b/standin/taskworker.go
@@ -15,8 +15,9 @@
 // TaskWorker is a stand-in of one worker of the users' platform that runs tasks under
 // leases. A task runs for RunTime and ends as done, or as failed if its spec begins with
 // "fail". A task whose spec begins with "long" runs LongRunFactor times as long, and one
-// whose spec begins with "crash" calls Crash on a separate goroutine. A TaskWorker is one incarnation of the worker: a
-// worker that replaces it, under the same ID or another, is another TaskWorker.
+// whose spec begins with "crash" calls Crash on a separate goroutine. A TaskWorker is one
+// incarnation of the worker: a worker that replaces it, under the same ID or another, is
+// another TaskWorker.
 type TaskWorker struct {
 	ID            string
 	BornMS        int64 // start of this incarnation in Unix milliseconds; 0 to omit it from replies
@@ -24,10 +25,12 @@
 	MaxLease      time.Duration // longest lease; 0 for no limit
 	ClockSlowdown float64       // fraction of time that the worker's clock loses
 	Crash         func()
-	Zone          string                        // availability zone
-	UndelayedFor  func(span time.Duration) bool // reports whether no order was delayed during the last span, so that starts may be expected in time; nil for always
-	Checker       *TaskChecker                  // records starts and ends; nil for none
-	Gangs         *GangCoordinator              // of the fleet; nil if every task runs by itself
+	Zone          string // availability zone
+	// UndelayedFor reports whether no order to the worker was delayed during the last span.
+	// Only then does Checker report a start in an evacuated zone. Nil means always.
+	UndelayedFor func(span time.Duration) bool
+	Checker      *TaskChecker     // records starts and ends; nil for none
+	Gangs        *GangCoordinator // of the fleet; nil if every task runs by itself
 
 	mu          sync.Mutex
 	halted      bool
