--- a/command/command.go
+++ b/command/command.go
@@ -1,4 +1,6 @@
-// Package command implements the command line, with one file per subcommand.
+// Package command implements the command line, with one file per subcommand. The subcommand
+// serve runs an instance of the product's own interface (package instance), and front runs
+// one on the users' platform (package batch).
 package command
 
 import (
