--- a/batch/adaptivetimeout.go
+++ b/batch/adaptivetimeout.go
@@ -19,13 +19,13 @@
 	latencyWeight = 0.3
 )
 
-// adaptiveTimeout derives the timeout of calls from the latency of earlier ones. Each lost answer
-// doubles the timeout, as the store may have become slow.
+// adaptiveTimeout derives the timeout of calls from the latency of earlier ones. Each unanswered
+// call doubles the timeout, as the store may have become slow.
 type adaptiveTimeout struct {
-	minimum           time.Duration // of a call; 0 for minCallTimeout
-	lock              sync.Mutex
-	latency           time.Duration
-	consecutiveLosses int // lost answers since the last one that arrived
+	minimum               time.Duration // of a call; 0 for minCallTimeout
+	lock                  sync.Mutex
+	latency               time.Duration
+	consecutiveUnanswered int // unanswered calls since the last answer
 }
 
 // current returns the timeout of the next call.
@@ -37,7 +37,7 @@
 		minimum = minCallTimeout
 	}
 	timeout := max(minimum, timeoutFactor*t.latency)
-	for range t.consecutiveLosses {
+	for range t.consecutiveUnanswered {
 		timeout = min(maxCallTimeout, 2*timeout)
 	}
 	return min(maxCallTimeout, timeout)
@@ -48,20 +48,20 @@
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.latency += time.Duration(latencyWeight * float64(latency-t.latency))
-	t.consecutiveLosses = 0
+	t.consecutiveUnanswered = 0
 }
 
-// currentIgnoringLosses returns the timeout without regard to lost answers, for calls to many
-// servers, because some of them may never answer.
-func (t *adaptiveTimeout) currentIgnoringLosses() time.Duration {
+// currentIgnoringUnanswered returns the timeout without regard to unanswered calls, for calls to
+// many servers, because some of them may never answer.
+func (t *adaptiveTimeout) currentIgnoringUnanswered() time.Duration {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return min(maxCallTimeout, max(t.minimum, timeoutFactor*t.latency))
 }
 
-// recordLoss records that no answer arrived in time.
-func (t *adaptiveTimeout) recordLoss() {
+// recordUnanswered records that no answer arrived in time.
+func (t *adaptiveTimeout) recordUnanswered() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	t.consecutiveLosses++
+	t.consecutiveUnanswered++
 }
--- a/batch/batch_test.go
+++ b/batch/batch_test.go
@@ -54,14 +54,14 @@
 	is := is.New(t)
 	var timeout adaptiveTimeout
 	is.Equal(timeout.current(), minCallTimeout)
-	timeout.recordLoss()
+	timeout.recordUnanswered()
 	is.Equal(timeout.current(), 2*minCallTimeout)
 	for range 20 {
 		timeout.observe(300 * time.Millisecond)
 	}
 	is.True(timeout.current() > time.Second) // four times the usual answer time
 	for range 9 {
-		timeout.recordLoss()
+		timeout.recordUnanswered()
 	}
 	is.Equal(timeout.current(), maxCallTimeout)
 }
--- a/batch/bounds.go
+++ b/batch/bounds.go
@@ -24,7 +24,7 @@
 
 // bounds holds the bounds in force at an instance. While other instances may use previous bounds,
 // it requests the shortest lease and assumes the longest as granted, so that no instance treats a
-// lease as lapsed that another has requested.
+// lease as expired that another has requested.
 type bounds struct {
 	lock          sync.Mutex
 	current       Bounds
@@ -96,7 +96,7 @@
 		EvacuationTimeout:   current.EvacuationTimeout,
 		LostLeaderTimeout:   leaderGiveUpTimeout,
 		ReleasedTermTimeout: handOverTimeout,
-		// A delegate may keep driving workers for an ended leader until its grant expires.
+		// A delegate may dispatch to workers for an ended leader until its grant expires.
 		ExitedLeaderTimeout: grantDuration,
 	}
 }
--- a/batch/bounds_test.go
+++ b/batch/bounds_test.go
@@ -19,7 +19,7 @@
 )
 
 // Instances read a changed settings file at different times. Until all have, no instance may treat
-// a lease as lapsed that another requested under the previous or the new bounds.
+// a lease as expired that another requested under the previous or the new bounds.
 func TestLeasesHoldWhileInstancesDifferInTheirBounds(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -45,7 +45,7 @@
 			}
 			newest := c.leases[len(c.leases)-1]
 			is.Equal(b.latest().MaxLease, newest)
-			// The last lease that another instance requested under the previous bounds has not lapsed yet.
+			// The last lease that another instance requested under the previous bounds has not expired yet.
 			lastMoment := now.Add(boundsPropagationTime + placing.LeaseExpiry(longLease) - time.Millisecond)
 			for _, at := range []time.Time{now, lastMoment} {
 				is.Equal(b.leaseToRequest(at), c.requestedLease)
@@ -66,13 +66,13 @@
 	link.recordAnswer(1)
 	now := link.env.clock.Now()
 	link.extendLease(now)
-	grantedLapse := link.leaseLapse()
+	grantedLapse := link.leaseExpiry()
 	link.env.bounds.update(Bounds{MaxLease: shortLease}, now)
 	link.extendLease(now.Add(100 * time.Millisecond))
-	is.Equal(link.leaseLapse(), grantedLapse)
+	is.Equal(link.leaseExpiry(), grantedLapse)
 	later := now.Add(3 * time.Second)
 	link.extendLease(later)
-	is.Equal(link.leaseLapse(), later.Add(placing.LeaseExpiry(shortLease)))
+	is.Equal(link.leaseExpiry(), later.Add(placing.LeaseExpiry(shortLease)))
 }
 
 // The leader applies changed bounds within its term: ended jobs are retained for as long as the
--- a/batch/calls.go
+++ b/batch/calls.go
@@ -34,7 +34,7 @@
 	// store. Outages last three to seven seconds, and callers retry four times.
 	storeDownRetryAfter = time.Second
 	// isolatedRetryAfter is returned by an instance that reaches neither the store nor the other
-	// instances. Those are likely to be better off, and urgent jobs have a second to spare.
+	// instances. Those are likely to be better off, and urgent jobs tolerate a delay of a second.
 	isolatedRetryAfter = 100 * time.Millisecond
 	// earlyOutageRetryAfter replaces storeDownRetryAfter in the first earlyOutageDuration of an
 	// outage, for jobs that are not urgent: their objective leaves time, and four retries a second
--- a/batch/claim.go
+++ b/batch/claim.go
@@ -36,7 +36,7 @@
 	return err.Error()
 }
 
-// leaderDuty claims the term when it is vacant and leads while this instance holds it.
+// leaderDuty claims the term when it is vacant and leads while this instance has it.
 func (i *Instance) leaderDuty(ctx context.Context) {
 	e := newElection(i.settings.Name, i.identity, claimDelay(i.nameHash, i.settings.CPUShare))
 	takeover := &stallTakeover{instance: i}
--- a/batch/commit.go
+++ b/batch/commit.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// statePart is the part of the work stream with the term and the job states. The leader writes
-	// it and every instance reads it.
+	// statePart is the part (partition) of the work stream with the term and the job states. The
+	// leader writes it and every instance reads it.
 	statePart = 0
 	// maxCallParts bounds the number of parts for callers' records. The store processes one append
 	// of a part at a time, which takes 0.3 s while it is slow. Each part adds one more long read
 	// on every instance.
 	maxCallParts = 6
-	// commitQueueSize bounds the records that wait to be appended. With groups of up to
-	// maxCommitGroup at 4 ms each, a full queue is half a second of work.
+	// commitQueueSize bounds the records that wait to be appended: 8 groups of maxCommitGroup. An
+	// append usually takes 4 ms, so a full queue is written in some 32 ms.
 	commitQueueSize = 512
 	maxCommitGroup  = 64
 	// maxCommitAttempts bounds how often a group is sent. Appending its records twice is harmless.
@@ -32,13 +32,15 @@
 	// unreachable one.
 	readBackTimeout = 600 * time.Millisecond
 	// slowReadThreshold is the duration of a read-back from which the store counts as slow.
-	// Appends of a part then wait for each other for up to two seconds, so the committer waits
-	// until slowStoreTimeout and sends nothing again: with repeats after 0.6 s the parts were full
-	// for six seconds, and 161 of some 280 submissions got no definite answer.
+	// Appends of a part then wait for each other for up to two seconds, so the committer waits for
+	// an answer until slowStoreTimeout before it sends a group again. Sending it again after 0.6 s
+	// filled the store's queues for six seconds, and 161 of some 280 submissions got no definite
+	// answer.
 	slowReadThreshold = 60 * time.Millisecond
 	slowStoreTimeout  = 2500 * time.Millisecond
 	// maxUnresolvedGroups bounds the unresolved groups of a part; beyond it new records are refused at
-	// once. A group stays unresolved for three seconds at most, and the next is sent after 0.6 s.
+	// once. While the store does not answer, the next group is sent 0.6 s (overtakeDelay) after the
+	// last, and a group is resolved for three seconds more at most (maxResolveTime): six at a time.
 	maxUnresolvedGroups = 8
 )
 
@@ -87,8 +89,8 @@
 // readBackFunc reads the log and reports whether it contains all of the records.
 type readBackFunc func(ctx context.Context, records []jobs.Record) (found bool, err error)
 
-// errStoreUnreachable reports that neither an append nor a read-back was answered: the store is
-// down or this instance is cut off from it.
+// errStoreUnreachable reports that neither an append nor a read-back of the log was answered: the
+// store is down or this instance is cut off from it.
 var errStoreUnreachable = eris.Wrap(ErrResultUnknown, "the store is out of reach")
 
 // committer appends the records of this instance's callers in groups.
@@ -101,7 +103,7 @@
 	timeout          adaptiveTimeout
 	unresolvedGroups atomic.Int32 // groups sent or being resolved
 	storeSlow        atomic.Bool  // according to the newest read-back
-	unknownAt        atomic.Int64 // boot time in nanoseconds of the last append with an unknown outcome
+	unknownAt        atomic.Int64 // time on clock, in nanoseconds, of the last append with an unknown outcome
 }
 
 func newCommitter(store Store, clock *Clock, part int) *committer {
@@ -146,9 +148,9 @@
 			continue
 		}
 		c.unresolvedGroups.Add(1)
-		overtaken := make(chan struct{})
-		go c.sendGroup(ctx, group, overtaken)
-		<-overtaken
+		nextMayBeSent := make(chan struct{})
+		go c.sendGroup(ctx, group, nextMayBeSent)
+		<-nextMayBeSent
 	}
 }
 
@@ -201,7 +203,7 @@
 	go func() { answer <- c.store.Append(ctx, c.part, records, nil) }()
 	err := c.awaitAnswer(ctx, answer, records, limit)
 	if errors.Is(err, ErrResultUnknown) {
-		c.timeout.recordLoss()
+		c.timeout.recordUnanswered()
 		return err
 	}
 	c.timeout.observe(c.clock.Now().Sub(sent))
--- a/batch/delegation.go
+++ b/batch/delegation.go
@@ -21,16 +21,17 @@
 	// lease, so the dispatcher that takes over finds all runs still running.
 	grantDuration = 2 * time.Second
 	// sendDelay batches answers that arrive together into one message: a message costs about as
-	// much CPU as ten more entries in it, and urgent work has a second to spare.
+	// much CPU as ten more entries in it. Urgent work tolerates a delay of a second.
 	sendDelay = 5 * time.Millisecond
-	// loadTimeout is how long a session waits for this instance to read the log. It is shorter
-	// than the silence that the leader tolerates. loadCheckInterval is the polling interval.
+	// loadTimeout is how long a new session waits until this instance has loaded the work stream,
+	// which contains the term. It is shorter than delegateTimeout, after which the leader gives
+	// the session up. loadCheckInterval is the polling interval.
 	loadTimeout       = time.Second
 	loadCheckInterval = 20 * time.Millisecond
 )
 
-// delegation is a session in which this instance drives the links to some workers on behalf
-// of the leader of a term.
+// delegation is a session in which this instance is a delegate: it dispatches to some workers on
+// behalf of the leader of a term. Messages and logs keep the names keep, kept, keeper and keeping.
 type delegation struct {
 	clock  *Clock
 	log    *logrus.Entry
@@ -48,7 +49,8 @@
 	workerCount int
 }
 
-// ServeDelegation serves a session opened by the leader of a term, until the session ends.
+// ServeDelegation serves a session opened by the leader of a term, until the session ends. The
+// log calls the leader the holder (of the term).
 func (i *Instance) ServeDelegation(ctx context.Context, request *relaypb.Keep, stream *relay.Stream) {
 	log := i.log.WithField("epoch", request.Epoch).WithField("holder", request.Holder)
 	i.awaitLoaded(ctx)
@@ -70,8 +72,8 @@
 	log.Info("keeping_ended")
 }
 
-// awaitLoaded waits up to loadTimeout until this instance has read the terms. After a loss of
-// all instances, many are called while they are still reading.
+// awaitLoaded waits up to loadTimeout until this instance has loaded the work stream. After a loss
+// of all instances, many are called while they are still reading.
 func (i *Instance) awaitLoaded(ctx context.Context) {
 	for begin := i.clock.Now(); !i.work.isLoaded() && i.clock.Now().Sub(begin) < loadTimeout; {
 		if !logstream.Sleep(ctx, loadCheckInterval) {
@@ -138,23 +140,24 @@
 	}
 }
 
+// execute executes an order of the leader. Watch adds a worker and Forget removes it.
 func (d *delegation) execute(order *relaypb.Order) {
 	switch body := order.Body.(type) {
 	case *relaypb.Order_Watch:
 		d.links.addWorker(workerFromPB(body.Watch))
 	case *relaypb.Order_Release:
-		d.links.release(body.Release, func(lapseAt time.Time) {
+		d.links.release(body.Release, func(expiry time.Time) {
 			d.outbox.forget(body.Release)
-			d.outbox.put(release{worker: body.Release, lapseAt: lapseAt})
+			d.outbox.put(release{worker: body.Release, expiry: expiry})
 		})
 	case *relaypb.Order_Forget:
 		d.links.removeWorker(body.Forget)
 		d.outbox.forget(body.Forget)
 	case *relaypb.Order_Start:
-		d.outbox.recordOrder(body.Start.Run.GetWorker(), d.clock.Now())
+		d.outbox.recordActivity(body.Start.Run.GetWorker(), d.clock.Now())
 		d.links.start(startFromPB(body.Start), body.Start.Open)
 	case *relaypb.Order_Stop:
-		d.outbox.recordOrder(body.Stop.GetWorker(), d.clock.Now())
+		d.outbox.recordActivity(body.Stop.GetWorker(), d.clock.Now())
 		d.links.stop(stopFromPB(body.Stop))
 	case *relaypb.Order_Pace:
 		d.links.pace(paceFromPB(body.Pace))
@@ -167,9 +170,9 @@
 func (d *delegation) report(_ context.Context, answer event) {
 	switch answer := answer.(type) {
 	case startReply:
-		d.outbox.recordOrder(answer.worker, d.clock.Now())
+		d.outbox.recordActivity(answer.worker, d.clock.Now())
 	case stopReply:
-		d.outbox.recordOrder(answer.worker, d.clock.Now())
+		d.outbox.recordActivity(answer.worker, d.clock.Now())
 	case termFencedEvent:
 		d.fence()
 		return
@@ -177,7 +180,8 @@
 	d.outbox.put(answer)
 }
 
-// fence ends the session because a later term has been observed.
+// fence marks the session as ended by a later term. sendLoop reports that to the leader with the
+// next message and ends the session.
 func (d *delegation) fence() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -231,11 +235,13 @@
 	}
 }
 
-// nextMessage returns the next message to the leader.
+// nextMessage returns the next message to the leader. Lives says that this version distinguishes
+// incarnations of a worker.
 func (d *delegation) nextMessage(draining bool) *relaypb.Kept {
 	now := d.clock.Now()
 	message := &relaypb.Kept{Clock: now.UnixNano(), Draining: draining, Fenced: d.isFenced(), Lives: true}
 	d.lock.Lock()
+	// Added to a time of this instance's clock, the offset gives that of the leader's clock.
 	clockOffset := time.Duration(d.leaderClock - d.receivedAt.UnixNano())
 	d.lock.Unlock()
 	for _, answer := range d.outbox.take() {
@@ -290,7 +296,7 @@
 	delete(ds.active, d)
 }
 
-// workerCount returns the number of workers that this instance drives for leaders.
+// workerCount returns the number of workers that this instance dispatches to for leaders.
 func (ds *delegations) workerCount() int {
 	ds.lock.Lock()
 	defer ds.lock.Unlock()
--- a/batch/delegation_test.go
+++ b/batch/delegation_test.go
@@ -64,7 +64,7 @@
 	}
 	is.Equal(put(0, 0), 1)
 	is.Equal(put(2000, 0), 0)
-	box.recordOrder("w", at(3000))
+	box.recordActivity("w", at(3000))
 	is.Equal(put(2900, 0), 1) // requested before the order, so it does not reflect it
 	is.Equal(put(3100, 0), 1)
 	is.Equal(put(4100, 0), 1) // after this one the leader knows that the order was answered
@@ -98,7 +98,7 @@
 }
 
 // Times in reports never lead to a conclusion too early: a hold counts as sent no later than it was,
-// and a lease as lapsed no earlier.
+// and a lease as expired no earlier.
 func TestTimesOfReportsAreOnTheSafeSide(t *testing.T) {
 	is := is.New(t)
 	transit := 30 * time.Millisecond // of a message
@@ -107,14 +107,14 @@
 	now := testNow.Add(clockLead + transit)
 	d.clock.readTime = func() time.Time { return now }
 	d.renewGrant(&relaypb.Orders{Clock: testNow.UnixNano(), Echo: 1})
-	sent, lapse := now.Add(time.Second), now.Add(7*time.Second)
-	d.outbox.put(holdReply{worker: "w", sent: sent, lapseAt: lapse, report: HoldReport{Running: make([]placing.RunningTask, 1)}})
+	sent, expiry := now.Add(time.Second), now.Add(7*time.Second)
+	d.outbox.put(holdReply{worker: "w", sent: sent, expiry: expiry, report: HoldReport{Running: make([]placing.RunningTask, 1)}})
 	now = now.Add(2 * time.Second)
 	message := d.nextMessage(false)
 	receivedAt := now.Add(transit - clockLead) // on the leader's clock
 	report := reportFromPB(message.Reports[0], receivedAt)
 	is.True(!report.sent.After(sent.Add(-clockLead)))
 	is.True(report.sent.After(sent.Add(-clockLead - 2*transit)))
-	is.True(!report.lapseAt.Before(lapse.Add(-clockLead)))
-	is.True(report.lapseAt.Before(lapse.Add(2*transit - clockLead)))
+	is.True(!report.expiry.Before(expiry.Add(-clockLead)))
+	is.True(report.expiry.Before(expiry.Add(2*transit - clockLead)))
 }
--- a/batch/dispatchers.go
+++ b/batch/dispatchers.go
@@ -11,8 +11,9 @@
 )
 
 const (
-	// minSessionBackoff is the backoff of an instance after its session ended. It doubles up to
-	// maxSessionBackoff while its sessions last no longer than that.
+	// minSessionBackoff is how long no session with an instance is opened after one ended or could
+	// not be opened. The backoff doubles up to maxSessionBackoff, and starts over with
+	// minSessionBackoff if the next session ends maxSessionBackoff or more after the last backoff.
 	minSessionBackoff = 3 * time.Second
 	maxSessionBackoff = 30 * time.Second
 	// sessionOpenWait is how long a worker waits for sessions that are being opened before an open
@@ -22,14 +23,16 @@
 	// capacityWait replaces sessionOpenWait while all open sessions have full shards: other
 	// instances are starting, as after a loss of all instances.
 	capacityWait = time.Second
-	// avoidDuration is how long a worker is not assigned to an instance that it did not answer; it
+	// avoidDuration is how long a worker is not assigned to an instance that it did not answer. It
 	// may answer another instance if only the network path is cut.
 	avoidDuration = 8 * time.Second
 	// idleAssignInterval is the interval between assignment passes while nothing changes.
 	idleAssignInterval = 500 * time.Millisecond
 )
 
-// workerEvent is an answer or a report about one worker.
+// workerEvent is an answer or a report about one worker: the answer to a poll (holdReply) or the
+// lack of one (holdFailure), to a start, a stop, a speed limit (paceReply) or a release of the worker
+// by its dispatcher, or the news of another incarnation.
 type workerEvent interface {
 	event
 	workerID() string
@@ -43,12 +46,12 @@
 func (s stopReply) workerID() string         { return s.worker }
 func (p paceReply) workerID() string         { return p.pace.Worker }
 
-// dispatcher carries out the leader's orders to workers: the leader's own set of links, or a
+// dispatcher dispatches the leader's orders to workers. It is the leader's own set of links, or a
 // session with a delegate.
 type dispatcher interface {
 	addWorker(entry placing.WorkerEntry)
 	removeWorker(worker string)
-	start(order placing.Start, maybeSent bool) // maybeSent: another dispatcher may have sent it
+	start(order placing.Start, maybeSent bool) // maybeSent: another dispatcher may have sent it; Start.Open in messages
 	stop(order placing.Stop)
 	pace(order placing.Pace)
 	acknowledge(worker string, number int64)
@@ -63,8 +66,8 @@
 
 	unassignedSince time.Time // time since which the worker has had no dispatcher
 	avoidUntil      time.Time
-	minLapse        time.Time                  // leases there do not count as lapsed earlier, whatever the current dispatcher reports
-	pendingStarts   map[startKey]placing.Start // starts sent and not answered
+	minExpiry       time.Time                  // no lease there counts as expired before, as an earlier dispatcher may have renewed it
+	pendingStarts   map[startKey]placing.Start // starts not answered yet, sent or not
 }
 
 // assignmentState is the state of a worker's assignment; only an assigned worker gets orders.
@@ -80,7 +83,8 @@
 const ownInstance = ""
 
 // dispatchers routes the leader's orders to workers: over its own links or, in large deployments,
-// through delegates that each drive a shard of the workers. The leader's loop calls its methods.
+// through delegates that each dispatch to a shard of the workers. A delegate sends orders only
+// while it has a grant, which each message of the leader renews. The leader's loop calls the methods.
 type dispatchers struct {
 	leader         *leader
 	ownLinks       *linkSet
@@ -224,18 +228,19 @@
 	}
 }
 
-// effectiveLapse returns when all leases at a worker have lapsed, given the time that its current
+// effectiveExpiry returns when all leases at a worker have expired, given the time that its current
 // dispatcher reports: a previous dispatcher may have renewed later.
-func (d *dispatchers) effectiveLapse(worker string, lapseAt time.Time) time.Time {
+func (d *dispatchers) effectiveExpiry(worker string, expiry time.Time) time.Time {
 	w := d.workers[worker]
-	if w == nil || lapseAt.IsZero() || lapseAt.After(w.minLapse) {
-		return lapseAt
+	if w == nil || expiry.IsZero() || expiry.After(w.minExpiry) {
+		return expiry
 	}
-	return w.minLapse
+	return w.minExpiry
 }
 
-// recordSilence records that a worker does not answer its dispatcher. The worker is assigned to
-// another instance once, because only the network path between them may be cut.
+// recordSilence records that a worker does not answer its delegate. The next assignment pass moves
+// it to another instance, because only the network path between them may be cut. That happens at
+// most once per avoidDuration.
 func (d *dispatchers) recordSilence(worker string, now time.Time) {
 	w := d.workers[worker]
 	if w == nil || w.instance == ownInstance || w.state != assigned || now.Before(w.avoidUntil) {
@@ -246,8 +251,9 @@
 	d.changed = true
 }
 
-// endSession reassigns the workers of an ended session. Orders sent through it may have been
-// executed, and the instance may keep renewing leases until its grant expires.
+// endSession ends a session, which may not have opened yet, and reassigns its workers. Orders sent
+// through it may have been executed, and the delegate may renew leases until its grant expires. The
+// log and the metric call the delegate a keeper.
 func (d *dispatchers) endSession(s *session, reason string, now time.Time) {
 	s.cancel()
 	if !d.isCurrent(s) {
@@ -258,15 +264,15 @@
 	d.leader.log.WithField("keeper", s.name).WithField("workers", s.workers).WithField("reason", reason).Warn("keeper_lost")
 	d.leader.instance.metrics.count("sharing.keeper_lost")
 	d.backOff(s.name, now)
-	minLapse := now.Add(grantDuration + placing.LeaseExpiry(d.leader.instance.bounds.maxGrantedLease(now)))
+	minExpiry := now.Add(grantDuration + placing.LeaseExpiry(d.leader.instance.bounds.maxGrantedLease(now)))
 	for id, w := range d.workers {
 		if w.instance != s.name || w.state == unassigned {
 			continue
 		}
 		w.state = unassigned
 		w.unassignedSince = now
-		w.minLapse = minLapse
-		d.leader.engine.WorkerUnreachable(id, minLapse, now)
+		w.minExpiry = minExpiry
+		d.leader.engine.WorkerUnreachable(id, minExpiry, now)
 	}
 }
 
@@ -304,17 +310,17 @@
 	}
 }
 
-// release reports that an instance no longer dispatches to a worker and has no calls to it
-// under way.
+// release is the answer to a release order: an instance no longer dispatches to a worker and has
+// no calls to it in flight.
 type release struct {
-	worker  string
-	lapseAt time.Time // when all leases there lapse unless renewed
+	worker string
+	expiry time.Time // when all leases there expire unless renewed
 }
 
-func (r release) apply(l *leader, now time.Time) { l.dispatchers.unassign(r.worker, r.lapseAt, now) }
+func (r release) apply(l *leader, now time.Time) { l.dispatchers.unassign(r.worker, r.expiry, now) }
 
 // unassign records that an instance has released a worker.
-func (d *dispatchers) unassign(worker string, lapseAt, now time.Time) {
+func (d *dispatchers) unassign(worker string, expiry, now time.Time) {
 	w := d.workers[worker]
 	if w == nil || w.state != releasing {
 		return
@@ -324,8 +330,8 @@
 	}
 	w.state = unassigned
 	w.unassignedSince = now
-	if lapseAt.After(w.minLapse) {
-		w.minLapse = lapseAt
+	if expiry.After(w.minExpiry) {
+		w.minExpiry = expiry
 	}
 	d.changed = true
 }
--- a/batch/election.go
+++ b/batch/election.go
@@ -113,7 +113,7 @@
 // heldByFormerIncarnation reports whether the leader was a former incarnation of this instance.
 func (e *election) heldByFormerIncarnation() bool { return leaderName(e.term) == e.name }
 
-// leaderName returns the name of the instance that holds a term; empty if none does.
+// leaderName returns the name of the instance that leads in a term; empty if none does.
 func leaderName(term jobs.Term) string {
 	name, _, _ := strings.Cut(term.Leader, "/")
 	return name
--- a/batch/evacuation_test.go
+++ b/batch/evacuation_test.go
@@ -174,8 +174,8 @@
 	return count
 }
 
-// inZonedFleet runs a test with few workers, driven by the leader, and with many, driven by
-// delegates.
+// inZonedFleet runs a test with few workers, to which the leader dispatches, and with many, to
+// which delegates dispatch.
 func inZonedFleet(t *testing.T, test func(f *testFleet, is *is.I, workers int)) {
 	withAndWithoutDelegates(t, func(f *testFleet, is *is.I, workers int) {
 		f.leader.instance.decoder = zoneDecoder{}
--- a/batch/fencedappend.go
+++ b/batch/fencedappend.go
@@ -62,7 +62,7 @@
 	}()
 	err := p.awaitAnswer(answer, records)
 	if errors.Is(err, ErrResultUnknown) {
-		p.timeout.recordLoss()
+		p.timeout.recordUnanswered()
 		return err
 	}
 	p.timeout.observe(p.clock.Now().Sub(sent))
--- a/batch/follower.go
+++ b/batch/follower.go
@@ -29,8 +29,8 @@
 	stateReadWait = 600 * time.Millisecond
 	// leaderCallReadWait is how long the leader's reads wait for callers' records. The store may
 	// miss a record for a read that arrives while it is being appended (seen in two of a hundred
-	// submissions). The job is then read at the end of the wait; urgent jobs have a second to
-	// spare.
+	// submissions). The job is then read at the end of the wait; urgent jobs tolerate a
+	// delay of a second.
 	leaderCallReadWait = 400 * time.Millisecond
 	// callReadWait is how long reads wait for callers' records on instances that are not the
 	// leader. Requests trigger a read at once, so a silent connection delays nothing.
--- a/batch/instance.go
+++ b/batch/instance.go
@@ -70,15 +70,15 @@
 	foldLock      sync.Mutex
 	committers    []*committer // by part, starting at the first one for callers' records
 	peers         *peers
-	delegations   delegations // sessions in which this instance drives workers for the leader
+	delegations   delegations // sessions in which this instance is a delegate of the leader
 	eventLog      *eventLog
 
 	draining       atomic.Bool
 	leading        atomic.Bool
 	shardingStatus atomic.Pointer[ShardingStatus] // nil unless this instance is the leader
-	readFailedAt   atomic.Int64                   // boot time in nanoseconds of the newest failed read of any stream
+	readFailedAt   atomic.Int64                   // time on clock, in nanoseconds, of the newest failed read of any stream
 	claimEpoch     atomic.Int64                   // epoch of the leader that requested a claim of its term
-	stalledAt      atomic.Int64                   // boot time in nanoseconds when this instance, as leader, last failed to write progress
+	stalledAt      atomic.Int64                   // time on clock, in nanoseconds, when this instance, as leader, last failed to write progress
 	handOver       chan struct{}                  // closed when the term is to be handed over
 	lastClaim      jobs.Term                      // last term that this process claimed
 	claimSequence  int64
@@ -218,7 +218,8 @@
 
 func (i *Instance) randomSequence() int64 { return rand.Int64N(1 << 40) }
 
-// Start runs the duties and returns at once.
+// Start runs the duties and returns at once. The log field "holder" is the name under which this
+// instance would hold the term.
 func (i *Instance) Start() {
 	i.kernel.Start()
 	i.log.WithField("holder", i.identity).Info("instance_started")
--- a/batch/interfaces.go
+++ b/batch/interfaces.go
@@ -26,7 +26,7 @@
 // Stream names a stream of keyed records.
 type Stream string
 
-// Streams that an instance reads. It writes only to StreamWork, which has several parts: the store
+// Streams that an instance reads. It writes only to StreamWork, which has several parts, its partitions: the store
 // executes the appends to a part one at a time, and those of callers and of the leader must not
 // wait for each other.
 const (
@@ -35,7 +35,8 @@
 	StreamWorkers  Stream = "workers"  // entries written by the workers
 )
 
-// Fence makes an append conditional: the store refuses it once a higher epoch has written, and
+// Fence makes an append conditional: the store refuses it once a term with a higher epoch has
+// written, and
 // writes a repeat of the same sequence number only once.
 type Fence struct {
 	Epoch    int64
@@ -49,7 +50,7 @@
 	NextOffset int64 // offset of the next read
 }
 
-// Store is the platform's store of keyed records. Its methods may be called concurrently, and
+// Store is the service of the platform that keeps the log: streams of keyed records. Its methods may be called concurrently, and
 // each call ends with its context.
 type Store interface {
 	// Append adds records to a part of StreamWork, all or none. A nil fence sets no condition.
@@ -151,8 +152,9 @@
 	Epoch   int64
 }
 
-// HoldOrder renews the lease of everything that runs on a worker, lets it forget its ends up to
-// Ack, and requests a report of its runs and ends.
+// HoldOrder polls a worker: it renews the lease of everything that runs there, lets the worker
+// forget its ends up to Ack, and requests a report of its runs and ends. Hold is the users'
+// platform's name of the call.
 type HoldOrder struct {
 	LeaseUntilMS int64 // on the worker's clock; 0 renews nothing
 	Epoch        int64
--- a/batch/leader.go
+++ b/batch/leader.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// eventQueueSize bounds the events that wait for the leader's loop. A worker has a hold and a
-	// few orders in flight at a time.
+	// eventQueueSize bounds the events that wait for the leader's loop. A worker has a hold (a poll) and
+	// a few orders in flight at a time.
 	eventQueueSize = 1024
 	// tickInterval is how often the loop runs when nothing happens. It limits the precision of due
-	// times and lapses.
+	// times and expiries.
 	tickInterval = 50 * time.Millisecond
 	// prepareTimeout bounds the work before the first scheduling pass: an append and the reading of
 	// all progress. A leader that cannot finish in that time gives the term up.
--- a/batch/link.go
+++ b/batch/link.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// holdWait is how long a worker may keep a hold call open while it waits for an end. Workers
-	// allow two seconds. A lease of six seconds outlasts three such calls.
+	// holdWait is how long a worker may keep a hold call open while it waits for an end. A hold is
+	// the users' platform's name of a poll, see HoldOrder. Workers allow two seconds. A lease of six seconds outlasts three such calls.
 	holdWait = 1900 * time.Millisecond
 	// holdMargin is added to the wait of a hold before the call times out.
 	holdMargin = 600 * time.Millisecond
@@ -31,7 +31,8 @@
 	minStartLease = 3 * time.Second
 )
 
-// link is the connection to one worker. It renews leases, receives ends and sends orders.
+// link is the connection to one worker. It polls the worker, which renews its leases and fetches its
+// report, and sends orders.
 type link struct {
 	env    *linkEnv
 	ctx    context.Context
@@ -46,7 +47,7 @@
 	workerClockMS int64 // clock of the worker at workerClockAt; 0 while unknown
 	workerClockAt time.Time
 	leaseUntilMS  int64     // granted lease, on the worker's clock
-	lapseAt       time.Time // when the lease has lapsed for certain
+	expiry        time.Time // when the lease has expired for certain
 	reachable     bool
 	holdSentAt    time.Time                  // of the newest hold
 	cancelHold    context.CancelCauseFunc    // cancels the newest hold
@@ -90,7 +91,7 @@
 			continue
 		}
 		backoff = minHoldBackoff
-		l.env.report(ctx, holdReply{worker: l.worker().ID, report: report, sent: sent, lapseAt: l.leaseLapse()})
+		l.env.report(ctx, holdReply{worker: l.worker().ID, report: report, sent: sent, expiry: l.leaseExpiry()})
 		wait = l.awaitAck(ctx, report, wait)
 	}
 }
@@ -184,7 +185,7 @@
 }
 
 // extendLease returns the lease to request. The lease is not extended while the worker does not
-// answer, so that the time at which everything has lapsed does not move.
+// answer, so that the time at which everything has expired does not move.
 func (l *link) extendLease(now time.Time) int64 {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -194,8 +195,8 @@
 	lease := l.env.bounds.leaseToRequest(now)
 	l.leaseUntilMS = max(l.leaseUntilMS, l.workerClockMS+now.Sub(l.workerClockAt).Milliseconds()+lease.Milliseconds())
 	// A lease requested under a longer bound is not shortened.
-	if lapseAt := now.Add(placing.LeaseExpiry(lease)); lapseAt.After(l.lapseAt) {
-		l.lapseAt = lapseAt
+	if expiry := now.Add(placing.LeaseExpiry(lease)); expiry.After(l.expiry) {
+		l.expiry = expiry
 	}
 	return l.leaseUntilMS
 }
@@ -233,7 +234,7 @@
 		l.handleRefusal(ctx, refused)
 		return
 	}
-	l.env.report(ctx, holdFailure{worker: l.worker().ID, lapseAt: l.leaseLapse()})
+	l.env.report(ctx, holdFailure{worker: l.worker().ID, expiry: l.leaseExpiry()})
 	l.reportIncarnation(ctx, err)
 }
 
@@ -263,25 +264,25 @@
 	return l.entry
 }
 
-// extendLapse accounts for a start sent at the given time that was not answered. A later
+// extendExpiry accounts for a start sent at the given time that was not answered. A later
 // incarnation of the worker may have accepted it. That one reads the lease, which is on the clock
 // of the former incarnation, as the longest lease that it grants from then on.
-func (l *link) extendLapse(sent time.Time) {
+func (l *link) extendExpiry(sent time.Time) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.entry.BornMS == 0 {
 		return
 	}
-	if lapseAt := sent.Add(placing.LeaseExpiry(l.env.bounds.maxGrantedLease(sent))); lapseAt.After(l.lapseAt) {
-		l.lapseAt = lapseAt
+	if expiry := sent.Add(placing.LeaseExpiry(l.env.bounds.maxGrantedLease(sent))); expiry.After(l.expiry) {
+		l.expiry = expiry
 	}
 }
 
-// leaseLapse returns the time at which the lease has lapsed for certain.
-func (l *link) leaseLapse() time.Time {
+// leaseExpiry returns the time at which the lease has expired for certain.
+func (l *link) leaseExpiry() time.Time {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	return l.lapseAt
+	return l.expiry
 }
 
 // newestAck returns the number of the newest end that the worker may forget.
@@ -303,24 +304,24 @@
 
 // holdReply delivers the report of a worker.
 type holdReply struct {
-	worker  string
-	report  HoldReport
-	sent    time.Time
-	lapseAt time.Time
+	worker string
+	report HoldReport
+	sent   time.Time
+	expiry time.Time
 }
 
 func (r holdReply) apply(l *leader, now time.Time) {
-	l.engine.Report(r.worker, r.sent, r.report.Running, r.report.Ended, l.dispatchers.effectiveLapse(r.worker, r.lapseAt), now)
+	l.engine.Report(r.worker, r.sent, r.report.Running, r.report.Ended, l.dispatchers.effectiveExpiry(r.worker, r.expiry), now)
 }
 
 // holdFailure signals that a hold was not answered.
 type holdFailure struct {
-	worker  string
-	lapseAt time.Time
+	worker string
+	expiry time.Time
 }
 
 func (f holdFailure) apply(l *leader, now time.Time) {
-	l.engine.WorkerUnreachable(f.worker, l.dispatchers.effectiveLapse(f.worker, f.lapseAt), now)
+	l.engine.WorkerUnreachable(f.worker, l.dispatchers.effectiveExpiry(f.worker, f.expiry), now)
 	l.dispatchers.recordSilence(f.worker, now)
 }
 
--- a/batch/linkset.go
+++ b/batch/linkset.go
@@ -22,7 +22,7 @@
 	startTime  metrics.Histogram
 	orderSlots chan struct{}   // semaphore of the orders in flight
 	timeout    adaptiveTimeout // of orders
-	// report delivers an answer to the instance on whose behalf the links are driven; it may block.
+	// report delivers an answer to the instance on whose behalf the orders are sent; it may block.
 	report func(ctx context.Context, answer event)
 	// hasGrant reports whether orders may be sent now; nil means always.
 	hasGrant func() bool
@@ -47,7 +47,7 @@
 
 func (e *linkEnv) ordersAllowed() bool { return e.hasGrant == nil || e.hasGrant() }
 
-// linkSet holds the links that one instance drives for a term. Its methods are called by one
+// linkSet holds the links over which one instance dispatches to workers in a term. Its methods are called by one
 // goroutine; each order runs in a goroutine of its own.
 type linkSet struct {
 	env   *linkEnv
@@ -92,10 +92,10 @@
 	}
 }
 
-// release closes the link to a worker that another instance is going to drive. It calls done once
-// nothing is in flight from here, with the time at which all leases there have lapsed unless
+// release closes the link to a worker that another instance will dispatch to. It calls done once
+// nothing is in flight from here, with the time at which all leases there have expired unless
 // another instance renews them; zero if none was ever granted.
-func (s *linkSet) release(worker string, done func(lapseAt time.Time)) {
+func (s *linkSet) release(worker string, done func(expiry time.Time)) {
 	l := s.links[worker]
 	s.removeWorker(worker)
 	if l == nil {
@@ -106,7 +106,7 @@
 	go func() {
 		defer s.wg.Done()
 		l.wg.Wait()
-		done(l.leaseLapse())
+		done(l.leaseExpiry())
 	}()
 }
 
--- a/batch/metrics.go
+++ b/batch/metrics.go
@@ -15,7 +15,7 @@
 	submitTime     metrics.Histogram // from the arrival of a submission to its answer
 	startTime      metrics.Histogram // start orders
 	sessions       metrics.Gauge     // delegates of this leader
-	ownWorkers     metrics.Gauge     // workers that the leader drives itself
+	ownWorkers     metrics.Gauge     // workers that the leader dispatches to itself
 	movingWorkers  metrics.Gauge     // workers in transfer between instances
 	evacuatedZones metrics.Gauge     // evacuated availability zones
 }
--- a/batch/order.go
+++ b/batch/order.go
@@ -61,7 +61,7 @@
 	}
 	result := startResult(maybeSent || unanswered, err)
 	if result == placing.StartUnknown {
-		l.extendLapse(l.env.clock.Now())
+		l.extendExpiry(l.env.clock.Now())
 	}
 	l.env.startTime.Update(l.env.clock.Now().Sub(sent).Microseconds())
 	if err != nil {
@@ -124,7 +124,7 @@
 	if !l.env.ordersAllowed() {
 		return errNoGrant
 	}
-	ctx, cancel := context.WithTimeout(ctx, l.env.timeout.currentIgnoringLosses())
+	ctx, cancel := context.WithTimeout(ctx, l.env.timeout.currentIgnoringUnanswered())
 	defer cancel()
 	sent := l.env.clock.Now()
 	err := send(ctx)
--- a/batch/order_test.go
+++ b/batch/order_test.go
@@ -144,13 +144,13 @@
 func TestOrdersArePatientWhereAnswersAreSlow(t *testing.T) {
 	is := is.New(t)
 	timeout := adaptiveTimeout{minimum: minOrderTimeout}
-	is.Equal(timeout.currentIgnoringLosses(), minOrderTimeout)
+	is.Equal(timeout.currentIgnoringUnanswered(), minOrderTimeout)
 	for range 20 {
 		timeout.observe(400 * time.Millisecond)
 	}
-	is.True(timeout.currentIgnoringLosses() > time.Second)
-	timeout.recordLoss()
-	is.True(timeout.currentIgnoringLosses() <= maxCallTimeout)
+	is.True(timeout.currentIgnoringUnanswered() > time.Second)
+	timeout.recordUnanswered()
+	is.True(timeout.currentIgnoringUnanswered() <= maxCallTimeout)
 }
 
 // On a slow instance starts wait for a slot. A start whose run is stopped meanwhile is never sent, as
--- a/batch/outbox.go
+++ b/batch/outbox.go
@@ -10,7 +10,7 @@
 	// goes into the next one. A report has up to 500 ends of a hundred bytes each.
 	maxReportsPerMessage = 64
 	maxAnswersPerMessage = 512
-	// emptyReportWindow is how long after an order the empty reports of a worker are forwarded.
+	// emptyReportWindow is how long after an order or its answer the empty reports of a worker are forwarded.
 	// Later ones bring nothing new: the leader has received one that was requested after the
 	// order was answered.
 	emptyReportWindow = time.Second
@@ -31,8 +31,8 @@
 
 // reportState records the newest order to a worker and the newest empty report from it.
 type reportState struct {
-	lastOrderAt time.Time // of the newest order, or of the answer to one
-	lastEmptyAt time.Time // request time of the newest forwarded report without runs or ends; zero after another report
+	lastActivityAt time.Time // of the newest order, or of the answer to one
+	lastEmptyAt    time.Time // request time of the newest forwarded report without runs or ends; zero after another report
 }
 
 func newOutbox() *outbox {
@@ -47,12 +47,13 @@
 	}
 }
 
-// recordOrder records an order to a worker, or the answer to one.
-func (b *outbox) recordOrder(worker string, now time.Time) {
+// recordActivity records an order to a worker, or the answer to one. Empty reports that were
+// requested within emptyReportWindow after it are forwarded.
+func (b *outbox) recordActivity(worker string, now time.Time) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	state := b.reportStates[worker]
-	state.lastOrderAt = now
+	state.lastActivityAt = now
 	b.reportStates[worker] = state
 }
 
@@ -98,7 +99,7 @@
 		b.reportStates[report.worker] = state
 		return true
 	}
-	if !state.lastEmptyAt.IsZero() && state.lastEmptyAt.After(state.lastOrderAt.Add(emptyReportWindow)) {
+	if !state.lastEmptyAt.IsZero() && state.lastEmptyAt.After(state.lastActivityAt.Add(emptyReportWindow)) {
 		return false
 	}
 	state.lastEmptyAt = report.sent
--- a/batch/resolve.go
+++ b/batch/resolve.go
@@ -10,7 +10,7 @@
 
 const (
 	// overtakeDelay is how long the committer waits for a group before it sends the next one
-	// concurrently. With a store that takes 0.3 s for an append no group is overtaken.
+	// concurrently. No group is overtaken while the store is merely slow and takes 0.3 s for an append.
 	overtakeDelay = 600 * time.Millisecond
 	// resolveInterval is how often the log is read for a group without an answer, and
 	// resendInterval how often the group is sent again: a store that loses answers, or carries out
@@ -23,8 +23,8 @@
 )
 
 // sendGroup sends a group and resolves its outcome while any of its callers waits. It closes
-// overtaken once the next group may be sent.
-func (c *committer) sendGroup(ctx context.Context, group []*commit, overtaken chan<- struct{}) {
+// nextMayBeSent once the next group may be sent.
+func (c *committer) sendGroup(ctx context.Context, group []*commit, nextMayBeSent chan<- struct{}) {
 	defer c.unresolvedGroups.Add(-1)
 	sent := make(chan error, 1)
 	go func() { sent <- c.append(ctx, group) }()
@@ -33,14 +33,14 @@
 	case err = <-sent:
 	case <-time.After(overtakeDelay):
 		c.unknownAt.Store(c.clock.Now().UnixNano())
-		close(overtaken)
+		close(nextMayBeSent)
 		c.deliver(group, c.resolve(ctx, group, sent))
 		return
 	}
 	if errors.Is(err, ErrResultUnknown) {
 		c.unknownAt.Store(c.clock.Now().UnixNano())
 	}
-	close(overtaken)
+	close(nextMayBeSent)
 	if c.isUnresolved(err) {
 		sent <- err
 		err = c.resolve(ctx, group, sent)
@@ -94,7 +94,7 @@
 		case <-ctx.Done():
 			return ErrResultUnknown
 		}
-		if !c.storeSlow.Load() && time.Since(sentAt) >= max(resendInterval, c.timeout.currentIgnoringLosses()) {
+		if !c.storeSlow.Load() && time.Since(sentAt) >= max(resendInterval, c.timeout.currentIgnoringUnanswered()) {
 			sentAt, resent = time.Now(), true
 			go func() { resendResults <- c.resend(ctx, records) }()
 		}
--- a/batch/restart_test.go
+++ b/batch/restart_test.go
@@ -38,8 +38,8 @@
 	})
 }
 
-// withAndWithoutDelegates runs a test with few workers, which the leader drives itself, and with many,
-// which delegates drive. Tasks take a second.
+// withAndWithoutDelegates runs a test with few workers, to which the leader dispatches itself, and with
+// many, to which delegates dispatch. Tasks take a second.
 func withAndWithoutDelegates(t *testing.T, test func(f *testFleet, is *is.I, workers int)) {
 	for _, c := range []struct {
 		name      string
@@ -172,8 +172,8 @@
 
 // A later incarnation of a worker may accept a start meant for the former one. It grants the longest
 // lease from then on, as the requested lease is on the clock of the former one. So nothing there
-// lapses before such a lease that began with the last attempt.
-func TestUnansweredStartDelaysTheLapse(t *testing.T) {
+// expires before such a lease that began with the last attempt.
+func TestUnansweredStartDelaysTheExpiry(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		bornMS   int64
@@ -190,11 +190,11 @@
 				link.env.bounds = newBounds(Bounds{MaxLease: simLease})
 				link.recordAnswer(1)
 				link.extendLease(link.env.clock.Now())
-				granted := link.leaseLapse()
+				granted := link.leaseExpiry()
 				link.startRun(t.Context(), placing.Start{Worker: "w", Run: 1}, false, nil)
 				lastAttempt := link.env.clock.Now()
-				is.Equal(link.leaseLapse().After(granted), c.extended)
-				is.Equal(!link.leaseLapse().Before(lastAttempt.Add(placing.LeaseExpiry(simLease))), c.extended)
+				is.Equal(link.leaseExpiry().After(granted), c.extended)
+				is.Equal(!link.leaseExpiry().Before(lastAttempt.Add(placing.LeaseExpiry(simLease))), c.extended)
 			})
 		})
 	}
--- a/batch/shards.go
+++ b/batch/shards.go
@@ -104,7 +104,7 @@
 	})
 }
 
-// delegates returns the instances that may drive workers now.
+// delegates returns the instances that workers may be assigned to now.
 func (d *dispatchers) delegates() []sharing.Instance {
 	if !d.sharded {
 		return nil
@@ -121,7 +121,7 @@
 }
 
 // assign assigns one worker to the chosen instance. An assigned worker is first released by its
-// current instance. It stays with an instance that may drive it, unless the worker does not answer
+// current instance. It stays with an instance that may dispatch to it, unless the worker does not answer
 // there or the shard has grown too large: a move costs more than an uneven shard.
 func (d *dispatchers) assign(w *workerAssignment, delegates []sharing.Instance, now time.Time) {
 	if w.state == releasing || w.state == unassigned && d.awaitsSession(w, now) {
@@ -207,8 +207,8 @@
 	}
 	l := d.leader
 	worker := w.entry.ID
-	d.ownLinks.release(worker, func(lapseAt time.Time) {
-		l.events.Put(l.ctx, ownLinkEvent{event: release{worker: worker, lapseAt: lapseAt}})
+	d.ownLinks.release(worker, func(expiry time.Time) {
+		l.events.Put(l.ctx, ownLinkEvent{event: release{worker: worker, expiry: expiry}})
 	})
 }
 
--- a/batch/shards_test.go
+++ b/batch/shards_test.go
@@ -46,7 +46,7 @@
 
 func (f *testFleet) lapses() int { return f.workers.sum(func(w *simWorker) int { return w.lapses }) }
 
-// The leader of many workers drives none itself, each worker has one delegate, and no delegate has
+// The leader of many workers dispatches to none itself, each worker has one delegate, and no delegate has
 // more than its shard.
 func TestManyWorkersAreKeptByOthers(t *testing.T) {
 	inFleet(t, manyWorkers, 8, time.Second, func(f *testFleet, is *is.I) {
@@ -76,14 +76,14 @@
 	})
 }
 
-// If no other instance is reachable the leader drives all workers.
+// If no other instance is reachable the leader dispatches to all workers.
 func TestLeaderWithoutDelegatesDispatchesToAll(t *testing.T) {
 	inFleet(t, manyWorkers, 0, time.Second, func(f *testFleet, is *is.I) {
 		is.Equal(f.workers.dispatchedBy(2 * holdWait)["a"], manyWorkers)
 	})
 }
 
-// The workers of a lost delegate get another dispatcher before any lease lapses. Their runs continue,
+// The workers of a lost delegate get another dispatcher before any lease expires. Their runs continue,
 // and each run ordered through the lost delegate takes place once.
 func TestLostKeeperLosesNoRun(t *testing.T) {
 	for _, c := range []struct {
@@ -119,9 +119,9 @@
 	}
 }
 
-// A delegate without messages from the leader drives its workers until its grant expires and no
+// A delegate without messages from the leader dispatches to its workers until its grant expires and no
 // longer, though it reaches them. A run on a worker that only this delegate reaches is not started
-// elsewhere before the last lease that it may have renewed has lapsed.
+// elsewhere before the last lease that it may have renewed has expired.
 func TestSilentHolderEndsTheGrant(t *testing.T) {
 	inFleet(t, manyWorkers, 8, 12*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", manyWorkers/2) // there is capacity to start elsewhere
@@ -159,7 +159,7 @@
 	})
 }
 
-// The run on an unreachable worker is started again elsewhere once its lease has lapsed for certain,
+// The run on an unreachable worker is started again elsewhere once its lease has expired for certain,
 // however often the worker is assigned to another instance.
 func TestUnreachableWorkerIsGivenUpInTime(t *testing.T) {
 	inFleet(t, manyWorkers, 8, 5*time.Second, func(f *testFleet, is *is.I) {
@@ -194,7 +194,7 @@
 	})
 }
 
-// After the loss of all delegates at once the leader drives the workers itself, and no run is lost.
+// After the loss of all delegates at once the leader dispatches to the workers itself, and no run is lost.
 func TestAllKeepersLostAtOnce(t *testing.T) {
 	inFleet(t, manyWorkers, 6, 8*time.Second, func(f *testFleet, is *is.I) {
 		f.submit("a1", 300)
@@ -331,7 +331,7 @@
 	})
 }
 
-// The status shows whether workers are delegated, and how many each delegate drives.
+// The status shows whether workers are delegated, and to how many each delegate dispatches.
 func TestStatusShowsDelegates(t *testing.T) {
 	inFleet(t, manyWorkers, 8, time.Second, func(f *testFleet, is *is.I) {
 		status := f.leader.instance.Status()
--- a/batch/simrestart_test.go
+++ b/batch/simrestart_test.go
@@ -22,7 +22,7 @@
 	w.down = false
 	w.bornMS = now.UnixMilli()
 	w.clockStart = now
-	w.fence = 0
+	w.epoch = 0
 	w.until = now
 	w.runs = map[startKey]time.Time{}
 	w.highest = map[jobs.TaskKey]int{}
--- a/batch/simworkers_test.go
+++ b/batch/simworkers_test.go
@@ -12,7 +12,7 @@
 	"github.com/teaselcleat/teaselcleat/placing"
 )
 
-// simWorker is a worker in memory. Its runs end as done after a fixed time, unless their lease lapses
+// simWorker is a worker in memory. Its runs end as done after a fixed time, unless their lease expires
 // before.
 type simWorker struct {
 	bornMS     int64     // of the current incarnation
@@ -20,14 +20,14 @@
 	down       bool      // between two incarnations
 	startCount int       // runs in this incarnation
 	startedAt  time.Time // when the newest run began
-	fence      int64
+	epoch      int64     // highest received; orders with a lower one are refused
 	until      time.Time
 	runs       map[startKey]time.Time // when each began
 	highest    map[jobs.TaskKey]int   // highest run stopped or ended
 	ends       []placing.EndedTask
 	lastEnd    int64
-	doubleRuns int // starts of a task that was running, or whose end as done was acknowledged then or later
-	lapses     int
+	doubleRuns int             // starts of a task that was running, or whose end as done was acknowledged then or later
+	lapses     int             // runs that ended because their lease expired
 	lastCaller string          // instance that called last
 	holds      int             // number of holds
 	lastHoldAt time.Time       // of the newest hold
@@ -227,11 +227,11 @@
 		return nil, errSimDown
 	}
 	w.advance(s)
-	if epoch < w.fence {
+	if epoch < w.epoch {
 		s.lock.Unlock()
 		return nil, &OrderError{Refusal: RefusedStaleTerm}
 	}
-	w.fence = epoch
+	w.epoch = epoch
 	w.lastCaller = c.instance
 	w.callers[c.instance] = true
 	return w, nil
--- a/batch/status.go
+++ b/batch/status.go
@@ -14,16 +14,16 @@
 	LogAgeMS         int64              `json:"log_age_ms"` // since the last answered read of the log
 	Jobs             map[jobs.State]int `json:"jobs"`
 	Waiting          map[string]int     `json:"waiting"`           // by queue
-	DelegatedWorkers int                `json:"keeping"`           // workers driven on behalf of the leader
+	DelegatedWorkers int                `json:"keeping"`           // workers that this instance dispatches to for the leader
 	Sharding         ShardingStatus     `json:"sharing,omitempty"` // set on the leader only
 }
 
 // ShardingStatus describes how the leader reaches the workers.
 type ShardingStatus struct {
 	Sharded       bool           `json:"shared"`            // workers are assigned to delegates
-	OwnWorkers    int            `json:"own"`               // workers that the leader drives itself
+	OwnWorkers    int            `json:"own"`               // workers that the leader dispatches to itself
 	MovingWorkers int            `json:"moving"`            // workers without a dispatcher, or in transfer
-	Delegates     map[string]int `json:"keepers,omitempty"` // workers by delegate
+	Delegates     map[string]int `json:"keepers,omitempty"` // number of workers by delegate
 }
 
 // Status returns the current status of this instance.
--- a/batch/testfleet_test.go
+++ b/batch/testfleet_test.go
@@ -16,10 +16,13 @@
 	"github.com/teaselcleat/teaselcleat/relay/relaypb"
 )
 
-// useTestClock makes a clock follow the virtual time of the test.
+// useTestClock makes a clock follow the virtual time of the test: time.Now is virtual in a synctest
+// bubble.
 func useTestClock(clock *Clock) { clock.readTime = func() time.Time { return time.Now().Round(0) } }
 
-// testFleet is a leader and instances that may be its delegates.
+// testFleet is a leader and instances that may be its delegates, whose names begin with "keeper". The
+// work stream has 8 parts. An instance can be frozen (it does nothing), muted (frozen, or its
+// sessions carry no messages), hanging (calls to it block) and killed (frozen, sessions cut).
 type testFleet struct {
 	t            *testing.T
 	ctx          context.Context
@@ -38,6 +41,8 @@
 
 var simBounds = Bounds{MaxLease: simLease, MaxStopTime: 200 * time.Millisecond}
 
+// newTestFleet returns a fleet that is not started. Each instance has read one job, which no test
+// submits.
 func newTestFleet(t *testing.T, workers *simWorkers, instances int) *testFleet {
 	f := &testFleet{t: t, workers: workers, instances: map[string]*Instance{}, closeStreams: map[string][]func(){}, killed: map[string]bool{}, hanging: map[string]bool{}, loopDone: make(chan struct{})}
 	f.ctx, f.cancel = context.WithCancel(t.Context())
@@ -75,7 +80,8 @@
 	return l
 }
 
-// registerInstances registers the instances with the leader, each in an availability zone.
+// registerInstances registers the instances with the leader, each in an availability zone and with
+// the usual CPU share, so of the usual weight for the choice of delegates.
 func (f *testFleet) registerInstances(leader *Instance, zone func(name string) string) {
 	for name := range f.instances {
 		record, err := jobs.InstanceRecord(name, jobs.Instance{Address: name, Zone: zone(name), CPUShare: 0.4})
@@ -87,7 +93,7 @@
 	l, loopDone, endTerm := f.leader, f.loopDone, f.endTerm
 	go func() {
 		defer close(loopDone)
-		defer endTerm() // as in lead
+		defer endTerm() // Instance.lead does the same when its loop ends
 		l.loop(l.ctx)
 	}()
 	f.leader.offer(listChangedEvent{})
@@ -100,8 +106,8 @@
 	f.sessions.Wait()
 }
 
-// dial connects the leader to an instance over two pipes. Messages between them wait while the
-// instance is frozen.
+// dial connects the leader to an instance over two pipes. It fails if the instance is killed or
+// frozen; messages on open sessions wait while the instance is muted.
 func (f *testFleet) dial(ctx context.Context, address string, request *relaypb.Keep) (*relay.Stream, error) {
 	if f.hangs(address) {
 		<-ctx.Done() // the connection is neither accepted nor refused
@@ -184,7 +190,7 @@
 	}
 }
 
-// busiestInstance returns the instance that drives the most workers.
+// busiestInstance returns the instance that dispatches to the most workers.
 func (f *testFleet) busiestInstance() string {
 	best, highest := "", 0
 	for name, count := range f.workers.dispatchedBy(3 * time.Second) {
@@ -195,7 +201,8 @@
 	return best
 }
 
-// submit submits a job of consecutive steps with the given numbers of tasks.
+// submit submits a job of consecutive steps with the given numbers of tasks. It is due after three
+// times the length of its critical path (Stretch) plus a second (TargetMS).
 func (f *testFleet) submit(id string, tasks ...int) {
 	submission := &jobs.Submission{ID: id, Queue: jobs.Queue{Name: "q", Pool: "pool", MaxAttempts: 4, Stretch: 3, TargetMS: 1000}}
 	for index, count := range tasks {
--- a/batch/wire.go
+++ b/batch/wire.go
@@ -8,7 +8,8 @@
 	"github.com/teaselcleat/teaselcleat/relay/relaypb"
 )
 
-// Conversions between the messages of a session and the values of this package.
+// Conversions between the messages of a session and the values of this package. The messages say
+// lapse for the expiry of a lease, and Start.Open for maybeSent.
 
 func runToPB(worker string, task jobs.TaskKey, number int) *relaypb.Run {
 	return &relaypb.Run{Worker: worker, Job: task.Job, Occurrence: int64(task.Occurrence), Step: int64(task.Step),
@@ -52,9 +53,9 @@
 	case holdReply:
 		message.Reports = append(message.Reports, reportToPB(answer, now, clockOffset))
 	case holdFailure:
-		message.Silent = append(message.Silent, &relaypb.Silence{Worker: answer.worker, LapseIn: timeToLapse(answer.lapseAt, now)})
+		message.Silent = append(message.Silent, &relaypb.Silence{Worker: answer.worker, LapseIn: timeToExpiry(answer.expiry, now)})
 	case release:
-		message.Released = append(message.Released, &relaypb.Silence{Worker: answer.worker, LapseIn: timeToLapse(answer.lapseAt, now)})
+		message.Released = append(message.Released, &relaypb.Silence{Worker: answer.worker, LapseIn: timeToExpiry(answer.expiry, now)})
 	case incarnationChange:
 		message.Reborn = append(message.Reborn, &relaypb.Rebirth{Worker: answer.worker, BornMs: answer.bornMS})
 	case startReply:
@@ -66,18 +67,18 @@
 	}
 }
 
-// timeToLapse returns the time until a lapse, in nanoseconds. A lapse in the past is encoded as
-// 1, as 0 stands for no lease.
-func timeToLapse(lapseAt, now time.Time) int64 {
-	if lapseAt.IsZero() {
+// timeToExpiry returns the time until an expiry, in nanoseconds. An expiry in the past is encoded
+// as 1, as 0 stands for no lease.
+func timeToExpiry(expiry, now time.Time) int64 {
+	if expiry.IsZero() {
 		return 0
 	}
-	return max(1, lapseAt.Sub(now).Nanoseconds())
+	return max(1, expiry.Sub(now).Nanoseconds())
 }
 
-// lapseTime returns the time of the lapse given in a message received at now. The message was
+// expiryTime returns the time of the expiry given in a message received at now. The message was
 // sent earlier, so the result may be too late, but never too early.
-func lapseTime(nanos int64, now time.Time) time.Time {
+func expiryTime(nanos int64, now time.Time) time.Time {
 	if nanos == 0 {
 		return time.Time{}
 	}
@@ -85,7 +86,7 @@
 }
 
 func reportToPB(answer holdReply, now time.Time, clockOffset time.Duration) *relaypb.Report {
-	report := &relaypb.Report{Worker: answer.worker, Sent: answer.sent.Add(clockOffset).UnixNano(), LapseIn: timeToLapse(answer.lapseAt, now)}
+	report := &relaypb.Report{Worker: answer.worker, Sent: answer.sent.Add(clockOffset).UnixNano(), LapseIn: timeToExpiry(answer.expiry, now)}
 	for _, row := range answer.report.Running {
 		report.Running = append(report.Running, &relaypb.Row{Run: runToPB("", row.Task, row.Run), Checkpoint: row.Checkpoint,
 			Percent: int64(row.Percent), Load: row.Load})
@@ -98,7 +99,7 @@
 }
 
 func reportFromPB(report *relaypb.Report, now time.Time) holdReply {
-	answer := holdReply{worker: report.Worker, sent: time.Unix(0, report.Sent), lapseAt: lapseTime(report.LapseIn, now)}
+	answer := holdReply{worker: report.Worker, sent: time.Unix(0, report.Sent), expiry: expiryTime(report.LapseIn, now)}
 	for _, row := range report.Running {
 		answer.report.Running = append(answer.report.Running, placing.RunningTask{Task: taskFromPB(row.Run), Run: int(row.Run.GetNumber()),
 			Checkpoint: row.Checkpoint, Percent: int(row.Percent), Load: row.Load})
--- a/jobs/record.go
+++ b/jobs/record.go
@@ -27,7 +27,8 @@
 	instancePrefix   = "i/"
 )
 
-// Term names the leader. Its epoch fences the leader's orders and appends.
+// Term names the leader. Its epoch, the number of the term, is sent with the leader's
+// orders and appends, which workers and the store refuse once they have seen a higher one.
 type Term struct {
 	Epoch    int64  `json:"e"`
 	Leader   string `json:"h"`           // instance name and boot; empty after the term was handed over
--- a/jobs/table.go
+++ b/jobs/table.go
@@ -39,14 +39,14 @@
 // Change describes the effect of a record on the fold.
 type Change struct {
 	JobID       string // ID of the changed job, or empty
-	TermChanged bool   // the term changed or was renewed
+	TermUpdated bool   // a term record was folded, of a new term or a renewal
 }
 
 // Table is the fold of the work stream. It is not safe for concurrent use.
 type Table struct {
 	jobs      map[string]*Job
 	term      Term
-	groupMark string
+	groupMark string // epoch and number of the newest progress group, see GroupMarkRecord
 	instances map[string]Instance
 }
 
@@ -68,8 +68,9 @@
 	return job
 }
 
-// Contains reports whether the content of a submission, cancellation or instance
-// record was folded, from this record or from a duplicate.
+// Contains reports whether a submission, cancellation or instance record need not be
+// appended again: its content was folded, from this record or from a duplicate, or, for
+// a cancellation, the job is in a final state anyway.
 func (t *Table) Contains(record Record) bool {
 	if id, ok := cutKeyPrefix(record.Key, submissionPrefix); ok {
 		return t.Job(id) != nil
@@ -131,7 +132,8 @@
 
 // Apply folds one record of a part. Offsets count within a part; all progress records
 // are in one part, and so are all state records. If the value is not valid, as that of
-// another writer, Apply returns an error and leaves the table unchanged.
+// another writer, Apply returns an error and leaves the table unchanged. An empty value
+// is the deletion of the key.
 func (t *Table) Apply(record Record, part int, offset int64) (Change, error) {
 	if record.Key == termKey {
 		return t.applyTerm(record)
@@ -185,7 +187,7 @@
 		return Change{}, nil
 	}
 	t.term = *term
-	return Change{TermChanged: true}, nil
+	return Change{TermUpdated: true}, nil
 }
 
 func (t *Table) ensureJob(id string) *Job {
@@ -267,5 +269,6 @@
 	return Change{JobID: id}, nil
 }
 
-// GroupMark returns the value of the newest mark of a progress group.
+// GroupMark returns the value of the newest mark of a progress group, which tells
+// whether that group was appended, see GroupMarkRecord.
 func (t *Table) GroupMark() string { return t.groupMark }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,7 +1,13 @@
-// Package relay implements calls between instances: protobuf messages, with one
-// stream per call, over yamux sessions that are opened on demand. An instance that has
-// lost the store calls one that has not, and the leader opens delegation sessions with
-// instances that drive links to workers for it. The package makes no decisions itself.
+// Package relay implements calls between the instances that serve the users' platform
+// (package batch; package peers connects instances for the product's own interface):
+// protobuf messages, with one stream per call, over yamux sessions that are opened on
+// demand. An instance that cannot reach the store calls one that can, and the leader
+// opens delegation sessions with delegates, the instances that dispatch to workers for
+// it. A delegation session is a stream within a yamux session. The package makes no
+// decisions itself.
+//
+// The messages keep older names: Keep opens a delegation session and a delegate sends
+// Kept messages. In logs a delegate is a keeper, and a delegation is a keeping.
 package relay
 
 import (
@@ -19,15 +25,16 @@
 )
 
 const (
-	// maxMessageBytes covers the record of a job with its spec, and the reports of
-	// all workers of a shard at once: 500 ends of 100 bytes for each of 64 workers.
+	// maxMessageBytes covers the record of a job with its spec, and a message of a
+	// delegate. That has the reports of at most 64 workers, each with up to 500 end
+	// reports of 100 bytes; further reports go into the next message.
 	maxMessageBytes = 4 << 20
 	// handleTimeout bounds a call at the instance that handles it; callers use
 	// shorter timeouts.
 	handleTimeout = 3 * time.Second
 	// readBufferSize is the size of the read buffer of a call, in bytes.
 	readBufferSize = 1 << 10
-	// keepAliveInterval is the interval between probes of an open session, so that
+	// keepAliveInterval is the interval between probes of an open yamux session, so that
 	// a session whose peer does not respond is closed.
 	keepAliveInterval = 2 * time.Second
 	writeTimeout      = time.Second
@@ -36,7 +43,8 @@
 // Handler answers a call.
 type Handler func(ctx context.Context, call *relaypb.Call) *relaypb.Answer
 
-// DelegationHandler serves a delegation session, which a Keep call opens, until it returns.
+// DelegationHandler serves a delegation session, which a Keep call opens, until it
+// returns.
 type DelegationHandler func(ctx context.Context, keep *relaypb.Keep, stream *Stream)
 
 func sessionConfig() *yamux.Config {
@@ -47,7 +55,7 @@
 	return config
 }
 
-// Serve accepts sessions until ctx ends. If serveDelegation is nil, the streams of
+// Serve accepts yamux sessions until ctx ends. If serveDelegation is nil, the streams of
 // Keep calls are closed.
 func Serve(ctx context.Context, listener net.Listener, handler Handler, serveDelegation DelegationHandler) {
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
--- a/sharing/sharing.go
+++ b/sharing/sharing.go
@@ -8,17 +8,20 @@
 )
 
 const (
-	// Delegation starts at shardingMinWorkers and stops below shardingStopWorkers. The smallest
-	// instances can still dispatch to 350 workers alone. The gap avoids switching back and
-	// forth when the fleet grows and shrinks by a few workers.
+	// The leader uses delegates, each with a shard of the workers, from shardingMinWorkers on and
+	// until there are fewer than shardingStopWorkers. Below that it dispatches to all workers
+	// itself; even the smallest instances can dispatch to 350 alone. The gap avoids switching
+	// back and forth when the fleet grows and shrinks by a few workers.
 	shardingMinWorkers  = 480
 	shardingStopWorkers = 420
-	// shardSize is the shard size of a delegate of defaultWeight: a third of what one
-	// instance can handle alone, as it also serves callers.
+	// shardSize is the shard size of a delegate of defaultWeight: a third of what one instance
+	// can handle alone, as a delegate also serves callers. minDelegates such shards have
+	// shardingMinWorkers workers.
 	shardSize = 120
 	// defaultWeight is the share of a core that most instances have.
 	defaultWeight = 0.4
-	// minDelegates prevents the loss of one instance from affecting half of the workers.
+	// minDelegates prevents the loss of one instance from affecting half of the workers, as it
+	// would with two delegates; it affects about a quarter.
 	minDelegates = 4
 	// overloadFactor is the ratio of the shard size of a delegate to its capacity above which
 	// some workers are moved. With hashing, shard sizes differ by a tenth.
@@ -29,7 +32,7 @@
 type Instance struct {
 	Name   string
 	Zone   string  // availability zone; empty if unknown
-	Weight float64 // share of a core; 0 if unknown
+	Weight float64 // share of a core, jobs.Instance.CPUShare; 0 if unknown
 }
 
 func (i *Instance) weight() float64 {
@@ -39,7 +42,8 @@
 	return i.Weight
 }
 
-// Switch decides by the number of workers whether the leader uses delegates.
+// Switch decides by the number of workers whether the leader uses delegates. It has
+// state because of the gap between its two bounds.
 type Switch struct {
 	on bool
 }
@@ -60,7 +64,7 @@
 // zone gets as many as its workers need, in an order of the instances that does not change
 // when others come or go. Workers of zones without instances are spread over all other zones.
 func SelectDelegates(workers map[string]int, candidates []Instance) []string {
-	ranked := slices.Clone(candidates)
+	ranked := slices.Clone(candidates) // by descending score, then by name
 	slices.SortFunc(ranked, func(a, b Instance) int {
 		return compareScores(score(b.Name, "", b.weight()), score(a.Name, "", a.weight()), a.Name, b.Name)
 	})
