--- a/batch/delegation.go
+++ b/batch/delegation.go
@@ -31,7 +31,7 @@
 )
 
 // delegation is a session in which this instance is a delegate: it dispatches to some workers on
-// behalf of the leader of a term. Messages and logs keep the names keep, kept, keeper and keeping.
+// behalf of the leader of a term. Messages and logs have the names keep, kept, keeper and keeping.
 type delegation struct {
 	clock  *Clock
 	log    *logrus.Entry
--- a/batch/doc.go
+++ b/batch/doc.go
@@ -7,9 +7,9 @@
 // The leader dispatches orders to workers over its own links or, in large deployments, through
 // delegates: instances that each dispatch to a shard of the workers on its behalf (dispatchers.go,
 // shards.go and session.go on the leader's side, delegation.go on theirs). Messages, logs and
-// metrics keep the older names of this: a delegate is the keeper, the delegation is the keeping,
-// its messages are Keep and Kept, and the leader is the holder of the term.
+// metrics have other names for this: a delegate is a keeper, a delegation is a keeping, the messages
+// of one are Keep and Kept, and the leader is the holder of the term.
 //
-// The store is the service of the platform that keeps the log. The log is the content of the
-// streams there; the work stream is divided into parts (partitions).
+// The store is the service of the platform that keeps the log. The log is the content of its
+// streams; the work stream is divided into parts (partitions).
 package batch
--- a/jobs/table.go
+++ b/jobs/table.go
@@ -39,7 +39,7 @@
 // Change describes the effect of a record on the fold.
 type Change struct {
 	JobID       string // ID of the changed job, or empty
-	TermUpdated bool   // a term record was folded, of a new term or a renewal
+	TermUpdated bool   // a later term or a renewal of the newest one was folded
 }
 
 // Table is the fold of the work stream. It is not safe for concurrent use.
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -6,8 +6,8 @@
 // it. A delegation session is a stream within a yamux session. The package makes no
 // decisions itself.
 //
-// The messages keep older names: Keep opens a delegation session and a delegate sends
-// Kept messages. In logs a delegate is a keeper, and a delegation is a keeping.
+// Messages and logs have other names for this: a Keep message opens a delegation session,
+// a delegate sends Kept messages, and logs call it a keeper and a delegation a keeping.
 package relay
 
 import (
