--- a/placing/advice.go
+++ b/placing/advice.go
@@ -38,7 +38,8 @@
 	forbidden map[string]bool // may never run the step
 }
 
-// ticket permits a worker to run the tasks of a step until it expires.
+// ticket permits a worker to run the tasks of a step until it expires. The start of a task
+// carries its text.
 type ticket struct {
 	text      string
 	expiresAt time.Time
--- a/placing/crash_test.go
+++ b/placing/crash_test.go
@@ -123,7 +123,7 @@
 	is.Equal(c.countWaiting(hexID(2)), 4)   // two of the four workers hold sixteen tasks
 	is.Equal(c.engine.jobs[hexID(1)].state, jobs.StateRunning)
 
-	c.now = c.now.Add(earlyLoss)
+	c.now = c.now.Add(earlyLossWindow)
 	c.engine.Report(suspect.run.node.entry.ID, c.now, []RunningTask{{Task: suspect.key, Run: suspect.run.number, Percent: 30}}, nil, time.Time{}, c.now)
 	c.steps(2)
 	is.Equal(c.countWaiting(hexID(2)), 0) // the suspect has run for long enough
--- a/placing/delay_cases_test.go
+++ b/placing/delay_cases_test.go
@@ -280,7 +280,7 @@
 	is.True(c.engine.jobs[urgent.ID].reservation == nil)
 }
 
-// The lease of a run on a lost worker lapses once, however often the leader changes.
+// The lease of a run on a lost worker expires once, however often the leader changes.
 func TestRunAtAWorkerThatIsGoneIsNotWaitedForAnewByEachHolder(t *testing.T) {
 	for _, termLength := range []time.Duration{0, 3 * time.Second, 9 * time.Second} {
 		t.Run(termLength.String(), func(t *testing.T) {
--- a/placing/headroom.go
+++ b/placing/headroom.go
@@ -223,7 +223,7 @@
 	}
 }
 
-// closedTo reports whether a node is part of the headroom reserved against a unit.
+// closedTo reports whether a node is withheld from a unit as reserved headroom.
 func (v *view) closedTo(unit *unit, node *node) bool {
 	return v.yieldsHeadroom(unit) && v.headroom[unit.step.class()][node.at]
 }
--- a/placing/job.go
+++ b/placing/job.go
@@ -49,20 +49,20 @@
 
 // task is the scheduling state of one task.
 type task struct {
-	step           *step
-	key            jobs.TaskKey
-	done           bool
-	failedRuns     int // runs that ended as failed
-	lastRun        int // highest run number given
-	lastEndedRun   int // highest run whose end was handled; ends are listed until acknowledged
-	checkpoint     string
-	run            *run // nil unless a run may exist
-	avoidWorker    string
-	losses         losses
-	startBackoff   startBackoff
-	stalls         int       // runs that were stopped as stalled
-	capacitySince  time.Time // since when it has waited despite ample free capacity; zero: it does not
-	lastRunEndedAt time.Time // when its last run that started, or may have, ended
+	step               *step
+	key                jobs.TaskKey
+	done               bool
+	failedRuns         int // runs that ended as failed
+	lastRun            int // highest run number given
+	lastEndedRun       int // highest run whose end was handled; ends are listed until acknowledged
+	checkpoint         string
+	run                *run // nil unless a run may exist
+	avoidWorker        string
+	losses             losses
+	startBackoff       startBackoff
+	stalls             int       // runs that were stopped as stalled
+	ampleCapacitySince time.Time // since when it has waited despite ample free capacity; zero: it does not
+	lastRunEndedAt     time.Time // when its last run that started, or may have, ended
 }
 
 // phase is the stage that a run has reached.
--- a/placing/loss.go
+++ b/placing/loss.go
@@ -9,31 +9,34 @@
 )
 
 // A lost worker reports nothing, so its tasks are assessed by the loss itself. Otherwise a
-// task that ends its workers would be started again without bound and take down a worker,
+// task that crashes its workers would be started again without bound and take down a worker,
 // with all that runs there, every few seconds. One loss means little, as workers are lost
 // without any task's fault. So a task becomes suspect by how soon after its start the worker
 // fell silent, is retried on a worker of its own, which distinguishes it from its neighbours
-// and protects them, and its job is failed after more losses than chance explains.
+// and protects them, and its job is failed after more losses than chance explains. An early
+// loss does not count as such while several workers fall silent together.
 const (
-	// earlyLoss is the time after a start within which the loss of the worker points
-	// at the task: a task that ends its worker does so as it begins, or once it has
+	// earlyLossWindow is the time after a start within which the loss of the worker points
+	// at the task: a task that crashes its worker does so as it begins, or once it has
 	// resumed from a checkpoint.
-	earlyLoss = time.Second
+	earlyLossWindow = time.Second
 	// maxEarlyLosses is the number of early losses at which a job is failed: on the users'
 	// worst days two of them may still be chance.
 	maxEarlyLosses = 3
-	// maxLosses is the number of losses of any kind at which a job is failed: the users allow
-	// two starts after the third worker was lost under a task. Long-running tasks are cleared
-	// of their losses after longRunningProof.
+	// maxLosses is the number of losses of any kind at which a job is failed. The users allow
+	// two starts after the third worker was lost under a task, so the fifth loss is the last.
+	// Long-running tasks are cleared of their losses after longRunningProof.
 	maxLosses = 5
 	// minLossesToIsolate is the number of losses from which a task is suspect though none
 	// was early.
 	minLossesToIsolate = 2
-	// clearLossesFactor times the longest time for which the task worked before a loss is
-	// how long a run has to work to show that it does not end its worker as the last did.
+	// clearLossesFactor gives how long a run has to work to show that it does not crash its
+	// worker as former ones may have done: this factor times the longest time at work before
+	// a loss, and at least earlyLossWindow. The run must also have reported progress.
 	clearLossesFactor = 2
 	// maxIsolationDelay is how long a suspect task waits for an empty worker. Users
-	// expect a ready task to run within three seconds if there is capacity.
+	// expect a ready task to run within three seconds if there is capacity; the rest of
+	// that time is for recording the placement and starting the task.
 	maxIsolationDelay = 2 * time.Second
 	// longRunningProof is how long a long-running task has to work to be cleared of all
 	// losses: it outlives many workers by its nature.
@@ -43,7 +46,7 @@
 // losses counts the workers lost under a task; a gang's tasks share the count.
 type losses struct {
 	total       int           // runs that ended with their worker
-	early       int           // of these, soon after their start, on a worker that was not recently restarted
+	early       int           // of these, the early losses, see isEarlyLoss and maxUnexplainedSilences
 	lastRun     int           // highest run whose loss was counted
 	newestAt    time.Time     // of the newest loss
 	longestWork time.Duration // longest time at work before a loss
@@ -89,7 +92,9 @@
 }
 
 // countLoss counts the loss of a run's worker against its task. Each run counts once,
-// even if several workers of a gang were lost under it.
+// even if several workers of a gang were lost under it. A loss is not
+// early if more than maxUnexplainedSilences workers without a just started run fall silent
+// within earlyLossWindow of it.
 func (e *Engine) countLoss(run *run, now time.Time) {
 	task := run.task
 	if run.phase == phasePlanned || task.run != run || task.done || task.step.job.state.Final() || run.number <= task.losses.lastRun {
@@ -124,7 +129,7 @@
 func (r *run) isEarlyLoss() bool {
 	silentAt := r.node.silentAt
 	if silentAt.IsZero() || r.orderedAt.IsZero() {
-		return false // started under a former leader, so the start time is unknown
+		return false // no silence was seen, or a former leader ordered the start: the time is unknown
 	}
 	if r.startedAt.IsZero() {
 		return false // the worker may have been gone before the order arrived
@@ -132,7 +137,7 @@
 	if silentAt.Before(r.node.recentlyRestartedUntil) || silentAt.Before(r.orderedAt) {
 		return false
 	}
-	return silentAt.Sub(r.workStartedAt()) < earlyLoss
+	return silentAt.Sub(r.workStartedAt()) < earlyLossWindow
 }
 
 // workStartedAt returns when a run began to work at the earliest: the members of a gang
@@ -154,7 +159,7 @@
 	return r.startedAt
 }
 
-// failIfLossesExceeded fails the job of a task that has lost too many workers.
+// failIfLossesExceeded fails the job of a task under which too many workers were lost.
 func (e *Engine) failIfLossesExceeded(task *task, now time.Time) {
 	job := task.step.job
 	if task.done || job.state.Final() || !task.losses.exceeded() {
@@ -163,15 +168,16 @@
 	e.finish(job, jobs.StateFailed, "task "+task.key.String()+" lost its worker in "+strconv.Itoa(task.losses.total)+" runs", now)
 }
 
-// clearLosses clears a task of the losses that its run disproves by being at work, and
-// ends the isolation of its worker.
+// clearLosses clears a task of its early losses once its run has worked for long enough, a
+// long-running task after longRunningProof of all losses, and ends the isolation of the
+// workers of the run.
 func (e *Engine) clearLosses(run *run, row RunningTask, now time.Time) {
 	losses := run.task.losses
 	if losses.total == 0 || row.Percent == 0 || run.startedAt.IsZero() {
 		return
 	}
 	worked := now.Sub(run.startedAt)
-	if worked < max(earlyLoss, clearLossesFactor*losses.longestWork) {
+	if worked < max(earlyLossWindow, clearLossesFactor*losses.longestWork) {
 		return
 	}
 	losses.early = 0
--- a/placing/node.go
+++ b/placing/node.go
@@ -22,7 +22,7 @@
 	return time.Duration(float64(lease)*(1+clockDrift)) + leaseMargin
 }
 
-// node is one incarnation of a worker.
+// node is the engine's record of one incarnation of a worker.
 type node struct {
 	entry                  WorkerEntry
 	listed                 bool
@@ -39,8 +39,8 @@
 	leaveAt                time.Time      // when it may be gone, while leaving
 	evacuated              bool           // its availability zone gets nothing new
 	health                 health
-	recentlyRestartedUntil time.Time
-	isolatedRuns           int // runs there of suspect tasks
+	recentlyRestartedUntil time.Time // end of its time as recently restarted; zero or past if it is not
+	isolatedRuns           int       // runs there of suspect tasks
 	paceControl            paceControl
 	speed                  speedEstimate
 	shares                 nodeShares
--- a/placing/preempt.go
+++ b/placing/preempt.go
@@ -216,7 +216,7 @@
 		wanted = len(unit.tasks)
 	}
 	for _, node := range nodes {
-		wanted -= unit.fitCountOn(node)
+		wanted -= unit.potentialFitCountOn(node)
 	}
 	return wanted <= 0
 }
--- a/placing/preference.go
+++ b/placing/preference.go
@@ -8,7 +8,7 @@
 const (
 	preferOneRack      preference = iota // all tasks of a gang in one rack
 	preferDataRack                       // the rack that holds the data
-	preferHeadroom                       // headroom reserved against deferrable work
+	preferHeadroom                       // no worker that is withheld from deferrable work as headroom
 	preferOutOfBackoff                   // no worker in backoff after failures
 	preferNotIsolated                    // no worker that runs an isolated suspect task
 	preferEmptyWorker                    // an empty worker that has not recently restarted, for a suspect task
@@ -19,7 +19,7 @@
 var preferenceNames = [preferenceCount]string{"one_rack", "data_rack", "kept_clear", "rested", "apart", "empty", "other_worker"}
 
 // violatedPreferences names the preferences that some placements of a unit violate. headroom
-// holds the nodes reserved against its class.
+// holds the nodes that are withheld from its class.
 func (u *unit) violatedPreferences(placements []placement, headroom map[*node]bool, now time.Time) []string {
 	var violated [preferenceCount]bool
 	for _, p := range placements {
--- a/placing/rack_delay.go
+++ b/placing/rack_delay.go
@@ -6,12 +6,14 @@
 )
 
 const (
-	// rackDelayFactor bounds how long a step waits for a rack that suits it, as a share of its
-	// expected run time: outside of it the step takes three times as long, so waiting up to its
-	// own run time is the better choice.
-	rackDelayFactor = 1.0
-	// urgentDelayShare is the bound for urgent steps, as a share of the reclaim time. They have
-	// to start within all of it, and some need a preemption first.
+	// rackDelayShare bounds how long a step waits for a rack that suits it, as a share of its
+	// expected run time. Outside of that rack the step takes three times as long. After a wait
+	// of up to its run time it ends within twice its run time if the rack becomes free,
+	// so waiting is the better choice.
+	rackDelayShare = 1.0
+	// urgentDelayShare is the bound for urgent steps, as a share of Limits.ReclaimTimeout, the
+	// reclaim time. They have to start within the reclaim time, and some need a preemption
+	// first.
 	urgentDelayShare = 0.4
 	// reconnectTimeout is the time within which a silent worker is expected to answer again:
 	// connections that were reset are reopened by then.
@@ -37,26 +39,29 @@
 	return all[:min(len(all), len(inRack)+outside)]
 }
 
-// prefersRack reports whether the unit is slower outside of one rack.
+// prefersRack reports whether the unit prefers certain racks, as it is slower elsewhere: a gang
+// all in one rack, or a step in the rack of its data.
 func (u *unit) prefersRack() bool {
 	return u.step.spec.Gang && u.step.spec.OneRack || u.step.spec.DataRack != ""
 }
 
 // mayWaitForRack reports whether a step may still be delayed for a rack that suits it.
 func (e *Engine) mayWaitForRack(unit *unit, now time.Time) bool {
-	maxDelay := time.Duration(rackDelayFactor * float64(e.expectedRuntime(unit.job, unit.tasks[0].key.Step)))
+	maxDelay := time.Duration(rackDelayShare * float64(e.expectedRuntime(unit.job, unit.tasks[0].key.Step)))
 	if unit.tier == tierUrgent {
 		maxDelay = min(maxDelay, e.maxUrgentDelay())
 	}
 	return now.Sub(unit.step.readyAt) < maxDelay
 }
 
-// shouldWaitForRack reports whether a unit may still wait for a rack that could hold it.
+// shouldWaitForRack reports whether a unit may still be delayed for a rack, and a preferred rack
+// could hold some of it, or all of it if it is a gang.
 func (e *Engine) shouldWaitForRack(unit *unit, view *view, now time.Time) bool {
 	return e.mayWaitForRack(unit, now) && e.rackFitCount(unit, view, now) > 0
 }
 
-// rackFitCount returns how many of a unit's tasks its rack could hold; of a gang all or none.
+// rackFitCount returns how many of a unit's tasks a preferred rack could hold; of a gang all or
+// none.
 func (e *Engine) rackFitCount(unit *unit, view *view, now time.Time) int {
 	counts := e.rackFitCounts(unit, view, now)
 	if !unit.step.spec.Gang {
@@ -70,7 +75,7 @@
 	return 0
 }
 
-// rackFitCounts returns how many tasks like those of a unit each suitable rack could hold.
+// rackFitCounts returns how many tasks like those of a unit each preferred rack could hold.
 // Units of the same kind share the counts of a pass.
 func (e *Engine) rackFitCounts(unit *unit, view *view, now time.Time) map[string]int {
 	key := view.fitKeyOf(unit, true)
@@ -80,8 +85,8 @@
 	}
 	counts := map[string]int{}
 	for _, n := range e.nodeOrder {
-		if n.expectedUsable(now) && unit.eligible(n) && unit.suitsRack(n.entry.Rack) {
-			counts[n.entry.Rack] += unit.fitCountOn(n)
+		if n.expectedUsable(now) && unit.eligible(n) && unit.isPreferredRack(n.entry.Rack) {
+			counts[n.entry.Rack] += unit.potentialFitCountOn(n)
 		}
 	}
 	if cacheable {
@@ -99,7 +104,7 @@
 	}
 	for _, n := range e.nodeOrder {
 		if n.entry.ID != avoided && n.expectedUsable(unit.now) && unit.eligible(n) {
-			wanted -= unit.fitCountOn(n)
+			wanted -= unit.potentialFitCountOn(n)
 		}
 		if wanted <= 0 {
 			return true
@@ -112,18 +117,19 @@
 // or evacuated, and it answers, has not been reached in this term, or fell silent only just
 // now.
 func (n *node) expectedUsable(now time.Time) bool {
-	present := n.listed && !n.entry.Leaving && !n.evacuated
-	return present && (n.silentAt.IsZero() || now.Sub(n.silentAt) < reconnectTimeout)
+	takesNewWork := n.listed && !n.entry.Leaving && !n.evacuated
+	return takesNewWork && (n.silentAt.IsZero() || now.Sub(n.silentAt) < reconnectTimeout)
 }
 
-// suitsRack reports whether a unit may wait for a rack.
-func (u *unit) suitsRack(rack string) bool {
+// isPreferredRack reports whether a unit that prefers certain racks prefers this one: any rack
+// for a gang that is to be in one rack, otherwise the rack of its data.
+func (u *unit) isPreferredRack(rack string) bool {
 	return u.step.spec.Gang && u.step.spec.OneRack || rack == u.step.spec.DataRack
 }
 
-// fitCountOn returns how many tasks like those of a unit a node could hold beside its
-// long-running tasks.
-func (u *unit) fitCountOn(n *node) int {
+// potentialFitCountOn returns how many tasks like those of a unit a node could hold if all its
+// runs ended but those of long-running tasks that were not told to stop.
+func (u *unit) potentialFitCountOn(n *node) int {
 	free := n.entry.Capacity
 	for _, run := range n.runs {
 		if run.task.step.spec.LongRunning && run.stopSentAt.IsZero() {
--- a/placing/ready_time.go
+++ b/placing/ready_time.go
@@ -32,7 +32,7 @@
 	}
 	for _, task := range s.tasks {
 		if task.run == nil {
-			task.capacitySince = s.readyAt
+			task.ampleCapacitySince = s.readyAt
 		}
 	}
 }
--- a/placing/recently_restarted.go
+++ b/placing/recently_restarted.go
@@ -7,11 +7,11 @@
 
 const (
 	// maxUnexplainedSilences is how many workers without a just started run may fall silent
-	// within earlyLoss of a loss for the loss to count against a task. More point to a power
+	// within earlyLossWindow of a loss for the loss to count as early. More point to a power
 	// failure of a whole room, or to this instance's own connections.
 	maxUnexplainedSilences = 3
-	// recentRestartPeriod is how long a worker counts as recently restarted after a former
-	// incarnation at its address was lost: workers that crash repeatedly do so every few seconds.
+	// recentRestartPeriod is how long a worker counts as recently restarted, from the loss of a
+	// former incarnation at its address: workers that crash repeatedly do so every few seconds.
 	recentRestartPeriod = 30 * time.Second
 )
 
@@ -31,21 +31,21 @@
 }
 
 // unexplainedSilencesNear returns how many workers without a just started run fell silent within
-// earlyLoss of a moment.
+// earlyLossWindow of a moment.
 func (e *Engine) unexplainedSilencesNear(at time.Time) int {
 	count := 0
 	for _, silentAt := range e.unexplainedSilences {
-		if silentAt.Sub(at).Abs() < earlyLoss {
+		if silentAt.Sub(at).Abs() < earlyLossWindow {
 			count++
 		}
 	}
 	return count
 }
 
-// hasRecentStart reports whether a run on the node started within earlyLoss before a moment.
+// hasRecentStart reports whether a run on the node started within earlyLossWindow before a moment.
 func (n *node) hasRecentStart(at time.Time) bool {
 	for _, run := range n.runs {
-		if startedAt := run.workStartedAt(); !startedAt.IsZero() && at.Sub(startedAt) < earlyLoss {
+		if startedAt := run.workStartedAt(); !startedAt.IsZero() && at.Sub(startedAt) < earlyLossWindow {
 			return true
 		}
 	}
@@ -53,11 +53,11 @@
 }
 
 // markRecentlyRestarted marks the incarnations that follow a lost one at its address as
-// recently restarted for some time, whatever they finish meanwhile: work prefers other workers,
-// and their loss does not count against a task.
+// recently restarted for some time from the loss, whatever they finish meanwhile: work prefers
+// other workers, and their loss does not count against a task.
 func (e *Engine) markRecentlyRestarted(address string, now time.Time) {
 	if address == "" {
-		return // of an incarnation known from the log alone
+		return // the incarnation is known from the log alone
 	}
 	for a, until := range e.recentlyRestarted {
 		if now.After(until) {
--- a/placing/runs.go
+++ b/placing/runs.go
@@ -99,7 +99,7 @@
 	run.phase = phaseRunning
 	run.startedAt = now
 	run.percentAt = now
-	run.task.capacitySince = time.Time{}
+	run.task.ampleCapacitySince = time.Time{}
 	if !run.task.step.spec.LongRunning {
 		run.task.startBackoff = startBackoff{}
 	}
--- a/placing/sim_evacuation_test.go
+++ b/placing/sim_evacuation_test.go
@@ -13,7 +13,7 @@
 // evacuated. The leader reads it some time later, a new leader before its first pass.
 func (s *simulation) toggleEvacuation() {
 	s.recordFault()
-	zone := s.workers[s.rng.IntN(len(s.workers))].entry.Zone
+	zone := s.incarnations[s.rng.IntN(len(s.incarnations))].entry.Zone
 	if s.evacuated[zone] {
 		delete(s.evacuated, zone)
 	} else {
--- a/placing/sim_idle_test.go
+++ b/placing/sim_idle_test.go
@@ -121,7 +121,7 @@
 
 func (s *simulation) currentFleet() *fleet {
 	f := &fleet{sim: s, runningSteps: map[jobs.TaskKey]bool{}, runningTasks: map[jobs.TaskKey]bool{}, runningJobs: map[string]bool{}, done: map[jobs.TaskKey]bool{}}
-	for _, worker := range s.workers {
+	for _, worker := range s.incarnations {
 		if !worker.up {
 			continue
 		}
@@ -202,7 +202,7 @@
 
 // mayStillRun reports whether a unit may still run without the leader being able to know: the
 // log places it on a removed worker that has never answered this leader, and a former leader
-// may have granted it a lease that has not lapsed.
+// may have granted it a lease that has not expired.
 func (f *fleet) mayStillRun(unit waitingUnit) bool {
 	granted := f.sim.delays.lastLeaderChangeAt.Add(LeaseExpiry(testLimits.MaxLease) + testLimits.LostLeaderTimeout)
 	if f.sim.now.After(granted) {
@@ -290,7 +290,7 @@
 	if s.delays == nil {
 		return
 	}
-	for _, worker := range s.workers {
+	for _, worker := range s.incarnations {
 		if !worker.partitionedUntil.After(s.now) {
 			s.delays.lastFaultAt = laterTime(s.delays.lastFaultAt, worker.partitionedUntil)
 		}
--- a/placing/sim_mixed_test.go
+++ b/placing/sim_mixed_test.go
@@ -170,7 +170,7 @@
 		}
 		total += largest
 	}
-	return float64(total) / float64(int64(workers)*weightedCores(s.workers[0].entry.Capacity))
+	return float64(total) / float64(int64(workers)*weightedCores(s.incarnations[0].entry.Capacity))
 }
 
 func (s *simulation) allEnded() bool {
--- a/placing/sim_orders_test.go
+++ b/placing/sim_orders_test.go
@@ -43,7 +43,7 @@
 }
 
 func (s *simulation) findWorker(id string) *modelWorker {
-	for _, worker := range s.workers {
+	for _, worker := range s.incarnations {
 		if worker.entry.ID == id {
 			return worker
 		}
--- a/placing/sim_test.go
+++ b/placing/sim_test.go
@@ -21,9 +21,9 @@
 	lastSeq        int
 	table          *jobs.Table
 	offset         int64
-	logEpoch       int64 // highest epoch that wrote to the log
+	logEpoch       int64 // lowest epoch whose writes the log accepts: that of the newest leader
 	leader         *modelLeader
-	workers        []*modelWorker         // all incarnations, oldest first
+	incarnations   []*modelWorker         // of all workers, oldest first
 	listing        map[string]WorkerEntry // worker list, by name
 	workersCreated int
 	faultsDisabled bool // no more faults are injected
@@ -72,9 +72,9 @@
 	epoch          int64
 	deposed        bool
 	acks           map[string]int64
-	leaseExpiresAt map[string]time.Time
+	leaseExpiresAt map[string]time.Time // when the requested leases have certainly expired, see LeaseExpiry
 	answered       map[string]bool
-	leaseUntil     map[string]time.Time // requested leases
+	leaseUntil     map[string]time.Time // end of the leases that it requests with its orders
 	lastAnswerAt   map[string]time.Time // time of the latest answer
 	links          map[string]bool      // incarnations with an open link
 	evacuated      map[string]bool      // zones that it knows as evacuated
@@ -97,7 +97,7 @@
 	entry            WorkerEntry
 	up               bool
 	partitionedUntil time.Time // end of the partition
-	fence            int64
+	fence            int64     // highest epoch of an order; orders of lower epochs are rejected
 	leaseUntil       time.Time
 	running          map[jobs.TaskKey]*modelRun
 	highestEndedRun  map[jobs.TaskKey]int // highest run number stopped or ended there
@@ -131,7 +131,8 @@
 	s.addIncarnation(fmt.Sprintf("w%03d", s.workersCreated), fmt.Sprintf("r1-%d", s.workersCreated%s.rackCount))
 }
 
-// replaceWorker adds a new worker in place of a removed one.
+// replaceWorker adds a new worker in place of a removed one. In a simulation with a sole worker
+// it is in the same rack, so each rack keeps its number of workers.
 func (s *simulation) replaceWorker(lost *modelWorker) {
 	if s.soleWorker == "" {
 		s.addWorker()
@@ -141,7 +142,8 @@
 	s.addIncarnation(fmt.Sprintf("w%03d", s.workersCreated), lost.entry.Rack)
 }
 
-// addIncarnation starts a new incarnation of a worker, without any state of former ones.
+// addIncarnation starts a new incarnation of a worker, without any state of former ones. Each
+// rack is an availability zone of its own.
 func (s *simulation) addIncarnation(name, rack string) *modelWorker {
 	entry := testWorker(name, rack)
 	entry.Zone = rack
@@ -152,15 +154,15 @@
 		entry.Labels = append(entry.Labels, soleLabel)
 	}
 	worker := &modelWorker{entry: entry, up: true, running: map[jobs.TaskKey]*modelRun{}, highestEndedRun: map[jobs.TaskKey]int{}, endTimes: map[int64]time.Time{}}
-	s.workers = append(s.workers, worker)
+	s.incarnations = append(s.incarnations, worker)
 	return worker
 }
 
 // currentIncarnation returns the newest incarnation of a worker.
 func (s *simulation) currentIncarnation(name string) *modelWorker {
-	for i := len(s.workers) - 1; i >= 0; i-- {
-		if s.workers[i].entry.Name == name {
-			return s.workers[i]
+	for i := len(s.incarnations) - 1; i >= 0; i-- {
+		if s.incarnations[i].entry.Name == name {
+			return s.incarnations[i]
 		}
 	}
 	panic("unknown worker")
@@ -185,6 +187,8 @@
 	})
 }
 
+// chance reports whether to inject a fault of the given probability; never while faults are
+// disabled.
 func (s *simulation) chance(percent int) bool { return !s.faultsDisabled && s.rng.IntN(100) < percent }
 
 func (s *simulation) violationf(format string, args ...any) {
@@ -208,7 +212,7 @@
 		s.now = s.now.Add(simTick)
 		onTick()
 		s.deliverEvents()
-		for _, worker := range s.workers {
+		for _, worker := range s.incarnations {
 			s.advanceWorker(worker)
 		}
 		s.checkDuplicateRuns()
@@ -252,7 +256,7 @@
 func (s *simulation) readWorkerList(l *modelLeader) {
 	var entries []WorkerEntry
 	seen := map[string]bool{}
-	for _, worker := range s.workers {
+	for _, worker := range s.incarnations {
 		name := worker.entry.Name
 		if seen[name] || s.removed[name] {
 			continue
@@ -299,6 +303,7 @@
 	}
 }
 
+// executePlan carries out the plan of a leader. An append to the log takes 4 ms.
 func (s *simulation) executePlan(l *modelLeader, plan Plan) {
 	if len(plan.Records) > 0 {
 		s.schedule(4*time.Millisecond, func() {
--- a/placing/sim_workers_test.go
+++ b/placing/sim_workers_test.go
@@ -74,7 +74,7 @@
 			remaining = append(remaining, end)
 			continue
 		}
-		// An end before the lease lapsed doesn't count as acknowledged after it.
+		// An end before the lease expired doesn't count as acknowledged after it.
 		if end.Kind == EndDone && worker.endTimes[end.Number].After(worker.leaseExpiredAt) {
 			s.ackedDone[end.Task] = true
 		}
@@ -109,7 +109,7 @@
 }
 
 // advanceWorker ends the runs of a worker that are complete, or all of them when the lease has
-// lapsed.
+// expired.
 func (s *simulation) advanceWorker(worker *modelWorker) {
 	if !worker.up {
 		return
@@ -154,7 +154,7 @@
 func (s *simulation) advanceGang(worker *modelWorker, run *modelRun) {
 	running, latest := 0, time.Time{}
 	var members []*modelWorker
-	for _, other := range s.workers {
+	for _, other := range s.incarnations {
 		for key, candidate := range other.running {
 			if other.up && key.Job == run.key.Job && key.Step == run.key.Step && candidate.number == run.number {
 				running++
@@ -203,7 +203,7 @@
 // checkDuplicateRuns checks that no task has two runs at the same time.
 func (s *simulation) checkDuplicateRuns() {
 	seen := map[jobs.TaskKey]string{}
-	for _, worker := range s.workers {
+	for _, worker := range s.incarnations {
 		if !worker.up {
 			continue
 		}
@@ -221,7 +221,7 @@
 	if s.rng.IntN(60) != 0 || s.faultsDisabled {
 		return
 	}
-	worker := s.currentIncarnation(s.workers[s.rng.IntN(len(s.workers))].entry.Name)
+	worker := s.currentIncarnation(s.incarnations[s.rng.IntN(len(s.incarnations))].entry.Name)
 	switch s.rng.IntN(8) {
 	case 7:
 		s.toggleEvacuation()
@@ -270,7 +270,7 @@
 
 func (s *simulation) countUpWorkers() int {
 	count := 0
-	for _, worker := range s.workers {
+	for _, worker := range s.incarnations {
 		if worker.up {
 			count++
 		}
--- a/placing/start_delay.go
+++ b/placing/start_delay.go
@@ -9,7 +9,8 @@
 // because the capacity is reserved for other work. This file logs which preferences delay a
 // step, for how long and with how much free capacity, and bounds the delay: in a pool that is
 // mostly idle, and for long-running tasks in any pool, a step that fits twice starts within
-// some seconds on any usable workers.
+// some seconds on any usable workers. The tasks of a step are handled by unit: a gang as a
+// whole, suspect tasks each on its own, the other waiting tasks of a step together.
 
 const (
 	// delayCheckInterval is the time between two checks for delayed steps.
@@ -21,15 +22,17 @@
 	delayLogInterval = 2 * time.Second
 	maxDelayLogs     = 8
 	// overdueAfter is the time within which users expect a ready step to start in an idle pool
-	// with ample capacity.
+	// with ample capacity. A step that waits longer is logged as overdue.
 	overdueAfter = 3 * time.Second
 	// maxStartDelay is how long preferences may delay a step in such a pool. Up to two check
-	// intervals, the record and the start come on top.
+	// intervals pass in addition, and the time to append the placement record and to send the
+	// start.
 	maxStartDelay = 2 * time.Second
 	// firstReportTimeout is the time within which the workers of a pool report to a new leader.
 	firstReportTimeout = time.Second
-	// idlePoolUse is the share in use, in cores, below which a pool counts as idle. Reserved
-	// headroom depends instead on the resource with the highest use, see minUsedShare.
+	// idlePoolUse is the share of a pool's capacity in use below which the pool counts as idle.
+	// Accelerators and cores are summed by their value in cores, see milliCoreEquivalents.
+	// Reserved headroom depends instead on the resource with the highest use, see minUsedShare.
 	idlePoolUse = 0.5
 	// ampleFitFactor is how many times a gang, or a task that starts alone, must fit for the
 	// capacity to count as ample.
@@ -38,13 +41,13 @@
 
 // delayCheck is one check for steps that preferences delay.
 type delayCheck struct {
-	engine    *Engine
-	now       time.Time
-	usable    *view                   // all usable nodes; nil until it is needed
-	headroom  [classes]map[*node]bool // nodes reserved as headroom against a class of work
-	poolUse   map[string]float64      // share in use, by pool
-	fitCounts map[fitKey]int          // by kind of task: how many fit
-	logged    int                     // steps that were logged
+	engine          *Engine
+	now             time.Time
+	usable          *view                   // all usable nodes; nil until it is needed
+	headroom        [classes]map[*node]bool // by class of work: nodes withheld from it as headroom
+	poolSharesInUse map[string]float64      // by pool, see poolShareInUse
+	freeFitCounts   map[fitKey]int          // by kind of task, see freeFitCount
+	logged          int                     // steps that were logged
 }
 
 // startDelayedUnits places units that preferences have delayed for long enough, and logs why others
@@ -55,22 +58,23 @@
 		return
 	}
 	e.delaysCheckedAt = now
-	check := &delayCheck{engine: e, now: now, poolUse: map[string]float64{}, fitCounts: map[fitKey]int{}}
+	check := &delayCheck{engine: e, now: now, poolSharesInUse: map[string]float64{}, freeFitCounts: map[fitKey]int{}}
 	check.trackIdlePools()
 	for _, unit := range units {
 		waiting := unit.unplaced()
 		if len(waiting.tasks) == 0 {
 			continue
 		}
-		if check.usable == nil && (check.poolIdle(unit) || check.shouldLog(unit)) {
+		if check.usable == nil && (check.delayBoundApplies(unit) || check.shouldLog(unit)) {
 			check.headroom = view.headroomNodes()
 			check.usable = e.usableView(now)
 		}
-		check.checkUnit(waiting)
+		check.startOrLogUnit(waiting)
 	}
 }
 
-// unplaced returns the tasks of a unit that have no run, as a unit without preferences.
+// unplaced returns the tasks of a unit that have no run, as a unit without preferences: it may
+// use reserved headroom, and workers that are not empty even if it is suspect.
 func (u *unit) unplaced() *unit {
 	unplaced := *u
 	unplaced.tasks = nil
@@ -97,8 +101,9 @@
 	return e.viewOf(nodes)
 }
 
-// checkUnit places the tasks of a unit that must start now, or logs what delays it.
-func (c *delayCheck) checkUnit(unit *unit) {
+// startOrLogUnit places the tasks of a unit that must start now, and logs what delayed it, or
+// what delays the unit if none of its tasks must start.
+func (c *delayCheck) startOrLogUnit(unit *unit) {
 	c.trackAmpleCapacity(unit)
 	mustStart := c.mustStart(unit)
 	if len(mustStart.tasks) == 0 && !c.shouldLog(unit) {
@@ -115,32 +120,32 @@
 	}
 	if len(placements) > 0 && candidate == mustStart {
 		c.engine.assumeUnit(mustStart, placements, c.usable, c.now)
-		delete(c.poolUse, unit.job.queue.Pool)
-		clear(c.fitCounts)
+		delete(c.poolSharesInUse, unit.job.queue.Pool)
+		clear(c.freeFitCounts)
 	} else if reservation != nil {
 		unit.reserve(reservation, c.usable)
 	}
 }
 
 // trackAmpleCapacity records since when the tasks of a unit have waited in an idle pool with
-// ample capacity while no task of their job was running. Each long-running task is expected
-// to run.
+// ample capacity although users expect them to run, see expectedToRun.
 func (c *delayCheck) trackAmpleCapacity(unit *unit) {
-	ample := unit.expectedToRun() && c.poolIdle(unit) && c.hasAmpleCapacity(unit)
+	ample := unit.expectedToRun() && c.delayBoundApplies(unit) && c.hasAmpleCapacity(unit)
 	for _, task := range unit.tasks {
 		if !ample {
-			task.capacitySince = time.Time{}
-		} else if task.capacitySince.IsZero() {
-			task.capacitySince = c.now
+			task.ampleCapacitySince = time.Time{}
+		} else if task.ampleCapacitySince.IsZero() {
+			task.ampleCapacitySince = c.now
 		}
 	}
 }
 
 // expectedToRun reports whether users expect some of a unit's tasks to run: no task of its job
-// runs, or its tasks are long-running.
+// runs, or its tasks are long-running, each of which is expected to run whatever else of the
+// job does.
 func (u *unit) expectedToRun() bool { return u.step.spec.LongRunning || !u.job.hasRunningTask() }
 
-// hasRunningTask reports whether a task of the job runs on a worker that answers.
+// hasRunningTask reports whether a task of the job is known to run: its worker answers.
 func (j *job) hasRunningTask() bool {
 	for _, occurrence := range j.occurrences {
 		for _, step := range occurrence.steps {
@@ -163,7 +168,7 @@
 		return &mustStart
 	}
 	for _, task := range unit.tasks {
-		if !task.capacitySince.IsZero() && c.now.Sub(task.capacitySince) >= maxStartDelay {
+		if !task.ampleCapacitySince.IsZero() && c.now.Sub(task.ampleCapacitySince) >= maxStartDelay {
 			mustStart.tasks = append(mustStart.tasks, task)
 		}
 	}
@@ -174,7 +179,7 @@
 }
 
 // workersReported reports whether the workers of a step's pool have reported to this leader,
-// or have had the time to.
+// or have had firstReportTimeout to do so since the leader first found the step ready.
 func (c *delayCheck) workersReported(step *step) bool {
 	if c.now.Sub(step.observedReadyAt) >= firstReportTimeout {
 		return true
@@ -187,16 +192,16 @@
 	return true
 }
 
-// poolIdle reports whether a unit's pool is idle; for long-running tasks every pool counts as
-// idle.
-func (c *delayCheck) poolIdle(unit *unit) bool {
-	return unit.step.spec.LongRunning || c.shareInUse(unit.job.queue.Pool) < idlePoolUse
+// delayBoundApplies reports whether the delay of a unit is bounded if there is ample capacity:
+// its pool is idle, or its tasks are long-running, for which every pool counts as idle.
+func (c *delayCheck) delayBoundApplies(unit *unit) bool {
+	return unit.step.spec.LongRunning || c.poolShareInUse(unit.job.queue.Pool) < idlePoolUse
 }
 
-// shareInUse returns the share in use, in cores, of the present workers of a pool; 1 if none
-// is present.
-func (c *delayCheck) shareInUse(pool string) float64 {
-	if cached, ok := c.poolUse[pool]; ok {
+// poolShareInUse returns the share in use of a pool's capacity, in core equivalents. It counts
+// the workers that are listed, not silent and not evacuated, and is 1 if there are none.
+func (c *delayCheck) poolShareInUse(pool string) float64 {
+	if cached, ok := c.poolSharesInUse[pool]; ok {
 		return cached
 	}
 	var used, total int64
@@ -206,11 +211,11 @@
 			total += milliCoreEquivalents(n.entry.Capacity)
 		}
 	}
-	c.poolUse[pool] = 1
+	c.poolSharesInUse[pool] = 1
 	if total > 0 {
-		c.poolUse[pool] = ratio(used, total)
+		c.poolSharesInUse[pool] = ratio(used, total)
 	}
-	return c.poolUse[pool]
+	return c.poolSharesInUse[pool]
 }
 
 // hasAmpleCapacity reports whether a unit's gang, or a task of it that starts alone, fits
@@ -220,14 +225,17 @@
 	if unit.step.spec.Gang {
 		wanted *= len(unit.tasks)
 	}
-	return c.fitCount(unit) >= wanted
+	return c.freeFitCount(unit) >= wanted
 }
 
-// fitCount returns how many tasks like those of a unit fit on workers that may run them.
-func (c *delayCheck) fitCount(unit *unit) int {
+// freeFitCount returns how many tasks like those of a unit fit into the free capacity of the
+// workers that may run them. Counts are not cached for steps with advice, as their tickets
+// differ, nor for steps with a limit for each worker. An expired ticket counts, as it can be
+// requested again.
+func (c *delayCheck) freeFitCount(unit *unit) int {
 	key := c.usable.fitKeyOf(unit, false)
 	cacheable := unit.step.spec.MaxPerWorker == 0 && !unit.job.queue.NeedsAdvice
-	if cached, ok := c.fitCounts[key]; ok && cacheable {
+	if cached, ok := c.freeFitCounts[key]; ok && cacheable {
 		return cached
 	}
 	count := 0
@@ -237,7 +245,7 @@
 		}
 	}
 	if cacheable {
-		c.fitCounts[key] = count
+		c.freeFitCounts[key] = count
 	}
 	return count
 }
--- a/placing/start_delay_log.go
+++ b/placing/start_delay_log.go
@@ -21,7 +21,7 @@
 		last := pools[pool]
 		switch {
 		case last.sampledAt.Equal(c.now):
-		case c.shareInUse(pool) >= idlePoolUse:
+		case c.poolShareInUse(pool) >= idlePoolUse:
 			pools[pool] = idlePool{since: time.Time{}, sampledAt: c.now}
 		case last.since.IsZero() || c.now.Sub(last.sampledAt) > maxIdleSampleGap:
 			pools[pool] = idlePool{since: c.now, sampledAt: c.now}
@@ -62,6 +62,6 @@
 	violated := unit.violatedPreferences(placements, c.headroom[unit.step.class()], c.now)
 	c.engine.logEvent(event, unit.job, "", "step "+strconv.Itoa(unit.tasks[0].key.Step)+" tasks "+strconv.Itoa(len(unit.tasks))+
 		" tier "+strconv.Itoa(int(unit.tier))+" waited_ms "+strconv.FormatInt(c.now.Sub(unit.step.readyAt).Milliseconds(), 10)+
-		" for "+strings.Join(violated, ",")+" room_for "+strconv.Itoa(c.fitCount(unit))+
-		" pool_used_percent "+strconv.Itoa(int(100*c.shareInUse(unit.job.queue.Pool))))
+		" for "+strings.Join(violated, ",")+" room_for "+strconv.Itoa(c.freeFitCount(unit))+
+		" pool_used_percent "+strconv.Itoa(int(100*c.poolShareInUse(unit.job.queue.Pool))))
 }
--- a/placing/worker.go
+++ b/placing/worker.go
@@ -53,7 +53,7 @@
 	EndDone           EndKind = "done"
 	EndFailed         EndKind = "failed"  // by a fault of the task or of the worker
 	EndStopped        EndKind = "stopped" // by a stop order
-	EndLeaseExpired   EndKind = "lapsed"  // its lease ran out
+	EndLeaseExpired   EndKind = "lapsed"  // its lease expired
 	EndGangBroken     EndKind = "broken"  // another member of its gang ended
 	EndGangIncomplete EndKind = "alone"   // the gang was not complete in time
 )
--- a/scheduler/cluster.go
+++ b/scheduler/cluster.go
@@ -13,14 +13,14 @@
 	rack         *rack
 	free         int
 	guaranteed   int // accelerators here that the witness assigns to guarantees
-	pinned       int // accelerators of pinned runs outside guarantees
+	pinned       int // accelerators of pinned runs outside the slots
 	up           bool
 	quarantined  bool
 	evacuated    bool // its availability zone takes no new work
 	runs         []*run
 	reservations []*reservation
 	backoffUntil Time // end of the backoff after a refused start
-	blameTracker
+	failureTracker
 }
 
 func (n *node) usable() bool { return n.up && !n.quarantined && !n.evacuated }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -145,13 +145,14 @@
 	Detail  string
 }
 
-// Quarantine takes a worker out of use, or returns it to use if Lifted.
+// Quarantine takes a worker out of use, or returns it to full use if Lifted: not when the
+// quarantine is over, but when the worker has passed the probation that follows.
 type Quarantine struct {
 	Worker string
 	Lifted bool
 }
 
-// GuaranteeUnfit reports that the live workers cannot hold a guaranteed shape, or that they
+// GuaranteeUnfit reports that the trusted workers cannot hold a guaranteed shape, or that they
 // can again if Restored.
 type GuaranteeUnfit struct {
 	Workspace string
--- a/scheduler/blame.go
+++ b/scheduler/failures.go
@@ -9,15 +9,19 @@
 	quarantineFailures = 3
 	// quarantineDivisor bounds the quarantined workers to one in 10.
 	quarantineDivisor = 10
-	// maxJobFailures is the number of different workers on which a job fails before it is
-	// taken to be at fault itself.
-	maxJobFailures  = 3
+	// maxJobFailures is the number of counted failures at which a job is taken to be at fault
+	// itself: one for each different worker that it failed on, and those of job.failures.
+	maxJobFailures = 3
+	// minProbeBackoff and maxProbeBackoff bound the length of a quarantine. It doubles with each
+	// quarantine of a worker until the worker has passed its probation.
 	minProbeBackoff = 2 * Minute
 	maxProbeBackoff = 30 * Minute
-	minProbeSlack   = 10 * Minute // least slack of a job that may run on a worker on probation
+	// minProbeSlack and maxProbeRunTime are the least slack and the longest expected run time of
+	// a probe: a job that may run on a worker on probation.
+	minProbeSlack   = 10 * Minute
 	maxProbeRunTime = 30 * Minute
-	// suspectTimeout is how long after a failure on a worker the jobs that suspect it wait for
-	// other workers. Those may be in use for days.
+	// suspectTimeout is how long after a failure on a worker, or after its quarantine, the jobs
+	// that suspect it wait for other workers. Those may be in use for days.
 	suspectTimeout = 60 * Minute
 )
 
@@ -25,29 +29,30 @@
 type avoidance int
 
 const (
-	avoidSuspects       avoidance = iota // all suspect workers, and those that refused their last start
+	avoidSuspects       avoidance = iota // all suspect workers, and those that refused the last start sent to them
 	avoidRecentSuspects                  // suspect workers until their suspectUntil; used if no other worker is free
 	avoidNone                            // no worker; used if the job does not fit without suspect workers
 )
 
-// blameTracker records the failures of a worker.
-type blameTracker struct {
-	failedJobs   []*job // different jobs that failed here since the last success
-	refusedStart bool   // it did not start a run and has started none since
-	probation    bool   // back from quarantine, usable by one probe run at a time
-	nextProbe    Time   // when the quarantine ends
-	probeBackoff Time
-	suspectUntil Time // until then, jobs that suspect the worker wait for others
+// failureTracker records the failures of a worker.
+type failureTracker struct {
+	failedJobs       []*job // different jobs that failed here since the last success
+	refusedStart     bool   // it refused to start a run and has started none since
+	probation        bool   // back from quarantine, usable by one probe run at a time
+	quarantinedUntil Time   // when the quarantine ends and probation begins
+	probeBackoff     Time   // length of the last quarantine; 0 after a passed probation
+	suspectUntil     Time   // until then, jobs that suspect the worker wait for others
 }
 
 // isSuspect reports whether a job should avoid a node: the job failed there, or other jobs did
-// and this one can run only once, or the node is on probation and the job is no probe.
+// and this one is pinned, or the node is on probation and the job is no probe.
 func (s *Scheduler) isSuspect(n *node, j *job, now Time) bool {
 	return j.failedOn(n) || j.pinned() && len(n.failedJobs) > 0 || n.probation && !s.canProbe(n, j, now)
 }
 
 // fallbackAvoidance is the avoidance for a second attempt to place a job after avoidSuspects
-// found no placement.
+// found no placement. If that avoided no worker, it is avoidSuspects again, and a second attempt
+// would be in vain.
 func (s *Scheduler) fallbackAvoidance(j *job, now Time) avoidance {
 	switch {
 	case !slices.ContainsFunc(s.cluster.nodes, func(n *node) bool { return n.refusedStart || s.isSuspect(n, j, now) }):
@@ -71,7 +76,8 @@
 }
 
 // recordFailure records a failed task and attributes the fault to the worker or the job. It
-// returns true if the job ends.
+// returns true if the job ends. n is nil if the worker is not known; the failure then counts
+// against the job. A failure on a worker on probation does not: the worker is quarantined again.
 func (s *Scheduler) recordFailure(j *job, n *node, now Time) (actions []Action, jobEnds bool) {
 	if n == nil {
 		j.failures++
@@ -94,15 +100,15 @@
 	return actions, len(j.failedNodes)+j.failures >= maxJobFailures
 }
 
-// quarantine takes a worker out of use unless too many are quarantined already. The jobs that
-// failed there no longer count the failure.
+// quarantine takes a worker out of use. Unless the worker is on probation, it does nothing if too
+// many are quarantined already. The jobs that failed there no longer count the failure.
 func (s *Scheduler) quarantine(n *node, now Time) []Action {
 	if !n.probation && s.quarantined >= max(1, len(s.cluster.nodes)/quarantineDivisor) {
 		return nil
 	}
 	n.probeBackoff = min(max(2*n.probeBackoff, minProbeBackoff), maxProbeBackoff)
-	n.nextProbe = now + n.probeBackoff
-	n.suspectUntil = n.nextProbe + suspectTimeout
+	n.quarantinedUntil = now + n.probeBackoff
+	n.suspectUntil = n.quarantinedUntil + suspectTimeout
 	n.probation = false
 	for _, j := range n.failedJobs {
 		j.forgetFailure(n)
@@ -124,7 +130,8 @@
 	}
 }
 
-// recordSuccess records a finished run on workers and ends their probation.
+// recordSuccess records a finished run on workers and ends their probation. A success also
+// starts the count of failed jobs of each worker anew.
 func (s *Scheduler) recordSuccess(nodes []*node) []Action {
 	var actions []Action
 	for _, n := range nodes {
@@ -140,14 +147,14 @@
 	return actions
 }
 
-// endQuarantines puts quarantined workers on probation when their backoff is over. They take
-// one small job at a time.
+// endQuarantines puts quarantined workers on probation when their quarantine is over. They take
+// one small job at a time, see canProbe.
 func (s *Scheduler) endQuarantines(now Time) {
 	if s.quarantined == 0 {
 		return
 	}
 	for _, n := range s.cluster.nodes {
-		if n.quarantined && now >= n.nextProbe {
+		if n.quarantined && now >= n.quarantinedUntil {
 			s.cluster.update(n, func() { n.quarantined = false })
 			n.probation = true
 			s.quarantined--
--- a/scheduler/layout.go
+++ b/scheduler/layout.go
@@ -6,7 +6,8 @@
 	"github.com/teaselcleat/teaselcleat/structs"
 )
 
-// maxLayoutSteps bounds the exact search for a layout. Beyond it the greedy layout is used.
+// maxLayoutSteps bounds the exact search for a layout, a placement of all slots. Beyond it the
+// slots are placed greedily.
 const maxLayoutSteps = 20_000
 
 type layoutBudget struct{ steps int }
--- a/scheduler/loss.go
+++ b/scheduler/loss.go
@@ -4,9 +4,9 @@
 // that crashes its workers does so soon after its start and would otherwise be placed again
 // without bound.
 const (
-	// earlyLoss is how soon after its start the loss of a run counts against its job. Jobs run
+	// earlyLossWindow is how soon after its start the loss of a run counts against its job. Jobs run
 	// for hours, and a lost worker is noticed within seconds.
-	earlyLoss = Minute
+	earlyLossWindow = Minute
 	// maxEarlyLosses is the number of early losses in a row that end a job.
 	maxEarlyLosses = 3
 	// maxUnrelatedLosses is the number of jobs that may lose a run within lossWindow. If more
@@ -24,7 +24,7 @@
 // recordLoss records that a run was lost with a worker. It returns true if the job ends.
 func (s *Scheduler) recordLoss(r *run, now Time) bool {
 	j := r.job
-	if now-r.started >= earlyLoss {
+	if now-r.started >= earlyLossWindow {
 		j.earlyLosses = 0
 		return false
 	}
--- a/scheduler/pinned.go
+++ b/scheduler/pinned.go
@@ -63,8 +63,8 @@
 }
 
 // assignAroundRun assigns an unplaced slot to the workers of a run of its workspace that uses
-// no guarantee, plus others of the same rack. Otherwise a pinned run would take capacity in
-// addition to the guarantee it could use.
+// no guarantee, plus others of the same rack, and puts the run inside the slot. Otherwise a
+// pinned run would take capacity in addition to the guarantee it could use.
 func (s *Scheduler) assignAroundRun(unplaced *slot) bool {
 	for _, n := range s.cluster.nodes {
 		for _, r := range n.runs {
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -15,10 +15,10 @@
 	run         *run  // nil while queued
 	runCount    int
 	preemptions int
-	failures    int
-	failedNodes []*node
-	earlyLosses int  // runs in a row lost soon after their start
-	progress    Time // run time preserved by checkpoints
+	failures    int     // failures on unknown workers, and repeated ones on a worker while no other worker would do
+	failedNodes []*node // workers that it failed on and that were not quarantined since
+	earlyLosses int     // runs in a row lost soon after their start
+	progress    Time    // run time preserved by checkpoints
 	resume      bool
 	latestStart Time // deadline less the estimated remaining run time, as of the last enqueue
 	order       Time // latestStart less orderBoost
@@ -30,7 +30,8 @@
 	avoidance   avoidance
 }
 
-// pinned reports whether runs of the job may not be stopped for others.
+// pinned reports whether runs of the job may not be stopped for others, as the job may not be
+// repeated.
 func (j *job) pinned() bool { return !j.spec.Idempotent || j.spec.Pinned }
 
 func (j *job) failedOn(n *node) bool {
--- a/scheduler/witness.go
+++ b/scheduler/witness.go
@@ -7,13 +7,15 @@
 	"github.com/teaselcleat/teaselcleat/targets"
 )
 
-// slot is one guaranteed shape and the workers that stay reclaimable for it.
+// slot is one guaranteed shape and the workers that stay reclaimable for it. A run is inside
+// the slot on a worker if it uses the slot's accelerators there, see run.slots, and outside
+// otherwise.
 type slot struct {
 	workspace string
 	shape     structs.Shape
-	nodes     []*node // one per member; nil while the live workers cannot hold the shape
-	used      []int   // accelerators of runs inside the slot, by member
-	unfit     bool    // reported by GuaranteeUnfit
+	nodes     []*node // one per member; nil while the trusted workers cannot hold the shape
+	used      []int   // accelerators in use by runs inside the slot, by member
+	unfit     bool    // reported as unfit by the last GuaranteeUnfit action for it
 }
 
 // idle reports whether no run is inside the slot.
@@ -49,9 +51,10 @@
 	return -1
 }
 
-// witness is a packing of all guaranteed shapes at once. On each worker, the guaranteed
-// accelerators and those of pinned runs fit together, so every shape can be reclaimed by
-// stopping runs that can be repeated.
+// witness is a placement of all guaranteed shapes at once, which proves that the guarantees
+// can be met together. On each worker, the guaranteed accelerators and those of pinned runs
+// outside the slots fit together, so every shape can be reclaimed by stopping runs that can be
+// repeated. A run is pinned if its job may not be repeated, see job.pinned.
 type witness struct {
 	slots       []*slot
 	byWorkspace map[string][]*slot
@@ -152,9 +155,10 @@
 	return feasible[:shape.Members:shape.Members], left - shape.Total()
 }
 
-// repair assigns workers to every broken slot if the live workers allow it. It calls detach
-// for a slot that must leave its runs behind; assignAroundRun tries to assign a slot to the
-// workers of a run of its workspace.
+// repair assigns workers to every slot that needs it, if the trusted workers allow it. Before a
+// slot moves to other workers, it calls detach, which turns the runs inside the slot into runs
+// outside it. assignAroundRun tries to assign a slot to the workers of a run of its workspace,
+// so that the run is inside the slot.
 func (w *witness) repair(c *cluster, detach func(*slot), assignAroundRun func(*slot) bool) {
 	var unplaced []*slot
 	for _, s := range w.slots {
@@ -192,8 +196,9 @@
 	return idle
 }
 
-// movableSlots are the slots whose inside runs can all be stopped. Such a run may stay behind
-// outside the guarantee, which can be reclaimed for it elsewhere.
+// movableSlots are the slots without pinned runs inside them. When such a slot moves, the runs
+// inside it stay on their workers and are outside the guarantee from then on. They may be
+// stopped there, and the guarantee can be reclaimed for them elsewhere.
 func (w *witness) movableSlots() []*slot {
 	var movable []*slot
 	for _, s := range w.slots {
@@ -224,9 +229,10 @@
 	return false
 }
 
-// repairSlot replaces lost members within the rack, or else moves the whole slot.
+// repairSlot replaces untrusted members within the rack, or else moves the whole slot. It reports
+// whether the slot has trusted workers afterwards.
 func (w *witness) repairSlot(c *cluster, s *slot, detach func(*slot), assignAroundRun func(*slot) bool) bool {
-	if s.nodes != nil && s.replaceLostMembers() {
+	if s.nodes != nil && s.replaceUntrustedMembers() {
 		return true
 	}
 	detach(s)
@@ -242,9 +248,10 @@
 	return true
 }
 
-// replaceLostMembers replaces each member that is not trusted by another worker of the rack. It
-// reports false if a run is inside the slot there or no worker has enough spare accelerators.
-func (s *slot) replaceLostMembers() bool {
+// replaceUntrustedMembers replaces each member that is not trusted by another worker of the
+// rack. It stops and reports false at the first one that has a run inside the slot or for which
+// no worker has enough spare accelerators; members before it may have been replaced then.
+func (s *slot) replaceUntrustedMembers() bool {
 	r := s.nodes[0].rack
 	for i, n := range s.nodes {
 		if n.trusted() {
