--- a/placing/loss.go
+++ b/placing/loss.go
@@ -94,7 +94,7 @@
 // countLoss counts the loss of a run's worker against its task. Each run counts once,
 // even if several workers of a gang were lost under it. A loss is not
 // early if more than maxUnexplainedSilences workers without a just started run fall silent
-// within earlyLossWindow of it.
+// within earlyLossWindow of it. The log names a recently restarted worker "unsteady".
 func (e *Engine) countLoss(run *run, now time.Time) {
 	task := run.task
 	if run.phase == phasePlanned || task.run != run || task.done || task.step.job.state.Final() || run.number <= task.losses.lastRun {
--- a/placing/preference.go
+++ b/placing/preference.go
@@ -16,6 +16,7 @@
 	preferenceCount
 )
 
+// preferenceNames holds the names in log events, by preference.
 var preferenceNames = [preferenceCount]string{"one_rack", "data_rack", "kept_clear", "rested", "apart", "empty", "other_worker"}
 
 // violatedPreferences names the preferences that some placements of a unit violate. headroom
--- a/placing/start_delay_log.go
+++ b/placing/start_delay_log.go
@@ -51,7 +51,8 @@
 	return !idle.IsZero() && c.now.Sub(laterTime(idle, since)) >= overdueAfter && c.hasAmpleCapacity(unit)
 }
 
-// logDelay logs the preferences that keep a unit from the given placements.
+// logDelay logs the preferences that keep a unit from the given placements: as start_overdue if
+// the unit is overdue, otherwise as start_held.
 func (c *delayCheck) logDelay(unit *unit, placements []placement) {
 	c.logged++
 	unit.step.delayLoggedAt = c.now
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -29,7 +29,7 @@
 type avoidance int
 
 const (
-	avoidSuspects       avoidance = iota // all suspect workers, and those that refused the last start sent to them
+	avoidSuspects       avoidance = iota // all suspect workers, and those that refused a start and have started none since
 	avoidRecentSuspects                  // suspect workers until their suspectUntil; used if no other worker is free
 	avoidNone                            // no worker; used if the job does not fit without suspect workers
 )
--- a/scheduler/reserve.go
+++ b/scheduler/reserve.go
@@ -14,8 +14,8 @@
 type reservation struct {
 	job     *job
 	nodes   []*node
-	slot    *slot
-	start   Time // when the workers are expected to be free
+	slot    *slot // guarantee that the job will be inside; nil if none
+	start   Time  // when the workers are expected to be free
 	expires Time
 	firm    bool
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -27,7 +27,7 @@
 	reservations     []*reservation
 	quarantined      int
 	evacuated        map[string]bool // availability zones that take no new work
-	recentLosses     []loss          // early losses within lossWindow, in order
+	recentLosses     []loss          // early losses within lossWindow, oldest first
 	witnessDirty     bool            // the witness must be repaired: workers or targets changed
 	inventoryVersion int64           // number of changes of workers and targets, starting at 1
 	seq              int64
--- a/scheduler/witness.go
+++ b/scheduler/witness.go
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// largerShape orders shapes for packing: most accelerators per member first, then most
-// members.
+// largerShape orders shapes for placing them one by one: most accelerators per member first,
+// then most members.
 func largerShape(a, b structs.Shape) bool {
 	if a.Accelerators != b.Accelerators {
 		return a.Accelerators > b.Accelerators
@@ -155,9 +155,9 @@
 	return feasible[:shape.Members:shape.Members], left - shape.Total()
 }
 
-// repair assigns workers to every slot that needs it, if the trusted workers allow it. Before a
-// slot moves to other workers, it calls detach, which turns the runs inside the slot into runs
-// outside it. assignAroundRun tries to assign a slot to the workers of a run of its workspace,
+// repair assigns workers to every slot that needs it, if the trusted workers allow it. detach
+// turns the runs inside a slot that is about to move to other workers into runs outside it.
+// assignAroundRun tries to assign a slot to the workers of a run of its workspace,
 // so that the run is inside the slot.
 func (w *witness) repair(c *cluster, detach func(*slot), assignAroundRun func(*slot) bool) {
 	var unplaced []*slot
